--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -3,14 +3,13 @@
 import (
 	"context"
 	"encoding/json"
-	"fmt"
 	"log/slog"
-	"math/rand/v2"
 	"net"
 	"net/http"
 	"net/http/httptest"
 	"os"
 	"path/filepath"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -102,17 +101,12 @@
 	return server.Listener.Addr().String()
 }
 
-// freeAddress returns a loopback address that was free a moment ago. Its port is
-// below those that the system gives to outgoing connections, which would take it
-// before the test binds it.
+// freePort draws ports that are free for TCP and UDP and outside the range that the
+// system assigns to outgoing connections, which could take one before the test binds it.
+var freePort = standin.FreePorts()
+
 func freeAddress(c *qt.C) string {
-	const lowest, count = 10_000, 20_000
-	for {
-		listener, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", lowest+rand.IntN(count)))
-		if err != nil {
-			continue
-		}
-		c.Assert(listener.Close(), qt.IsNil)
-		return listener.Addr().String()
-	}
+	port, err := freePort()
+	c.Assert(err, qt.IsNil)
+	return net.JoinHostPort(standin.Host, strconv.Itoa(port))
 }
--- a/internal/gateway/cluster_test.go
+++ b/internal/gateway/cluster_test.go
@@ -8,7 +8,6 @@
 	"time"
 
 	qt "github.com/frankban/quicktest"
-	"github.com/uber-go/tally/v4"
 
 	"github.com/coltsfootdrift/coltsfootdrift/internal/peer"
 	"github.com/coltsfootdrift/coltsfootdrift/internal/settings"
@@ -17,9 +16,8 @@
 )
 
 func newCluster(c *qt.C, st *storetest.Fake) *Cluster {
-	s := settings.Gateway{Instance: "g", Region: "r", PeerAddress: freeAddress(c)}
-	node, err := peer.Listen(membership.Identity{ID: "g", FailureDomain: "r", Address: s.PeerAddress, Incarnation: 1}, logger(), tally.NoopScope)
-	c.Assert(err, qt.IsNil)
+	node := listenPeer(c)
+	s := settings.Gateway{Instance: "g", Region: "r", PeerAddress: nodeAddress(node)}
 	return NewCluster(s, node, peer.NewClient(), st, logger())
 }
 
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -12,6 +13,7 @@
 	"strconv"
 	"strings"
 	"sync"
+	"syscall"
 	"time"
 
 	qt "github.com/frankban/quicktest"
@@ -20,6 +22,7 @@
 	"github.com/coltsfootdrift/coltsfootdrift/engine"
 	"github.com/coltsfootdrift/coltsfootdrift/internal/peer"
 	"github.com/coltsfootdrift/coltsfootdrift/internal/settings"
+	"github.com/coltsfootdrift/coltsfootdrift/internal/standin"
 	"github.com/coltsfootdrift/coltsfootdrift/internal/store"
 	"github.com/coltsfootdrift/coltsfootdrift/internal/store/storetest"
 	"github.com/coltsfootdrift/coltsfootdrift/internal/upstream"
@@ -146,21 +149,37 @@
 
 func logger() *slog.Logger { return slog.New(slog.NewJSONHandler(io.Discard, nil)) }
 
-// freeAddress returns a loopback address whose UDP and TCP ports are free.
-func freeAddress(c *qt.C) string {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	c.Assert(err, qt.IsNil)
-	defer listener.Close()
-	return listener.Addr().String()
+// freeUDPPorts draws ports outside the range that the system assigns to sockets
+// bound to port 0.
+var freeUDPPorts = standin.FreePorts()
+
+// listenPeer returns a node that holds its UDP port. A port that another process takes
+// between the draw and the bind is replaced by the next one.
+func listenPeer(c *qt.C) *peer.Node {
+	for {
+		port, err := freeUDPPorts()
+		c.Assert(err, qt.IsNil)
+		address := net.JoinHostPort(standin.Host, strconv.Itoa(port))
+		node, err := peer.Listen(membership.Identity{ID: "g", FailureDomain: "r", Address: address, Incarnation: 1}, logger(), tally.NoopScope)
+		if errors.Is(err, syscall.EADDRINUSE) {
+			continue
+		}
+		c.Assert(err, qt.IsNil)
+		return node
+	}
+}
+
+func nodeAddress(node *peer.Node) (address string) {
+	node.View(func(s *membership.State) { address = s.Self().Address })
+	return address
 }
 
 // start runs the gateway.
 func (w *world) start() {
 	c := w.c
-	s := settings.Gateway{Instance: "g", Region: "r", FailureDomain: "d", Regions: map[string]string{"d": "r"}, PeerAddress: freeAddress(c),
+	node := listenPeer(c)
+	s := settings.Gateway{Instance: "g", Region: "r", FailureDomain: "d", Regions: map[string]string{"d": "r"}, PeerAddress: nodeAddress(node),
 		GraceSeconds: 8, RetryRatio: 20, RetrySlack: 1000, RetryWindowSeconds: 1}
-	node, err := peer.Listen(membership.Identity{ID: "g", FailureDomain: "r", Address: s.PeerAddress, Incarnation: 1}, logger(), tally.NoopScope)
-	c.Assert(err, qt.IsNil)
 	entries := []store.Entry{}
 	add := func(key string, value any) {
 		data, err := json.Marshal(value)
@@ -193,12 +212,11 @@
 		<-changed
 	}
 	front := NewFront(w.gateway, w.drain, logger())
-	address := freeAddress(c)
-	c.Assert(front.Listen(ctx, address), qt.IsNil)
+	c.Assert(front.Listen(ctx, "127.0.0.1:0"), qt.IsNil)
 	if v := views.Current(); v != nil {
 		front.Update(v)
 	}
-	w.url = "http://" + address
+	w.url = "http://" + front.listener.Addr().String()
 	c.Cleanup(func() {
 		cancel()
 		front.Close()
