--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -27,7 +27,7 @@
 	ctx     context.Context
 	arrived time.Time
 	view    *view.View
-	demand  Demand
+	demand  RequestInfo
 	route   *route.Route
 	service *route.Service
 	// organisation is empty for public routes.
@@ -77,7 +77,7 @@
 const minRepeat = 20 * time.Millisecond
 
 // outgoing returns the request as it is sent to a server.
-func (a *attempt) outgoing(server upstream.Server, s Send) *upstream.Request {
+func (a *attempt) outgoing(server upstream.Server, s SendInfo) *upstream.Request {
 	header := forwardedHeader(a.request.Header)
 	s.Server, s.Remaining, s.Organisation = server.ID, a.remaining(), a.organisation
 	a.protocol.WriteRequest(header, s)
@@ -165,7 +165,7 @@
 // own writes an answer of the gateway itself.
 func (a *attempt) own(status int, reason string) {
 	header := a.writer.Header()
-	a.protocol.WriteOwnAnswer(header, a.demand.ID)
+	a.protocol.WriteLocalAnswer(header, a.demand.ID)
 	header.Set("Content-Type", "text/plain; charset=utf-8")
 	a.closeWhenDraining(header)
 	a.writer.WriteHeader(status)
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -51,10 +51,10 @@
 	return s, json.Unmarshal(value, &s)
 }
 
-func (fakeProtocol) ReadRequest(h http.Header) Demand {
-	d := Demand{ID: h.Get("Id"), Key: h.Get("Key"), LastEventID: h.Get("Last"), PieceKey: "pk"}
+func (fakeProtocol) ReadRequest(h http.Header) RequestInfo {
+	d := RequestInfo{ID: h.Get("Id"), Key: h.Get("Key"), LastEventID: h.Get("Last"), PieceKey: "pk"}
 	if ms, err := strconv.Atoi(h.Get("Wait")); err == nil {
-		d.Wait, d.Bounded = time.Duration(ms)*time.Millisecond, true
+		d.Timeout, d.HasTimeout = time.Duration(ms)*time.Millisecond, true
 	}
 	for _, part := range strings.Fields(h.Get("Prompt")) {
 		d.Prompt = append(d.Prompt, engine.Part{ID: part, Tokens: 1000})
@@ -66,7 +66,7 @@
 	return d
 }
 
-func (fakeProtocol) WriteRequest(h http.Header, s Send) {
+func (fakeProtocol) WriteRequest(h http.Header, s SendInfo) {
 	h.Del("Key")
 	h.Set("Server", s.Server)
 	h.Set("Organisation", s.Organisation)
@@ -77,12 +77,12 @@
 	}
 }
 
-func (fakeProtocol) WriteOwnAnswer(h http.Header, id string) { h.Set("Id", id) }
+func (fakeProtocol) WriteLocalAnswer(h http.Header, id string) { h.Set("Id", id) }
 
 func (fakeProtocol) Belongs(h http.Header, id string) bool { return h.Get("Id") == id }
 
 func (fakeProtocol) ReadAnswer(_ int, h http.Header) AnswerInfo {
-	return AnswerInfo{NotRun: h.Get("Not-Run") != "", LostWork: h.Get("Not-Run") == "inputs"}
+	return AnswerInfo{NotRun: h.Get("Not-Run") != "", InputsLost: h.Get("Not-Run") == "inputs"}
 }
 
 func (fakeProtocol) StageCall(s upstream.Server, pieces []Piece) (*upstream.Request, error) {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -120,8 +120,8 @@
 	if wait <= 0 {
 		wait = defaultWait
 	}
-	if a.demand.Bounded {
-		wait = min(wait, a.demand.Wait)
+	if a.demand.HasTimeout {
+		wait = min(wait, a.demand.Timeout)
 	}
 	a.deadline = a.arrived.Add(wait)
 	a.service = table.Service(a.route.Choose(a.fleet.Draw()))
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -33,7 +33,7 @@
 			return
 		}
 		excluded = append(excluded, send.index)
-		answer, err := a.upstream.Send(a.ctx, send.server, a.outgoing(send.server, Send{}))
+		answer, err := a.upstream.Send(a.ctx, send.server, a.outgoing(send.server, SendInfo{}))
 		switch {
 		case errors.Is(err, upstream.ErrNotSent) && !a.left() && !a.late():
 			a.finish(send, routing.Unreachable)
--- a/internal/gateway/ports.go
+++ b/internal/gateway/ports.go
@@ -14,15 +14,15 @@
 	"github.com/coltsfootdrift/coltsfootdrift/stagework"
 )
 
-// Demand is what the headers of a client's request ask for.
-type Demand struct {
+// RequestInfo is what the headers of a client's request ask for.
+type RequestInfo struct {
 	// ID is the client's ID of this attempt.
 	ID string
 	// Key is the organisation's key.
 	Key string
-	// Wait is how long the client waits; Bounded is false when it did not say.
-	Wait    time.Duration
-	Bounded bool
+	// Timeout is how long the client waits; Bounded is false when it did not say.
+	Timeout    time.Duration
+	HasTimeout bool
 	// Prompt holds the prompt's parts; the last one is its own.
 	Prompt []engine.Part
 	// LastEventID is the last event of a stream that the client has.
@@ -32,8 +32,8 @@
 	PieceKey    string
 }
 
-// Send is what the system adds to a request to a backend server.
-type Send struct {
+// SendInfo is what the system adds to a request to a backend server.
+type SendInfo struct {
 	// Server is the ID of the server that is meant.
 	Server       string
 	Remaining    time.Duration
@@ -52,8 +52,8 @@
 type AnswerInfo struct {
 	// NotRun answers promise that the request has not run.
 	NotRun bool
-	// LostWork is true when an input of the request does not exist any more.
-	LostWork bool
+	// InputsLost is true when an input of the request does not exist any more.
+	InputsLost bool
 	// Load is the server's own load report, nil without one.
 	Load *routing.LoadReport
 }
@@ -71,11 +71,11 @@
 // Protocol is the platform's form of requests and entries.
 type Protocol interface {
 	view.Decoder
-	ReadRequest(http.Header) Demand
+	ReadRequest(http.Header) RequestInfo
 	// WriteRequest removes the headers that only the system may set and sets them.
-	WriteRequest(http.Header, Send)
-	// WriteOwnAnswer sets the headers of an answer that the gateway itself gives.
-	WriteOwnAnswer(header http.Header, id string)
+	WriteRequest(http.Header, SendInfo)
+	// WriteLocalAnswer sets the headers of an answer that the gateway itself gives.
+	WriteLocalAnswer(header http.Header, id string)
 	// Belongs reports whether an answer is the one to the request with an ID.
 	Belongs(header http.Header, id string) bool
 	ReadAnswer(status int, header http.Header) AnswerInfo
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -68,7 +68,7 @@
 		slog.String("copy_from", placed.CopyFrom), slog.Int64("crossing_bytes", crossing(inputs, placed.FailureDomain)),
 		slog.Int64("view", g.viewVersion()))
 	source, _ := g.fleet.Server(placed.CopyFrom)
-	request := g.outgoing(target, Send{Urgency: &urgency, Inputs: g.inputs, LastEventID: g.lastID, CopyFrom: source.Address})
+	request := g.outgoing(target, SendInfo{Urgency: &urgency, Inputs: g.inputs, LastEventID: g.lastID, CopyFrom: source.Address})
 	stop := g.freeFetched()
 	answer, err := g.upstream.Send(g.ctx, target, request)
 	freed := stop()
@@ -79,7 +79,7 @@
 	defer answer.Close()
 	info := g.protocol.ReadAnswer(answer.Status, answer.Header)
 	if freed {
-		g.fetches.learn(g.service.Name, !info.LostWork)
+		g.fetches.learn(g.service.Name, !info.InputsLost)
 	}
 	return g.answer(placed, answer, info, sent)
 }
@@ -150,7 +150,7 @@
 // answer handles an answer of a model server.
 func (g *generation) answer(placed engine.Placement, answer *upstream.Answer, info AnswerInfo, sent time.Time) bool {
 	switch {
-	case info.LostWork:
+	case info.InputsLost:
 		g.logFailed(upstream.Server{ID: placed.Server}, answer.Status, nil)
 		g.sends--
 		g.tried = g.tried[:len(g.tried)-1]
