--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -22,27 +22,27 @@
 )
 
 const (
-	// registerPrefix is where instances write their peer addresses.
-	registerPrefix = "instances/"
-	// registerTTL is the life of a registration without renewal. An old one is only
+	// registrationPrefix is where instances write their peer addresses.
+	registrationPrefix = "instances/"
+	// registrationTTL is the life of a registration without renewal. An old one is only
 	// a hint.
-	registerTTL   = 10 * time.Minute
-	renewInterval = 3 * time.Minute
-	// firstReviews are the times after which the registrations are read again:
+	registrationTTL           = 10 * time.Minute
+	registrationRenewInterval = 3 * time.Minute
+	// registrationRereads are the times after which the registrations are read again:
 	// instances that start together read them before the others have registered.
-	firstReviews = 2
-	reviewPause  = 3 * time.Second
-	// joinTime is how long after the start registered instances count as live:
+	registrationRereads        = 2
+	registrationRereadInterval = 3 * time.Second
+	// joinGracePeriod is how long after the start registered instances count as live:
 	// until membership has heard of them, every instance would take itself for the
 	// one that forms all calls.
-	joinTime      = 5 * time.Second
-	registerRetry = 2 * time.Second
-	registerLimit = 1000
-	// avoidAfterFailure is how long an instance that did not answer gets no stages.
-	avoidAfterFailure = 2 * time.Second
+	joinGracePeriod    = 5 * time.Second
+	registerRetryDelay = 2 * time.Second
+	maxRegistrations   = 1000
+	// avoidDuration is how long an instance that did not answer gets no stages.
+	avoidDuration = 2 * time.Second
 )
 
-var errNoPeer = errors.New("no other instance is known")
+var errNoPeerKnown = errors.New("no other instance is known")
 
 // Cluster is the other instances.
 type Cluster struct {
@@ -52,11 +52,11 @@
 	store    store.Store
 	logger   *slog.Logger
 
-	mu      sync.Mutex
-	avoid   map[string]time.Time
-	started time.Time
-	// pause is the mean time between the first reviews.
-	pause time.Duration
+	mu         sync.Mutex
+	avoidUntil map[string]time.Time
+	started    time.Time
+	// rereadInterval is the mean time between the first reviews.
+	rereadInterval time.Duration
 	// registered holds the peer addresses of the region's instances by ID, as they
 	// stood in the store at the start.
 	registered map[string]string
@@ -70,16 +70,16 @@
 
 // NewCluster returns the cluster as seen from a node.
 func NewCluster(s settings.Gateway, node *peer.Node, client *peer.Client, st store.Store, logger *slog.Logger) *Cluster {
-	return &Cluster{settings: s, node: node, client: client, store: st, logger: logger, avoid: map[string]time.Time{}, started: time.Now(), pause: reviewPause}
+	return &Cluster{settings: s, node: node, client: client, store: st, logger: logger, avoidUntil: map[string]time.Time{}, started: time.Now(), rereadInterval: registrationRereadInterval}
 }
 
 // Pull implements view.Peers.
 func (c *Cluster) Pull(ctx context.Context, address string, have store.Version) (store.Changes, error) {
 	if address == "" {
-		address = c.anyPeer()
+		address = c.randomPeer()
 	}
 	if address == "" {
-		return store.Changes{}, errNoPeer
+		return store.Changes{}, errNoPeerKnown
 	}
 	return c.client.PullView(ctx, address, have)
 }
@@ -89,8 +89,8 @@
 	c.node.Do(func(s *membership.State) []membership.Output { return s.SetRevision(int64(version), fromStore) })
 }
 
-// anyPeer returns the address of a random other instance, or an empty string.
-func (c *Cluster) anyPeer() string {
+// randomPeer returns the address of a random other instance, or an empty string.
+func (c *Cluster) randomPeer() string {
 	var known []string
 	c.node.View(func(s *membership.State) {
 		for _, record := range s.Live() {
@@ -108,8 +108,8 @@
 	return known[rand.IntN(len(known))]
 }
 
-// Regions returns the address of one instance of each other region.
-func (c *Cluster) Regions() (addresses []string) {
+// RegionContacts returns the address of one instance of each other region.
+func (c *Cluster) RegionContacts() (addresses []string) {
 	c.node.View(func(s *membership.State) {
 		for _, summary := range s.Summaries(time.Now()) {
 			if n := len(summary.Contacts); n > 0 {
@@ -120,32 +120,32 @@
 	return addresses
 }
 
-// Instances returns the number of live instances.
-func (c *Cluster) Instances() int {
+// InstanceCount returns the number of live instances.
+func (c *Cluster) InstanceCount() int {
 	n := 1
 	c.node.View(func(s *membership.State) { n = max(1, s.Instances(time.Now())) })
 	return n
 }
 
-// readers is the number of instances of a region that look often for changes in the
+// storeReaders is the number of instances of a region that look often for changes in the
 // store.
-const readers = 2
+const storeReaders = 2
 
 // Reader implements view.Peers. An instance that knows no other yet is none: when all
 // start together, each would take itself for a reader.
 func (c *Cluster) Reader() bool {
-	if time.Since(c.started) < joinTime {
+	if time.Since(c.started) < joinGracePeriod {
 		return false
 	}
-	ids, _ := c.live()
-	return slices.Contains(rendezvous.Order("store reader", ids)[:min(readers, len(ids))], c.settings.Instance)
+	ids, _ := c.liveInstances()
+	return slices.Contains(rendezvous.Order("store reader", ids)[:min(storeReaders, len(ids))], c.settings.Instance)
 }
 
-// live returns the live instances of the region, and their addresses by ID. That
+// liveInstances returns the live instances of the region, and their addresses by ID. That
 // of this instance is empty.
-func (c *Cluster) live() (ids []string, addresses map[string]string) {
+func (c *Cluster) liveInstances() (ids []string, addresses map[string]string) {
 	addresses = map[string]string{c.settings.Instance: ""}
-	if time.Since(c.started) < joinTime {
+	if time.Since(c.started) < joinGracePeriod {
 		c.mu.Lock()
 		maps.Copy(addresses, c.registered)
 		c.mu.Unlock()
@@ -160,11 +160,11 @@
 	return slices.Collect(maps.Keys(addresses)), addresses
 }
 
-// Callers returns the addresses of the instances that may form the calls of a
+// Owners returns the addresses of the instances that may form the calls of a
 // service of the region, the first choice first. Instances that did not answer
 // lately come last; an empty address stands for this instance.
-func (c *Cluster) Callers(service string) []string {
-	ids, byID := c.live()
+func (c *Cluster) Owners(service string) []string {
+	ids, byID := c.liveInstances()
 	var callers, avoided []string
 	for _, chosen := range rendezvous.Order(service, ids) {
 		if c.avoided(byID[chosen]) {
@@ -179,14 +179,14 @@
 func (c *Cluster) avoided(address string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Now().Before(c.avoid[address])
+	return time.Now().Before(c.avoidUntil[address])
 }
 
 // Avoid passes over an instance that did not answer for a while.
 func (c *Cluster) Avoid(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.avoid[address] = time.Now().Add(avoidAfterFailure)
+	c.avoidUntil[address] = time.Now().Add(avoidDuration)
 }
 
 // Leave tells the others that this instance stops.
@@ -195,53 +195,53 @@
 // Register writes this instance's peer address into the store and reads those of
 // the others, until the context ends.
 func (c *Cluster) Register(ctx context.Context) {
-	c.hint(nil)
+	c.addCandidates(nil)
 	var lease store.LeaseID
 	for ctx.Err() == nil {
 		if lease != 0 && c.store.KeepAlive(ctx, lease) == nil {
-			clock.Sleep(ctx, renewInterval)
+			clock.Sleep(ctx, registrationRenewInterval)
 			continue
 		}
 		granted, err := c.register(ctx)
 		if err != nil {
 			events.NotRegistered.Log(ctx, c.logger, slog.Any("error", err))
-			clock.Sleep(ctx, registerRetry/2+rand.N(registerRetry))
+			clock.Sleep(ctx, registerRetryDelay/2+rand.N(registerRetryDelay))
 			continue
 		}
 		lease = granted
 		events.Registration.Log(ctx, c.logger, slog.String("address", c.settings.PeerAddress))
-		c.review(ctx)
-		clock.Sleep(ctx, renewInterval)
+		c.rereadRegistrations(ctx)
+		clock.Sleep(ctx, registrationRenewInterval)
 	}
 }
 
-// review reads the registrations of instances that started at the same time.
-func (c *Cluster) review(ctx context.Context) {
-	for range firstReviews {
-		clock.Sleep(ctx, c.pause/2+rand.N(c.pause))
-		entries, err := c.store.List(ctx, registerPrefix, "", registerLimit)
+// rereadRegistrations reads the registrations of instances that started at the same time.
+func (c *Cluster) rereadRegistrations(ctx context.Context) {
+	for range registrationRereads {
+		clock.Sleep(ctx, c.rereadInterval/2+rand.N(c.rereadInterval))
+		entries, err := c.store.List(ctx, registrationPrefix, "", maxRegistrations)
 		if err != nil {
 			events.NotRegistered.Log(ctx, c.logger, slog.Any("error", err))
 			continue
 		}
-		c.hint(entries)
+		c.addCandidates(entries)
 	}
 }
 
 func (c *Cluster) register(ctx context.Context) (store.LeaseID, error) {
-	entries, err := c.store.List(ctx, registerPrefix, "", registerLimit)
+	entries, err := c.store.List(ctx, registrationPrefix, "", maxRegistrations)
 	if err != nil {
 		return 0, err
 	}
-	c.hint(entries)
-	key := registerPrefix + c.settings.Instance
+	c.addCandidates(entries)
+	key := registrationPrefix + c.settings.Instance
 	var expect store.Version
 	for _, e := range entries {
 		if e.Key == key {
 			expect = e.Version
 		}
 	}
-	lease, err := c.store.GrantLease(ctx, registerTTL)
+	lease, err := c.store.GrantLease(ctx, registrationTTL)
 	if err != nil {
 		return 0, err
 	}
@@ -253,12 +253,12 @@
 	return lease, err
 }
 
-// hint tells membership which addresses may belong to other instances.
-func (c *Cluster) hint(entries []store.Entry) {
+// addCandidates tells membership which addresses may belong to other instances.
+func (c *Cluster) addCandidates(entries []store.Entry) {
 	addresses := slices.Clone(c.settings.Peers)
 	registered := map[string]string{}
 	for _, e := range entries {
-		id := strings.TrimPrefix(e.Key, registerPrefix)
+		id := strings.TrimPrefix(e.Key, registrationPrefix)
 		var r registration
 		if err := json.Unmarshal(e.Value, &r); err != nil {
 			events.EntryRejected.Log(context.Background(), c.logger, slog.String("key", e.Key), slog.Any("error", err))
--- a/internal/gateway/cluster_test.go
+++ b/internal/gateway/cluster_test.go
@@ -15,16 +15,16 @@
 	"github.com/coltsfootdrift/coltsfootdrift/membership"
 )
 
-func newCluster(c *qt.C, st *storetest.Fake) *Cluster {
+func newTestCluster(c *qt.C, st *storetest.Fake) *Cluster {
 	node := listenPeer(c)
 	s := settings.Gateway{Instance: "g", Region: "r", PeerAddress: nodeAddress(node)}
-	return NewCluster(s, node, peer.NewClient(), st, logger())
+	return NewCluster(s, node, peer.NewClient(), st, discardLogger())
 }
 
-func register(c *qt.C, st *storetest.Fake, id, region string) {
+func addRegistration(c *qt.C, st *storetest.Fake, id, region string) {
 	value, err := json.Marshal(registration{Address: "127.0.0.1:1", Region: region})
 	c.Assert(err, qt.IsNil)
-	_, err = st.CompareAndSwap(context.Background(), registerPrefix+id, 0, value, 0)
+	_, err = st.CompareAndSwap(context.Background(), registrationPrefix+id, 0, value, 0)
 	c.Assert(err, qt.IsNil)
 }
 
@@ -34,15 +34,15 @@
 func TestRegistrationsAreReadAgain(t *testing.T) {
 	c := qt.New(t)
 	st := storetest.New()
-	cluster := newCluster(c, st)
-	cluster.pause = time.Millisecond
+	cluster := newTestCluster(c, st)
+	cluster.rereadInterval = time.Millisecond
 	_, err := cluster.register(context.Background())
 	c.Assert(err, qt.IsNil)
-	c.Assert(cluster.Callers("x"), qt.HasLen, 1)
-	register(c, st, "late", "r")
-	register(c, st, "far", "other")
-	cluster.review(context.Background())
-	c.Assert(cluster.Callers("x"), qt.HasLen, 2)
+	c.Assert(cluster.Owners("x"), qt.HasLen, 1)
+	addRegistration(c, st, "late", "r")
+	addRegistration(c, st, "far", "other")
+	cluster.rereadRegistrations(context.Background())
+	c.Assert(cluster.Owners("x"), qt.HasLen, 2)
 	candidates := 0
 	cluster.node.View(func(s *membership.State) { candidates = len(s.Candidates()) })
 	c.Assert(candidates, qt.Equals, 1, qt.Commentf("one address, registered twice"))
@@ -53,14 +53,14 @@
 func TestCallersOfAService(t *testing.T) {
 	c := qt.New(t)
 	st := storetest.New()
-	register(c, st, "other", "r")
-	cluster := newCluster(c, st)
+	addRegistration(c, st, "other", "r")
+	cluster := newTestCluster(c, st)
 	_, err := cluster.register(context.Background())
 	c.Assert(err, qt.IsNil)
-	first := cluster.Callers("x")
-	c.Assert(cluster.Callers("x"), qt.DeepEquals, first)
+	first := cluster.Owners("x")
+	c.Assert(cluster.Owners("x"), qt.DeepEquals, first)
 	cluster.Avoid(first[0])
 	reversed := slices.Clone(first)
 	slices.Reverse(reversed)
-	c.Assert(cluster.Callers("x"), qt.DeepEquals, reversed)
+	c.Assert(cluster.Owners("x"), qt.DeepEquals, reversed)
 }
--- a/internal/gateway/daemon.go
+++ b/internal/gateway/daemon.go
@@ -41,35 +41,35 @@
 }
 
 const (
-	// headerTimeout bounds the headers of calls to readiness, metrics and peers.
-	headerTimeout = 5 * time.Second
-	// closeIdleEvery is how often idle connections to backend servers are reviewed.
-	closeIdleEvery = time.Second
-	// settingsReread is how often the settings file is looked at: it may change
+	// readHeaderTimeout bounds the headers of calls to readiness, metrics and peers.
+	readHeaderTimeout = 5 * time.Second
+	// closeIdleInterval is how often idle connections to backend servers are reviewed.
+	closeIdleInterval = time.Second
+	// settingsPollInterval is how often the settings file is looked at: it may change
 	// without a signal.
-	settingsReread = 2 * time.Second
-	// leaveBudget bounds the calls that tell other instances of a shutdown.
-	leaveBudget = 500 * time.Millisecond
+	settingsPollInterval = 2 * time.Second
+	// leaveTimeout bounds the calls that tell other instances of a shutdown.
+	leaveTimeout = 500 * time.Millisecond
 )
 
 // daemon is what runs in the process.
 type daemon struct {
 	fx.In
-	Settings settings.Gateway
-	Logger   *slog.Logger
-	Metrics  *metrics.Metrics
-	Node     *peer.Node
-	Peers    *peer.Server
-	Cluster  *Cluster
-	Views    *view.Sync
-	Fleet    *Fleet
-	Upstream *upstream.Client
-	Caller   *StageCaller
-	Placer   *Placer
-	Gateway  *Gateway
-	Front    *Front
-	Drain    *Drain
-	Ready    *readiness.Readiness
+	Settings  settings.Gateway
+	Logger    *slog.Logger
+	Metrics   *metrics.Metrics
+	Node      *peer.Node
+	Peers     *peer.Server
+	Cluster   *Cluster
+	Views     *view.Sync
+	Fleet     *Fleet
+	Upstream  *upstream.Client
+	Scheduler *StageScheduler
+	Placer    *Placer
+	Gateway   *Gateway
+	Frontend  *Frontend
+	Drain     *Drain
+	Readiness *readiness.Readiness
 }
 
 // module provides the parts of a gateway.
@@ -83,7 +83,7 @@
 			peer.NewServer,
 			NewCluster,
 			NewFleet,
-			NewStages,
+			NewStageRunner,
 			NewPlacer,
 			func() Protocol { return adapter.Protocol },
 			func() Store { return adapter.Store(s.StoreAddress) },
@@ -93,18 +93,18 @@
 			func(st Store, c *Cluster, m *metrics.Metrics) *view.Sync {
 				return view.NewSync(st, c, adapter.Protocol, logger, m.Scope)
 			},
-			func(client *upstream.Client, views *view.Sync) *Freer {
-				return NewFreer(adapter.Protocol, client, serverByAddress(views), logger)
+			func(client *upstream.Client, views *view.Sync) *ResultFreer {
+				return NewResultFreer(adapter.Protocol, client, serverByAddress(views), logger)
 			},
-			func(client *upstream.Client, fleet *Fleet, freer *Freer, m *metrics.Metrics) *StageCaller {
-				return NewStageCaller(adapter.Protocol, client, fleet, freer, logger, m.Scope)
+			func(client *upstream.Client, fleet *Fleet, freer *ResultFreer, m *metrics.Metrics) *StageScheduler {
+				return NewStageScheduler(adapter.Protocol, client, fleet, freer, logger, m.Scope)
 			},
-			func(views *view.Sync, fleet *Fleet, client *upstream.Client, stages *Stages, placer *Placer, drain *Drain, m *metrics.Metrics) *Gateway {
+			func(views *view.Sync, fleet *Fleet, client *upstream.Client, stages *StageRunner, placer *Placer, drain *Drain, m *metrics.Metrics) *Gateway {
 				return New(adapter.Protocol, views, fleet, client, stages, placer, drain, logger, m.Scope)
 			},
 			func() *Drain { return NewDrain(s.Grace()) },
 			func() *readiness.Readiness { return &readiness.Readiness{Logger: logger, Ready: events.GatewayReady} },
-			func(g *Gateway, drain *Drain) *Front { return NewFront(g, drain, logger) },
+			func(g *Gateway, drain *Drain) *Frontend { return NewFrontend(g, drain, logger) },
 		),
 	)
 }
@@ -144,8 +144,8 @@
 	if err := d.start(ctx); err != nil {
 		return err
 	}
-	reread := newRereader(path, s, logger)
-	go clock.Every(ctx, settingsReread, func() { reread.check(false) })
+	reread := newSettingsWatcher(path, s, logger)
+	go clock.Every(ctx, settingsPollInterval, func() { reread.check(false) })
 	for received := range signals {
 		if received != syscall.SIGHUP {
 			d.stop(received.String())
@@ -159,19 +159,19 @@
 // start opens the listeners and begins to follow the store and the peers.
 func (d *daemon) start(ctx context.Context) error {
 	d.Views.Observe(d.Fleet.Update)
-	d.Views.Observe(d.Caller.Update)
-	d.Views.Observe(d.Front.Update)
+	d.Views.Observe(d.Scheduler.Update)
+	d.Views.Observe(d.Frontend.Update)
 	d.Node.Observe(func(output membership.Output) {
 		if heard, ok := output.(membership.RevisionHeard); ok {
 			d.Views.Heard(store.Version(heard.Revision), heard.Address)
 		}
 	})
-	d.Ready.Require("configuration", func() bool {
+	d.Readiness.Require("configuration", func() bool {
 		v := d.Views.Current()
 		return v != nil && v.Table != nil
 	})
 	d.Peers.HandleViews(d.Views)
-	d.Peers.HandleStages(d.Caller)
+	d.Peers.HandleStages(d.Scheduler)
 	d.Peers.HandlePlacements(d.Placer)
 	if err := d.listen(ctx); err != nil {
 		return err
@@ -180,7 +180,7 @@
 	go d.Views.Run(ctx)
 	go d.Cluster.Register(ctx)
 	go clock.Every(ctx, restoreInterval, func() { d.Placer.Restore(ctx) })
-	go clock.Every(ctx, closeIdleEvery, func() { d.Upstream.CloseIdle(time.Now(), d.Fleet.InUse) })
+	go clock.Every(ctx, closeIdleInterval, func() { d.Upstream.CloseIdle(time.Now(), d.Fleet.InUse) })
 	events.GatewayStarted.Log(ctx, d.Logger, slog.String("instance", d.Settings.Instance), slog.String("region", d.Settings.Region),
 		slog.String("failure_domain", d.Settings.FailureDomain), slog.String("address", d.Settings.ClientAddress))
 	return nil
@@ -188,18 +188,18 @@
 
 func (d *daemon) listen(ctx context.Context) error {
 	ready := mux.NewRouter()
-	ready.Handle("/readyz", d.Ready)
+	ready.Handle("/readyz", d.Readiness)
 	metricsRouter := mux.NewRouter()
 	metricsRouter.Handle("/metrics", d.Metrics.Handler)
 	for address, handler := range map[string]http.Handler{
 		d.Settings.ReadyAddress: ready, d.Settings.MetricsAddress: metricsRouter, d.Settings.PeerAddress: d.Peers.Handler(),
 	} {
-		server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout}
+		server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
 		if err := httpserve.Start(ctx, server, address, d.Logger); err != nil {
 			return err
 		}
 	}
-	if err := d.Front.Listen(ctx, d.Settings.ClientAddress); err != nil {
+	if err := d.Frontend.Listen(ctx, d.Settings.ClientAddress); err != nil {
 		return fmt.Errorf("listen for clients: %w", err)
 	}
 	return nil
@@ -209,19 +209,19 @@
 // come, and ends within the grace time.
 func (d *daemon) stop(reason string) {
 	ctx := context.Background()
-	d.Ready.Withdraw()
+	d.Readiness.Withdraw()
 	d.Drain.Begin(time.Now())
-	events.GatewayStopping.Log(ctx, d.Logger, slog.String("reason", reason), slog.Int64("running", d.Gateway.Running()))
-	leaving, cancel := context.WithTimeout(ctx, leaveBudget)
+	events.GatewayStopping.Log(ctx, d.Logger, slog.String("reason", reason), slog.Int64("running", d.Gateway.InFlight()))
+	leaving, cancel := context.WithTimeout(ctx, leaveTimeout)
 	d.Cluster.Leave(leaving)
 	cancel()
-	d.Caller.HandOver()
-	for !d.Drain.done(time.Now(), d.Gateway.Running()) {
-		clock.Sleep(ctx, drainPoll)
+	d.Scheduler.HandOver()
+	for !d.Drain.done(time.Now(), d.Gateway.InFlight()) {
+		clock.Sleep(ctx, drainPollInterval)
 	}
-	if running := d.Gateway.Running(); running > 0 {
+	if running := d.Gateway.InFlight(); running > 0 {
 		events.GatewayCutOff.Log(ctx, d.Logger, slog.Int64("running", running))
 	}
-	d.Front.Close()
-	events.GatewayStopped.Log(ctx, d.Logger, slog.Int64("open_connections", d.Drain.open.Load()))
+	d.Frontend.Close()
+	events.GatewayStopped.Log(ctx, d.Logger, slog.Int64("open_connections", d.Drain.openConnections.Load()))
 }
--- a/internal/gateway/eventreader.go
+++ b/internal/gateway/eventreader.go
@@ -52,5 +52,5 @@
 	}
 }
 
-// more reports whether another event has arrived already.
-func (r *eventReader) more() bool { return r.reader.Buffered() > 0 }
+// buffered reports whether another event has arrived already.
+func (r *eventReader) buffered() bool { return r.reader.Buffered() > 0 }
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fixture_test.go
@@ -124,19 +124,19 @@
 	return store.WatchResult{Version: 1}, nil
 }
 
-// world is a gateway before backend servers that are functions.
-type world struct {
+// fixture is a gateway before backend servers that are functions.
+type fixture struct {
 	c       *qt.C
 	config  route.Configuration
 	servers []view.Server
 	gateway *Gateway
-	caller  *StageCaller
+	caller  *StageScheduler
 	drain   *Drain
 	url     string
 }
 
-// backend adds a server of a service.
-func (w *world) backend(service string, handle http.HandlerFunc) string {
+// addServer adds a server of a service.
+func (w *fixture) addServer(service string, handle http.HandlerFunc) string {
 	server := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		rw.Header().Set("Id", r.Header.Get("Id"))
 		handle(rw, r)
@@ -147,7 +147,7 @@
 	return address
 }
 
-func logger() *slog.Logger { return slog.New(slog.NewJSONHandler(io.Discard, nil)) }
+func discardLogger() *slog.Logger { return slog.New(slog.NewJSONHandler(io.Discard, nil)) }
 
 // freeUDPPorts draws ports outside the range that the system assigns to sockets
 // bound to port 0.
@@ -160,7 +160,7 @@
 		port, err := freeUDPPorts()
 		c.Assert(err, qt.IsNil)
 		address := net.JoinHostPort(standin.Host, strconv.Itoa(port))
-		node, err := peer.Listen(membership.Identity{ID: "g", FailureDomain: "r", Address: address, Incarnation: 1}, logger(), tally.NoopScope)
+		node, err := peer.Listen(membership.Identity{ID: "g", FailureDomain: "r", Address: address, Incarnation: 1}, discardLogger(), tally.NoopScope)
 		if errors.Is(err, syscall.EADDRINUSE) {
 			continue
 		}
@@ -175,7 +175,7 @@
 }
 
 // start runs the gateway.
-func (w *world) start() {
+func (w *fixture) start() {
 	c := w.c
 	node := listenPeer(c)
 	s := settings.Gateway{Instance: "g", Region: "r", FailureDomain: "d", Regions: map[string]string{"d": "r"}, PeerAddress: nodeAddress(node),
@@ -193,14 +193,14 @@
 		add("server/"+server.ID, server)
 	}
 	protocol, client := fakeProtocol{}, peer.NewClient()
-	cluster := NewCluster(s, node, client, storetest.New(), logger())
-	views := view.NewSync(fakeSource{entries}, cluster, protocol, logger(), tally.NoopScope)
+	cluster := NewCluster(s, node, client, storetest.New(), discardLogger())
+	views := view.NewSync(fakeSource{entries}, cluster, protocol, discardLogger(), tally.NoopScope)
 	fleet := NewFleet(s, cluster)
 	connections := upstream.NewClient(tally.NoopScope)
-	freer := NewFreer(protocol, connections, serverByAddress(views), logger())
-	w.caller = NewStageCaller(protocol, connections, fleet, freer, logger(), tally.NoopScope)
+	freer := NewResultFreer(protocol, connections, serverByAddress(views), discardLogger())
+	w.caller = NewStageScheduler(protocol, connections, fleet, freer, discardLogger(), tally.NoopScope)
 	w.drain = NewDrain(s.Grace())
-	w.gateway = New(protocol, views, fleet, connections, NewStages(cluster, client, w.caller, logger()), NewPlacer(cluster, client, fleet, connections, protocol, logger()), w.drain, logger(), tally.NoopScope)
+	w.gateway = New(protocol, views, fleet, connections, NewStageRunner(cluster, client, w.caller, discardLogger()), NewPlacer(cluster, client, fleet, connections, protocol, discardLogger()), w.drain, discardLogger(), tally.NoopScope)
 	changed := make(chan struct{}, 10)
 	views.Observe(fleet.Update)
 	views.Observe(w.caller.Update)
@@ -211,7 +211,7 @@
 	if len(entries) > 0 {
 		<-changed
 	}
-	front := NewFront(w.gateway, w.drain, logger())
+	front := NewFrontend(w.gateway, w.drain, discardLogger())
 	c.Assert(front.Listen(ctx, "127.0.0.1:0"), qt.IsNil)
 	if v := views.Current(); v != nil {
 		front.Update(v)
@@ -223,17 +223,17 @@
 	})
 }
 
-// plain returns a world whose route leads to one plain service.
-func plain(c *qt.C, kind route.Kind) *world {
-	return &world{c: c, config: route.Configuration{Version: 1,
+// newPlainFixture returns a world whose route leads to one plain service.
+func newPlainFixture(c *qt.C, kind route.Kind) *fixture {
+	return &fixture{c: c, config: route.Configuration{Version: 1,
 		Routes:   []route.Route{{Name: "r", Host: "h", Prefix: "/p/", Kind: kind, Split: []route.Weight{{Service: "x", Weight: 1}}, Timeout: 2 * time.Second, MaxAttempts: 2, Public: true}},
 		Services: []route.Service{{Name: "x"}},
 	}}
 }
 
-// generating returns a world whose route leads to model servers, with stages.
-func generating(c *qt.C, resumable bool, stages ...route.Stage) *world {
-	w := plain(c, route.Stream)
+// newEngineFixture returns a world whose route leads to model servers, with stages.
+func newEngineFixture(c *qt.C, resumable bool, stages ...route.Stage) *fixture {
+	w := newPlainFixture(c, route.Stream)
 	w.config.Routes[0].Resumable, w.config.Routes[0].Stages = resumable, stages
 	w.config.Routes[0].Target = time.Second
 	w.config.Services[0].Engine = &route.EngineShape{}
@@ -243,7 +243,7 @@
 }
 
 // do sends a request with an ID and other headers, given as pairs.
-func (w *world) do(method, target, body string, headers ...string) (*http.Response, string, error) {
+func (w *fixture) do(method, target, body string, headers ...string) (*http.Response, string, error) {
 	request, err := http.NewRequest(method, w.url+target, strings.NewReader(body))
 	w.c.Assert(err, qt.IsNil)
 	request.Host = "h"
@@ -279,5 +279,5 @@
 	return append([]string(nil), r.seen...)
 }
 
-// cut ends a connection without an answer.
-func cut(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+// abortConnection ends a connection without an answer.
+func abortConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -16,13 +16,13 @@
 	"github.com/coltsfootdrift/coltsfootdrift/routing"
 )
 
-// connectionShare is the part of a server's connections that all instances
+// connectionLimitShare is the part of a server's connections that all instances
 // together may open, so that instances that disagree on their number stay below
 // the limit.
-const connectionShare = 0.8
+const connectionLimitShare = 0.8
 
-// minConnections is the least number of connections to one server.
-const minConnections = 2
+// minServerConnections is the least number of connections to one server.
+const minServerConnections = 2
 
 // Fleet is the backend servers as this instance sees them.
 type Fleet struct {
@@ -31,7 +31,7 @@
 
 	mu      sync.Mutex
 	random  *rand.Rand
-	plain   map[string]*routing.Pool
+	pools   map[string]*routing.Pool
 	engines map[string]*engine.Set
 	servers map[string]upstream.Server
 	budgets map[string]*routing.RetryBudget
@@ -40,9 +40,9 @@
 // NewFleet returns a fleet without servers.
 func NewFleet(s settings.Gateway, cluster *Cluster) *Fleet {
 	return &Fleet{
-		settings: s, instances: cluster.Instances,
+		settings: s, instances: cluster.InstanceCount,
 		random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		plain:  map[string]*routing.Pool{}, engines: map[string]*engine.Set{},
+		pools:  map[string]*routing.Pool{}, engines: map[string]*engine.Set{},
 		servers: map[string]upstream.Server{}, budgets: map[string]*routing.RetryBudget{},
 	}
 }
@@ -75,7 +75,7 @@
 	if service.MaxConnections == 0 {
 		return 0
 	}
-	return max(minConnections, int(connectionShare*float64(service.MaxConnections))/instances)
+	return max(minServerConnections, int(connectionLimitShare*float64(service.MaxConnections))/instances)
 }
 
 func (f *Fleet) updateEngines(service *route.Service, listed []view.Server) {
@@ -93,10 +93,10 @@
 }
 
 func (f *Fleet) updatePlain(service string, listed []view.Server) {
-	pool := f.plain[service]
+	pool := f.pools[service]
 	if pool == nil {
 		pool = routing.NewPool(routing.Location{Region: f.settings.Region, FailureDomain: f.settings.FailureDomain})
-		f.plain[service] = pool
+		f.pools[service] = pool
 	}
 	servers := make([]routing.Server, len(listed))
 	for i, s := range listed {
@@ -113,8 +113,8 @@
 	return s, ok
 }
 
-// Near reports whether a failure domain is in this instance's region.
-func (f *Fleet) Near(domain string) bool {
+// InRegion reports whether a failure domain is in this instance's region.
+func (f *Fleet) InRegion(domain string) bool {
 	return f.settings.Regions[domain] == f.settings.Region
 }
 
@@ -124,12 +124,12 @@
 	return ok
 }
 
-// Pool calls use with the pool of a plain service, or returns false when there is
+// WithPool calls use with the pool of a plain service, or returns false when there is
 // none.
-func (f *Fleet) Pool(service string, use func(*routing.Pool, *rand.Rand)) bool {
+func (f *Fleet) WithPool(service string, use func(*routing.Pool, *rand.Rand)) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	pool := f.plain[service]
+	pool := f.pools[service]
 	if pool == nil {
 		return false
 	}
@@ -137,9 +137,9 @@
 	return true
 }
 
-// Engines calls use with the model servers of a service, or returns false when
+// WithEngines calls use with the model servers of a service, or returns false when
 // there are none.
-func (f *Fleet) Engines(service string, use func(*engine.Set)) bool {
+func (f *Fleet) WithEngines(service string, use func(*engine.Set)) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	set := f.engines[service]
@@ -194,14 +194,14 @@
 	return f.budget(service).Allow(time.Now())
 }
 
-// Draw returns a random number in [0, 1).
-func (f *Fleet) Draw() float64 {
+// RandomFloat64 returns a random number in [0, 1).
+func (f *Fleet) RandomFloat64() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.random.Float64()
 }
 
-// plainQuery is the query of a plain request.
-func plainQuery(remaining time.Duration, excluded []routing.ServerIndex) routing.Query {
+// newPlainQuery is the query of a plain request.
+func newPlainQuery(remaining time.Duration, excluded []routing.ServerIndex) routing.Query {
 	return routing.Query{Class: pipeline.ClassInteractive, Link: true, Remaining: remaining, Excluded: excluded}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -19,70 +19,70 @@
 
 // Gateway serves the requests of clients.
 type Gateway struct {
-	protocol Protocol
-	views    *view.Sync
-	fleet    *Fleet
-	upstream *upstream.Client
-	stages   *Stages
-	placer   *Placer
-	drain    *Drain
-	logger   *slog.Logger
-	counts   counts
-	running  atomic.Int64
-	bodies   *bodies
-	// runs holds the durations of runs at model servers by route.
-	runs    *averages
-	fetches *fetches
+	protocol   Protocol
+	views      *view.Sync
+	fleet      *Fleet
+	upstream   *upstream.Client
+	stages     *StageRunner
+	placer     *Placer
+	drain      *Drain
+	logger     *slog.Logger
+	metrics    requestMetrics
+	inFlight   atomic.Int64
+	bodyMemory *bodyMemory
+	// runTimes holds the durations of runs at model servers by route.
+	runTimes       *movingAverages
+	fetchEstimates *fetchEstimates
 }
 
-// counts are the metrics of requests.
-type counts struct {
-	requests, answered, refused, failed, broken, left, resumed tally.Counter
-	latency, firstEvent                                        tally.Histogram
+// requestMetrics are the metrics of requests.
+type requestMetrics struct {
+	requests, answered, refused, failed, aborted, abandoned, resumed tally.Counter
+	duration, timeToFirstEvent                                       tally.Histogram
 }
 
-func newCounts(scope tally.Scope) counts {
+func newRequestMetrics(scope tally.Scope) requestMetrics {
 	buckets := tally.MustMakeExponentialDurationBuckets(5*time.Millisecond, 2, 14)
-	return counts{
+	return requestMetrics{
 		requests: scope.Counter("requests"), answered: scope.Counter("requests_answered"),
 		refused: scope.Counter("requests_refused"), failed: scope.Counter("requests_failed"),
-		broken: scope.Counter("requests_broken_off"), left: scope.Counter("requests_left"),
-		resumed: scope.Counter("streams_resumed"),
-		latency: scope.Histogram("request_seconds", buckets), firstEvent: scope.Histogram("first_event_seconds", buckets),
+		aborted: scope.Counter("requests_broken_off"), abandoned: scope.Counter("requests_left"),
+		resumed:  scope.Counter("streams_resumed"),
+		duration: scope.Histogram("request_seconds", buckets), timeToFirstEvent: scope.Histogram("first_event_seconds", buckets),
 	}
 }
 
 // New returns a gateway.
-func New(protocol Protocol, views *view.Sync, fleet *Fleet, client *upstream.Client, stages *Stages, placer *Placer, drain *Drain, logger *slog.Logger, scope tally.Scope) *Gateway {
-	return &Gateway{protocol: protocol, views: views, fleet: fleet, upstream: client, stages: stages, placer: placer, drain: drain, logger: logger, counts: newCounts(scope), runs: newAverages(), fetches: newFetches(), bodies: newBodies()}
+func New(protocol Protocol, views *view.Sync, fleet *Fleet, client *upstream.Client, stages *StageRunner, placer *Placer, drain *Drain, logger *slog.Logger, scope tally.Scope) *Gateway {
+	return &Gateway{protocol: protocol, views: views, fleet: fleet, upstream: client, stages: stages, placer: placer, drain: drain, logger: logger, metrics: newRequestMetrics(scope), runTimes: newMovingAverages(), fetchEstimates: newFetchEstimates(), bodyMemory: newBodyMemory()}
 }
 
-// Running returns the number of requests under way.
-func (g *Gateway) Running() int64 { return g.running.Load() }
+// InFlight returns the number of requests under way.
+func (g *Gateway) InFlight() int64 { return g.inFlight.Load() }
 
-// defaultWait bounds requests of routes without a timeout whose client gives no
+// defaultTimeout bounds requests of routes without a timeout whose client gives no
 // deadline.
-const defaultWait = 30 * time.Second
+const defaultTimeout = 30 * time.Second
 
 // ServeHTTP serves one request.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	g.running.Add(1)
-	defer g.running.Add(-1)
-	g.counts.requests.Inc(1)
-	a := &attempt{
+	g.inFlight.Add(1)
+	defer g.inFlight.Add(-1)
+	g.metrics.requests.Inc(1)
+	a := &clientRequest{
 		Gateway: g, writer: w, request: r, arrived: time.Now(),
-		view: g.views.Current(), demand: g.protocol.ReadRequest(r.Header),
+		view: g.views.Current(), requestInfo: g.protocol.ReadRequest(r.Header),
 	}
-	a.deadline = a.arrived.Add(defaultWait)
+	a.deadline = a.arrived.Add(defaultTimeout)
 	defer a.releaseBody()
-	if !a.plan() || !a.readBody() {
+	if !a.resolveRoute() || !a.readBody() {
 		return
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), a.deadline)
 	defer cancel()
 	a.ctx = ctx
 	if !g.drain.Admits(a.route.Kind == route.Stream) {
-		a.refuse("draining", retrySoon)
+		a.refuse("draining", shortRetryAfter)
 		return
 	}
 	g.fleet.CountRequest(a.service.Name)
@@ -93,10 +93,10 @@
 	a.servePlain()
 }
 
-// plan finds what the configuration says of the request, or answers it.
-func (a *attempt) plan() bool {
+// resolveRoute finds what the configuration says of the request, or answers it.
+func (a *clientRequest) resolveRoute() bool {
 	if a.view == nil || a.view.Table == nil {
-		a.refuse("no configuration", retryLater)
+		a.refuse("no configuration", longRetryAfter)
 		return false
 	}
 	table := a.view.Table
@@ -108,44 +108,44 @@
 	}
 	a.priority = a.route.Priority
 	if table.KeysRequired() && !a.route.Public {
-		o := table.Organisation(a.demand.Key)
+		o := table.Organisation(a.requestInfo.Key)
 		if o == nil {
 			a.fail(http.StatusUnauthorized, "unknown key", nil)
 			return false
 		}
 		a.organisation = o.Name
-		a.priority = rank(o, a.route)
+		a.priority = combinedPriority(o, a.route)
 	}
 	wait := a.route.Timeout
 	if wait <= 0 {
-		wait = defaultWait
+		wait = defaultTimeout
 	}
-	if a.demand.HasTimeout {
-		wait = min(wait, a.demand.Timeout)
+	if a.requestInfo.HasTimeout {
+		wait = min(wait, a.requestInfo.Timeout)
 	}
 	a.deadline = a.arrived.Add(wait)
-	a.service = table.Service(a.route.Choose(a.fleet.Draw()))
+	a.service = table.Service(a.route.Choose(a.fleet.RandomFloat64()))
 	if a.service == nil {
-		a.refuse("no service", retryLater)
+		a.refuse("no service", longRetryAfter)
 		return false
 	}
 	return true
 }
 
-// routeRanks is the number of priorities of routes within one of organisations.
-const routeRanks = 3
+// routePriorities is the number of priorities of routes within one of organisations.
+const routePriorities = 3
 
-// rank combines the priority of an organisation with that of a route, which counts
+// combinedPriority combines the priority of an organisation with that of a route, which counts
 // only between requests of equal organisations.
-func rank(o *route.Organisation, r *route.Route) int {
+func combinedPriority(o *route.Organisation, r *route.Route) int {
 	if !o.Ranked {
 		return r.Priority
 	}
-	return o.Priority*routeRanks + min(r.Priority, routeRanks-1)
+	return o.Priority*routePriorities + min(r.Priority, routePriorities-1)
 }
 
 // readBody reads the body, or answers the request.
-func (a *attempt) readBody() bool {
+func (a *clientRequest) readBody() bool {
 	if a.request.ContentLength == 0 {
 		return true
 	}
@@ -155,12 +155,12 @@
 	if limit := a.view.Table.Limits.BodyBytes; limit > 0 {
 		reader = http.MaxBytesReader(a.writer, a.request.Body, limit)
 	}
-	a.held = &heldBody{bodies: a.bodies, reader: reader}
-	body, err := io.ReadAll(a.held)
+	a.bodyReader = &bodyReader{memory: a.bodyMemory, reader: reader}
+	body, err := io.ReadAll(a.bodyReader)
 	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.Is(err, errBodiesFull):
-		a.refuse("memory for bodies is full", retrySoon)
+	case errors.Is(err, errBodyMemoryFull):
+		a.refuse("memory for bodies is full", shortRetryAfter)
 		return false
 	case errors.As(err, &tooLarge):
 		a.fail(http.StatusRequestEntityTooLarge, "body is too large", err)
--- a/internal/gateway/logwriter.go
+++ b/internal/gateway/logwriter.go
@@ -18,23 +18,23 @@
 	lines   chan []byte
 	out     io.Writer
 	dropped atomic.Int64
-	// ending is closed by Close, done when all lines are written.
-	ending chan struct{}
-	done   chan struct{}
+	// closing is closed by Close, done when all lines are written.
+	closing chan struct{}
+	done    chan struct{}
 }
 
 const (
-	// queuedLines bounds the lines that wait to be written.
-	queuedLines = 4096
-	// batchBytes is written at once.
-	batchBytes = 16 << 10
-	// dropReport is how often dropped lines are reported.
-	dropReport = 5 * time.Second
+	// maxQueuedLines bounds the lines that wait to be written.
+	maxQueuedLines = 4096
+	// targetBatchBytes is written at once.
+	targetBatchBytes = 16 << 10
+	// dropReportInterval is how often dropped lines are reported.
+	dropReportInterval = 5 * time.Second
 )
 
 // NewLogWriter returns a writer to out. Close it at the end.
 func NewLogWriter(out io.Writer) *LogWriter {
-	w := &LogWriter{lines: make(chan []byte, queuedLines), out: out, ending: make(chan struct{}), done: make(chan struct{})}
+	w := &LogWriter{lines: make(chan []byte, maxQueuedLines), out: out, closing: make(chan struct{}), done: make(chan struct{})}
 	go w.run()
 	return w
 }
@@ -55,7 +55,7 @@
 		select {
 		case line := <-w.lines:
 			w.writeBatch(line)
-		case <-w.ending:
+		case <-w.closing:
 			for len(w.lines) > 0 {
 				w.writeBatch(<-w.lines)
 			}
@@ -67,7 +67,7 @@
 // writeBatch writes a line and those that wait behind it.
 func (w *LogWriter) writeBatch(line []byte) {
 	batch := bytes.Clone(line)
-	for len(batch) < batchBytes && len(w.lines) > 0 {
+	for len(batch) < targetBatchBytes && len(w.lines) > 0 {
 		batch = append(batch, <-w.lines...)
 	}
 	_, _ = w.out.Write(batch) // there is nowhere to report it
@@ -75,7 +75,7 @@
 
 // ReportDropped logs the number of dropped lines until the context ends.
 func (w *LogWriter) ReportDropped(ctx context.Context, logger *slog.Logger) {
-	clock.Every(ctx, dropReport, func() {
+	clock.Every(ctx, dropReportInterval, func() {
 		if n := w.dropped.Swap(0); n > 0 {
 			events.LinesDropped.Log(ctx, logger, slog.Int64("lines", n))
 		}
@@ -84,6 +84,6 @@
 
 // Close writes what is queued. Lines that are written afterwards are lost.
 func (w *LogWriter) Close() {
-	close(w.ending)
+	close(w.closing)
 	<-w.done
 }
--- a/internal/gateway/shares.go
+++ b/internal/gateway/placementsharing.go
@@ -11,36 +11,36 @@
 )
 
 const (
-	// sharePause collects placements for the other regions.
-	sharePause = 200 * time.Millisecond
+	// shareBatchDelay collects placements for the other regions.
+	shareBatchDelay = 200 * time.Millisecond
 	// shareTimeout bounds the message to one of them. A lost one costs a prompt that
 	// is read again.
 	shareTimeout = time.Second
-	// maxShares bounds the placements of one message.
-	maxShares = 1024
+	// maxPendingShares bounds the placements of one message.
+	maxPendingShares = 1024
 )
 
-// share tells the other regions soon what a model server will keep, so that their
+// queueShare tells the other regions soon what a model server will keep, so that their
 // servers copy it instead of reading it again.
-func (p *Placer) share(service string, placed engine.Placement) {
+func (p *Placer) queueShare(service string, placed engine.Placement) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	waiting := p.shares[service]
-	if len(waiting) >= maxShares {
+	waiting := p.pendingShares[service]
+	if len(waiting) >= maxPendingShares {
 		return
 	}
 	if len(waiting) == 0 {
-		time.AfterFunc(sharePause, func() { p.sendShares(service) })
+		time.AfterFunc(shareBatchDelay, func() { p.sendShares(service) })
 	}
-	p.shares[service] = append(waiting, &peerpb.SharedPlacement{Server: placed.Server, Parts: encodeParts(placed.New)})
+	p.pendingShares[service] = append(waiting, &peerpb.SharedPlacement{Server: placed.Server, Parts: encodeParts(placed.New)})
 }
 
 func (p *Placer) sendShares(service string) {
 	p.mu.Lock()
-	request := &peerpb.SharePlacementsRequest{Service: service, Placements: p.shares[service]}
-	delete(p.shares, service)
+	request := &peerpb.SharePlacementsRequest{Service: service, Placements: p.pendingShares[service]}
+	delete(p.pendingShares, service)
 	p.mu.Unlock()
-	for _, address := range p.cluster.Regions() {
+	for _, address := range p.cluster.RegionContacts() {
 		p.sendShare(address, request)
 	}
 }
@@ -56,14 +56,14 @@
 // SharePlacements implements peer.PlacementHandler. The instance that places the
 // prompts of the region takes the message, or gets it from the one that was told.
 func (p *Placer) SharePlacements(request *peerpb.SharePlacementsRequest) {
-	address := p.cluster.Callers(placerKey(request.Service))[0]
+	address := p.cluster.Owners(placementKey(request.Service))[0]
 	if address != "" && !request.Forwarded {
 		request.Forwarded = true
 		go p.sendShare(address, request)
 		return
 	}
 	now := time.Now()
-	p.fleet.Engines(request.Service, func(s *engine.Set) {
+	p.fleet.WithEngines(request.Service, func(s *engine.Set) {
 		for _, placed := range request.Placements {
 			s.Kept(now, placed.Server, decodeParts(placed.Parts))
 		}
--- a/internal/gateway/placer.go
+++ b/internal/gateway/placer.go
@@ -16,17 +16,17 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/upstream"
 )
 
-// placeTimeout bounds the question where a prompt goes; without an answer this
+// placePromptTimeout bounds the question where a prompt goes; without an answer this
 // instance chooses by what it knows itself.
-const placeTimeout = 100 * time.Millisecond
+const placePromptTimeout = 100 * time.Millisecond
 
 const (
 	// restoreInterval is how often an instance looks whether it has become the one
 	// that places prompts.
 	restoreInterval = 300 * time.Millisecond
-	// restoreTimeout bounds the question what a model server keeps.
-	restoreTimeout = 400 * time.Millisecond
-	maxCacheList   = 4 << 20
+	// cacheReadTimeout bounds the question what a model server keeps.
+	cacheReadTimeout  = 400 * time.Millisecond
+	maxCacheListBytes = 4 << 20
 )
 
 // Placer chooses model servers. One instance of the region chooses for all, because
@@ -35,8 +35,8 @@
 	cluster *Cluster
 	client  *peer.Client
 	fleet   *Fleet
-	// servers and protocol ask model servers what they keep.
-	servers  *upstream.Client
+	// upstream and protocol ask model servers what they keep.
+	upstream *upstream.Client
 	protocol Protocol
 	logger   *slog.Logger
 	// restored holds the services whose prompts this instance places with what the
@@ -44,20 +44,20 @@
 	restored map[string]bool
 
 	mu sync.Mutex
-	// shares holds by service what other regions are about to be told.
-	shares map[string][]*peerpb.SharedPlacement
+	// pendingShares holds by service what other regions are about to be told.
+	pendingShares map[string][]*peerpb.SharedPlacement
 }
 
 // NewPlacer returns a placer.
 func NewPlacer(cluster *Cluster, client *peer.Client, fleet *Fleet, servers *upstream.Client, protocol Protocol, logger *slog.Logger) *Placer {
-	return &Placer{cluster: cluster, client: client, fleet: fleet, servers: servers, protocol: protocol, logger: logger, restored: map[string]bool{}, shares: map[string][]*peerpb.SharedPlacement{}}
+	return &Placer{cluster: cluster, client: client, fleet: fleet, upstream: servers, protocol: protocol, logger: logger, restored: map[string]bool{}, pendingShares: map[string][]*peerpb.SharedPlacement{}}
 }
 
 // Restore asks the model servers what they keep for each service whose prompts this
 // instance begins to place: what the one before knew of them is lost.
 func (p *Placer) Restore(ctx context.Context) {
 	for _, service := range p.fleet.EngineServices() {
-		mine := p.cluster.Callers(placerKey(service))[0] == ""
+		mine := p.cluster.Owners(placementKey(service))[0] == ""
 		if mine && !p.restored[service] {
 			p.restore(ctx, service)
 		}
@@ -67,31 +67,31 @@
 
 func (p *Placer) restore(ctx context.Context, service string) {
 	var ids []string
-	p.fleet.Engines(service, func(s *engine.Set) { ids = s.Local() })
+	p.fleet.WithEngines(service, func(s *engine.Set) { ids = s.Local() })
 	for _, id := range ids {
 		server, known := p.fleet.Server(id)
 		if !known {
 			continue
 		}
-		parts, err := p.cached(ctx, server)
+		parts, err := p.readCache(ctx, server)
 		if err != nil {
 			events.CacheUnknown.Log(ctx, p.logger, slog.String("server", id), slog.Any("error", err))
 			continue
 		}
-		p.fleet.Engines(service, func(s *engine.Set) { s.Restore(id, parts) })
+		p.fleet.WithEngines(service, func(s *engine.Set) { s.Restore(id, parts) })
 	}
 	events.PlacerChanged.Log(ctx, p.logger, slog.String("service", service), slog.Int("servers", len(ids)))
 }
 
-func (p *Placer) cached(ctx context.Context, server upstream.Server) ([]engine.Part, error) {
-	ctx, cancel := context.WithTimeout(ctx, restoreTimeout)
+func (p *Placer) readCache(ctx context.Context, server upstream.Server) ([]engine.Part, error) {
+	ctx, cancel := context.WithTimeout(ctx, cacheReadTimeout)
 	defer cancel()
-	answer, err := p.servers.Send(ctx, server, p.protocol.CacheCall(server))
+	answer, err := p.upstream.Send(ctx, server, p.protocol.CacheCall(server))
 	if err != nil {
 		return nil, err
 	}
 	defer answer.Close()
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maxCacheList))
+	body, err := io.ReadAll(io.LimitReader(answer.Body, maxCacheListBytes))
 	if err != nil {
 		return nil, err
 	}
@@ -101,18 +101,18 @@
 	return p.protocol.CachedParts(body)
 }
 
-// placerKey is hashed to the instance that places the prompts of a service.
-func placerKey(service string) string { return "place prompts of " + service }
+// placementKey is hashed to the instance that places the prompts of a service.
+func placementKey(service string) string { return "place prompts of " + service }
 
 // Place chooses the model server for a prompt, or returns false when there is none.
 func (p *Placer) Place(ctx context.Context, id, service string, q engine.Query) (engine.Placement, bool) {
-	address := p.cluster.Callers(placerKey(service))[0]
+	address := p.cluster.Owners(placementKey(service))[0]
 	if address == "" {
 		return p.placeForRegion(service, q)
 	}
 	request := &peerpb.PlacePromptRequest{Service: service, InputBytes: q.InputBytes, Excluded: q.Excluded, AskOnly: q.AskOnly}
 	request.Prompt = encodeParts(q.Prompt)
-	bounded, cancel := context.WithTimeout(ctx, placeTimeout)
+	bounded, cancel := context.WithTimeout(ctx, placePromptTimeout)
 	defer cancel()
 	response, err := p.client.PlacePrompt(bounded, address, request)
 	if err == nil && response.Server != "" && p.fleet.InUse(response.Server) {
@@ -122,20 +122,20 @@
 		p.cluster.Avoid(address)
 		events.PlacerFailed.Log(ctx, p.logger, slog.String("id", id), slog.String("address", address), slog.Any("error", err))
 	}
-	return p.placeHere(service, q)
+	return p.placeLocally(service, q)
 }
 
-func (p *Placer) placeHere(service string, q engine.Query) (placed engine.Placement, ok bool) {
-	p.fleet.Engines(service, func(s *engine.Set) { placed, ok = s.Place(time.Now(), q) })
+func (p *Placer) placeLocally(service string, q engine.Query) (placed engine.Placement, ok bool) {
+	p.fleet.WithEngines(service, func(s *engine.Set) { placed, ok = s.Place(time.Now(), q) })
 	return placed, ok
 }
 
 // placeForRegion chooses a server as the instance that does so for the region, and
 // tells the other regions what the server will keep.
 func (p *Placer) placeForRegion(service string, q engine.Query) (engine.Placement, bool) {
-	placed, ok := p.placeHere(service, q)
+	placed, ok := p.placeLocally(service, q)
 	if len(placed.New) > 0 {
-		p.share(service, placed)
+		p.queueShare(service, placed)
 	}
 	return placed, ok
 }
@@ -150,8 +150,8 @@
 
 // Report tells what became of a placement, here and where it was made.
 func (p *Placer) Report(service string, r engine.Report) {
-	p.fleet.Engines(service, func(s *engine.Set) { s.Report(time.Now(), r) })
-	address := p.cluster.Callers(placerKey(service))[0]
+	p.fleet.WithEngines(service, func(s *engine.Set) { s.Report(time.Now(), r) })
+	address := p.cluster.Owners(placementKey(service))[0]
 	if address == "" {
 		return
 	}
@@ -172,5 +172,5 @@
 		Server: request.Server, Failed: request.Failed, Refused: request.Refused,
 		Expected: time.Duration(request.ExpectedUs) * time.Microsecond, Delay: time.Duration(request.DelayUs) * time.Microsecond,
 	}
-	p.fleet.Engines(request.Service, func(s *engine.Set) { s.Report(time.Now(), r) })
+	p.fleet.WithEngines(request.Service, func(s *engine.Set) { s.Report(time.Now(), r) })
 }
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -13,8 +13,8 @@
 	"github.com/coltsfootdrift/coltsfootdrift/routing"
 )
 
-// maxUnsent bounds the servers that are tried without a byte being sent.
-const maxUnsent = 3
+// maxUnsentTries bounds the servers that are tried without a byte being sent.
+const maxUnsentTries = 3
 
 // plainSend is one send of a plain request.
 type plainSend struct {
@@ -24,45 +24,45 @@
 }
 
 // servePlain sends a request to a server of a plain service.
-func (a *attempt) servePlain() {
+func (a *clientRequest) servePlain() {
 	var excluded []routing.ServerIndex
 	for unsent := 0; ; {
-		send, ok := a.pick(excluded)
+		send, ok := a.pickServer(excluded)
 		if !ok {
-			a.refuse("no server", retryLater)
+			a.refuse("no server", longRetryAfter)
 			return
 		}
 		excluded = append(excluded, send.index)
-		answer, err := a.upstream.Send(a.ctx, send.server, a.outgoing(send.server, SendInfo{}))
+		answer, err := a.upstream.Send(a.ctx, send.server, a.outgoingRequest(send.server, SendInfo{}))
 		switch {
-		case errors.Is(err, upstream.ErrNotSent) && !a.left() && !a.late():
-			a.finish(send, routing.Unreachable)
-			a.logFailed(send.server, 0, err)
-			if unsent++; unsent >= maxUnsent {
-				a.refuse("servers are not reached", retrySoon)
+		case errors.Is(err, upstream.ErrNotSent) && !a.clientGone() && !a.expired():
+			a.finishSend(send, routing.Unreachable)
+			a.logSendFailed(send.server, 0, err)
+			if unsent++; unsent >= maxUnsentTries {
+				a.refuse("servers are not reached", shortRetryAfter)
 				return
 			}
 			continue
 		case err != nil:
 			a.sends++
-			if a.unanswered(send, err) {
+			if a.handlePlainSendError(send, err) {
 				return
 			}
 			continue
 		}
 		a.sends++
-		if a.plainAnswer(send, answer) {
+		if a.handlePlainAnswer(send, answer) {
 			return
 		}
 	}
 }
 
-// pick chooses a server and counts the call.
-func (a *attempt) pick(excluded []routing.ServerIndex) (send plainSend, ok bool) {
+// pickServer chooses a server and counts the call.
+func (a *clientRequest) pickServer(excluded []routing.ServerIndex) (send plainSend, ok bool) {
 	now := time.Now()
 	var id string
-	a.fleet.Pool(a.service.Name, func(pool *routing.Pool, random *rand.Rand) {
-		if send.index, ok = pool.Pick(now, random, plainQuery(a.remaining(), excluded)); ok {
+	a.fleet.WithPool(a.service.Name, func(pool *routing.Pool, random *rand.Rand) {
+		if send.index, ok = pool.Pick(now, random, newPlainQuery(a.remaining(), excluded)); ok {
 			id = pool.ID(send.index)
 			pool.Started(send.index, pipeline.ClassInteractive, now)
 		}
@@ -73,7 +73,7 @@
 	send.started = now
 	server, known := a.fleet.Server(id)
 	if !known {
-		a.finish(send, routing.Refused)
+		a.finishSend(send, routing.Refused)
 		return send, false
 	}
 	send.server = server
@@ -82,15 +82,15 @@
 	return send, true
 }
 
-// finish ends the count of a call.
-func (a *attempt) finish(send plainSend, outcome routing.Outcome) {
+// finishSend ends the count of a call.
+func (a *clientRequest) finishSend(send plainSend, outcome routing.Outcome) {
 	now := time.Now()
-	a.fleet.Pool(a.service.Name, func(pool *routing.Pool, _ *rand.Rand) {
+	a.fleet.WithPool(a.service.Name, func(pool *routing.Pool, _ *rand.Rand) {
 		pool.Finished(send.index, pipeline.ClassInteractive, routing.Result{Outcome: outcome, Latency: now.Sub(send.started)}, now)
 	})
 }
 
-func (a *attempt) logFailed(server upstream.Server, status int, err error) {
+func (a *clientRequest) logSendFailed(server upstream.Server, status int, err error) {
 	attrs := []slog.Attr{slog.String("server", server.ID), slog.Int("status", status)}
 	if err != nil {
 		attrs = append(attrs, slog.Any("error", err))
@@ -98,73 +98,73 @@
 	a.log(events.AttemptFailed, attrs...)
 }
 
-// unanswered handles a send without a whole answer. It returns true when the
+// handlePlainSendError handles a send without a whole answer. It returns true when the
 // request is answered.
-func (a *attempt) unanswered(send plainSend, err error) bool {
-	if a.left() || a.late() {
-		a.finish(send, routing.Abandoned)
-		a.ended()
+func (a *clientRequest) handlePlainSendError(send plainSend, err error) bool {
+	if a.clientGone() || a.expired() {
+		a.finishSend(send, routing.Abandoned)
+		a.endUnanswered()
 		return true
 	}
 	a.mayHaveRun = true
-	a.finish(send, routing.Failed)
-	a.logFailed(send.server, 0, err)
-	if a.route.Repeatable() && a.mayRepeat() {
+	a.finishSend(send, routing.Failed)
+	a.logSendFailed(send.server, 0, err)
+	if a.route.Repeatable() && a.mayRetry() {
 		return false
 	}
 	a.fail(http.StatusBadGateway, "no answer from the backend server", err)
 	return true
 }
 
-// plainAnswer handles an answer. It returns true when the request is answered.
-func (a *attempt) plainAnswer(send plainSend, answer *upstream.Answer) bool {
+// handlePlainAnswer handles an answer. It returns true when the request is answered.
+func (a *clientRequest) handlePlainAnswer(send plainSend, answer *upstream.Answer) bool {
 	defer answer.Close()
 	info := a.protocol.ReadAnswer(answer.Status, answer.Header)
 	if info.Load != nil {
-		a.fleet.Pool(a.service.Name, func(pool *routing.Pool, _ *rand.Rand) { pool.Report(send.index, *info.Load, time.Now()) })
+		a.fleet.WithPool(a.service.Name, func(pool *routing.Pool, _ *rand.Rand) { pool.Report(send.index, *info.Load, time.Now()) })
 	}
 	if info.NotRun {
-		a.finish(send, routing.Refused)
-		a.logFailed(send.server, answer.Status, nil)
-		if a.mayRepeat() {
+		a.finishSend(send, routing.Refused)
+		a.logSendFailed(send.server, answer.Status, nil)
+		if a.mayRetry() {
 			return false
 		}
-		a.refuse("servers are full", retryLater)
+		a.refuse("servers are full", longRetryAfter)
 		return true
 	}
 	a.mayHaveRun = true
 	if answer.Status >= http.StatusInternalServerError {
-		a.finish(send, routing.Failed)
-		a.logFailed(send.server, answer.Status, nil)
-		if a.route.Repeatable() && a.mayRepeat() {
+		a.finishSend(send, routing.Failed)
+		a.logSendFailed(send.server, answer.Status, nil)
+		if a.route.Repeatable() && a.mayRetry() {
 			return false
 		}
 	} else {
-		a.finish(send, routing.Answered)
+		a.finishSend(send, routing.Answered)
 	}
-	if promises(answer.Status) {
+	if impliesNotRun(answer.Status) {
 		a.fail(http.StatusBadGateway, "backend server refused without saying that it did not run", nil)
 		return true
 	}
-	err := a.deliver(answer, send.server.ID)
+	err := a.forwardAnswer(answer, send.server.ID)
 	if err == nil {
 		return true
 	}
-	if a.left() || a.late() {
-		a.ended()
+	if a.clientGone() || a.expired() {
+		a.endUnanswered()
 		return true
 	}
-	a.logFailed(send.server, answer.Status, err)
-	if a.route.Repeatable() && a.mayRepeat() {
+	a.logSendFailed(send.server, answer.Status, err)
+	if a.route.Repeatable() && a.mayRetry() {
 		return false
 	}
 	a.fail(http.StatusBadGateway, "answer of the backend server broke off", err)
 	return true
 }
 
-// promises reports whether a status tells clients that a request has not run. A
+// impliesNotRun reports whether a status tells clients that a request has not run. A
 // server that does not promise it itself may have run the request.
-func promises(status int) bool {
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
--- a/internal/gateway/plain_test.go
+++ b/internal/gateway/plain_test.go
@@ -19,9 +19,9 @@
 // against headers that concern one connection only.
 func TestRequestsAreForwardedUnchanged(t *testing.T) {
 	c := qt.New(t)
-	w := plain(c, route.NonIdempotent)
+	w := newPlainFixture(c, route.NonIdempotent)
 	var seen recorder
-	w.backend("x", func(rw http.ResponseWriter, r *http.Request) {
+	w.addServer("x", func(rw http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		seen.add(strings.Join([]string{r.Method, r.RequestURI, r.Host, string(body), r.Header.Get("Other"), r.Header.Get("Drop"), r.Header.Get("Key"), r.Header.Get("Server")}, "|"))
 		rw.Header().Set("Signature", "sig")
@@ -41,10 +41,10 @@
 // had no answer.
 func TestNonIdempotentRequestsAreSentOnce(t *testing.T) {
 	c := qt.New(t)
-	w := plain(c, route.NonIdempotent)
+	w := newPlainFixture(c, route.NonIdempotent)
 	var seen recorder
 	for range 2 {
-		w.backend("x", func(rw http.ResponseWriter, r *http.Request) { seen.add(""); cut(rw, r) })
+		w.addServer("x", func(rw http.ResponseWriter, r *http.Request) { seen.add(""); abortConnection(rw, r) })
 	}
 	w.start()
 	response, _, err := w.do("POST", "/p/", "b")
@@ -56,12 +56,12 @@
 // Guards against an idempotent request that fails with its first server.
 func TestIdempotentRequestsAreRepeatedAtAnotherServer(t *testing.T) {
 	c := qt.New(t)
-	w := plain(c, route.Idempotent)
+	w := newPlainFixture(c, route.Idempotent)
 	var seen recorder
 	for range 2 {
-		w.backend("x", func(rw http.ResponseWriter, r *http.Request) {
+		w.addServer("x", func(rw http.ResponseWriter, r *http.Request) {
 			if seen.add(r.Header.Get("Server")) == 1 {
-				cut(rw, r)
+				abortConnection(rw, r)
 			}
 			_, _ = io.WriteString(rw, "second")
 		})
@@ -78,10 +78,10 @@
 // time to come back.
 func TestRefusedRequestsAreToldWhenToComeBack(t *testing.T) {
 	c := qt.New(t)
-	w := plain(c, route.NonIdempotent)
+	w := newPlainFixture(c, route.NonIdempotent)
 	var seen recorder
 	for range 4 {
-		w.backend("x", func(rw http.ResponseWriter, _ *http.Request) {
+		w.addServer("x", func(rw http.ResponseWriter, _ *http.Request) {
 			seen.add("")
 			rw.Header().Set("Not-Run", "full")
 			rw.WriteHeader(http.StatusServiceUnavailable)
@@ -99,8 +99,8 @@
 // run it gives none.
 func TestUnpromisedRefusalsAreNotPassedOn(t *testing.T) {
 	c := qt.New(t)
-	w := plain(c, route.NonIdempotent)
-	w.backend("x", func(rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(http.StatusServiceUnavailable) })
+	w := newPlainFixture(c, route.NonIdempotent)
+	w.addServer("x", func(rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(http.StatusServiceUnavailable) })
 	w.start()
 	response, _, err := w.do("POST", "/p/", "b")
 	c.Assert(err, qt.IsNil)
@@ -121,14 +121,14 @@
 	}
 	for _, test := range []struct {
 		name  string
-		world func(*qt.C) *world
+		world func(*qt.C) *fixture
 		first http.HandlerFunc
 	}{
-		{"plain, cut off", func(c *qt.C) *world { return plain(c, route.Idempotent) }, cut},
-		{"plain, failed", func(c *qt.C) *world { return plain(c, route.Idempotent) }, failing},
-		{"plain, short answer", func(c *qt.C) *world { return plain(c, route.Idempotent) }, short},
-		{"stream, cut off", func(c *qt.C) *world { return generating(c, true) }, cut},
-		{"stream, failed", func(c *qt.C) *world { return generating(c, true) }, failing},
+		{"plain, cut off", func(c *qt.C) *fixture { return newPlainFixture(c, route.Idempotent) }, abortConnection},
+		{"plain, failed", func(c *qt.C) *fixture { return newPlainFixture(c, route.Idempotent) }, failing},
+		{"plain, short answer", func(c *qt.C) *fixture { return newPlainFixture(c, route.Idempotent) }, short},
+		{"stream, cut off", func(c *qt.C) *fixture { return newEngineFixture(c, true) }, abortConnection},
+		{"stream, failed", func(c *qt.C) *fixture { return newEngineFixture(c, true) }, failing},
 	} {
 		for _, second := range []struct {
 			name   string
@@ -146,9 +146,9 @@
 					}
 					second.handle(rw, r)
 				}
-				w.backend("x", handle)
+				w.addServer("x", handle)
 				if second.handle != nil {
-					w.backend("x", handle)
+					w.addServer("x", handle)
 				}
 				w.start()
 				response, _, err := w.do("GET", "/p/", "")
@@ -165,11 +165,11 @@
 // that are let through without a key.
 func TestAnswersOfTheGateway(t *testing.T) {
 	c := qt.New(t)
-	w := plain(c, route.Idempotent)
+	w := newPlainFixture(c, route.Idempotent)
 	w.config.Routes[0].Public = false
 	w.config.Organisations = []route.Organisation{{Name: "o", Keys: []string{"k"}}}
 	w.config.Limits = route.Limits{BodyBytes: 4, HeaderBytes: 8 << 10, HeaderTimeout: time.Second, IdleTimeout: time.Second}
-	w.backend("x", func(rw http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(rw, r.Header.Get("Organisation")) })
+	w.addServer("x", func(rw http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(rw, r.Header.Get("Organisation")) })
 	w.start()
 	for _, test := range []struct {
 		target, key, body string
@@ -187,7 +187,7 @@
 	response, _, err := w.do("GET", "/p/", "", "Long", strings.Repeat("x", 16<<10))
 	c.Assert(err, qt.IsNil)
 	c.Assert(response.StatusCode, qt.Equals, http.StatusRequestHeaderFieldsTooLarge)
-	empty := &world{c: c}
+	empty := &fixture{c: c}
 	empty.start()
 	response, _, err = empty.do("GET", "/p/", "")
 	c.Assert(err, qt.IsNil)
@@ -198,8 +198,8 @@
 // Guards against a client that waits beyond its deadline or the route's timeout.
 func TestDeadlinesEndRequests(t *testing.T) {
 	c := qt.New(t)
-	w := plain(c, route.Idempotent)
-	w.backend("x", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+	w := newPlainFixture(c, route.Idempotent)
+	w.addServer("x", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 	w.start()
 	started := time.Now()
 	response, _, err := w.do("GET", "/p/", "", "Wait", "100")
@@ -211,8 +211,8 @@
 // Guards against an answer that was cut short but looks whole to the client.
 func TestShortAnswersAreNotPassedOnAsWhole(t *testing.T) {
 	c := qt.New(t)
-	w := plain(c, route.NonIdempotent)
-	w.backend("x", func(rw http.ResponseWriter, _ *http.Request) {
+	w := newPlainFixture(c, route.NonIdempotent)
+	w.addServer("x", func(rw http.ResponseWriter, _ *http.Request) {
 		rw.Header().Set("Content-Length", "10")
 		_, _ = io.WriteString(rw, "half")
 	})
@@ -225,9 +225,9 @@
 // Guards against work that goes on at a server after its client has left.
 func TestLeavingClientsCancelTheirRequests(t *testing.T) {
 	c := qt.New(t)
-	w := plain(c, route.Idempotent)
+	w := newPlainFixture(c, route.Idempotent)
 	started, ended := make(chan struct{}), make(chan struct{})
-	w.backend("x", func(_ http.ResponseWriter, r *http.Request) {
+	w.addServer("x", func(_ http.ResponseWriter, r *http.Request) {
 		close(started)
 		<-r.Context().Done()
 		close(ended)
@@ -251,8 +251,8 @@
 // says so.
 func TestDrainingInstancesServeAndCloseTheirConnections(t *testing.T) {
 	c := qt.New(t)
-	w := plain(c, route.Idempotent)
-	w.backend("x", func(rw http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(rw, "served") })
+	w := newPlainFixture(c, route.Idempotent)
+	w.addServer("x", func(rw http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(rw, "served") })
 	w.start()
 	w.drain.Begin(time.Now())
 	response, body, err := w.do("GET", "/p/", "")
@@ -268,16 +268,16 @@
 	now := time.Now()
 	d := NewDrain(8 * time.Second)
 	c.Assert(d.Admits(true), qt.IsTrue)
-	d.Begin(now.Add(-streamNotice))
+	d.Begin(now.Add(-streamAdmitTime))
 	c.Assert(d.Admits(true), qt.IsFalse)
 	c.Assert(d.Admits(false), qt.IsTrue)
-	began := now.Add(-streamNotice)
-	c.Assert(d.done(began.Add(balancerNotice-1), 0), qt.IsFalse)
-	c.Assert(d.done(began.Add(balancerNotice), 0), qt.IsTrue)
-	c.Assert(d.done(began.Add(balancerNotice), 1), qt.IsFalse)
-	d.open.Add(1)
-	c.Assert(d.done(began.Add(balancerNotice), 0), qt.IsFalse)
-	c.Assert(d.done(began.Add(keptConnections), 0), qt.IsTrue)
+	began := now.Add(-streamAdmitTime)
+	c.Assert(d.done(began.Add(balancerDetectionTime-1), 0), qt.IsFalse)
+	c.Assert(d.done(began.Add(balancerDetectionTime), 0), qt.IsTrue)
+	c.Assert(d.done(began.Add(balancerDetectionTime), 1), qt.IsFalse)
+	d.openConnections.Add(1)
+	c.Assert(d.done(began.Add(balancerDetectionTime), 0), qt.IsFalse)
+	c.Assert(d.done(began.Add(idleConnectionGrace), 0), qt.IsTrue)
 	c.Assert(d.done(began.Add(8*time.Second-exitMargin), 1), qt.IsTrue)
 }
 
@@ -285,10 +285,10 @@
 // against memory that is not given back.
 func TestBodiesAreBounded(t *testing.T) {
 	c := qt.New(t)
-	w := plain(c, route.Idempotent)
-	w.backend("x", func(rw http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(rw, "served") })
+	w := newPlainFixture(c, route.Idempotent)
+	w.addServer("x", func(rw http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(rw, "served") })
 	w.start()
-	c.Assert(w.gateway.bodies.room.TryAcquire(maxBodies-3), qt.IsTrue)
+	c.Assert(w.gateway.bodyMemory.available.TryAcquire(maxBodyMemoryBytes-3), qt.IsTrue)
 	response, _, err := w.do("POST", "/p/", "1234")
 	c.Assert(err, qt.IsNil)
 	c.Assert(response.StatusCode, qt.Equals, http.StatusServiceUnavailable)
@@ -297,17 +297,17 @@
 		c.Assert(err, qt.IsNil)
 		c.Assert(body, qt.Equals, "served")
 	}
-	eventually(c, func() bool { return w.gateway.bodies.room.TryAcquire(3) })
+	eventually(c, func() bool { return w.gateway.bodyMemory.available.TryAcquire(3) })
 }
 
 // Guards against a second request that is hidden in the body of the first one, where
 // the length and the transfer encoding disagree, and against headers that never end.
 func TestHiddenRequestsAreNotRun(t *testing.T) {
 	c := qt.New(t)
-	w := plain(c, route.Idempotent)
+	w := newPlainFixture(c, route.Idempotent)
 	w.config.Limits = route.Limits{HeaderTimeout: 100 * time.Millisecond, IdleTimeout: time.Second, HeaderBytes: 16 << 10, BodyBytes: 1 << 20}
 	var seen recorder
-	w.backend("x", func(_ http.ResponseWriter, r *http.Request) {
+	w.addServer("x", func(_ http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		seen.add(r.RequestURI + " " + string(body))
 	})
@@ -334,7 +334,7 @@
 func TestOrganisationsRankBeforeRoutes(t *testing.T) {
 	c := qt.New(t)
 	first, second := &route.Organisation{Priority: 0, Ranked: true}, &route.Organisation{Priority: 1, Ranked: true}
-	c.Assert(rank(first, &route.Route{Priority: 7}) < rank(second, &route.Route{Priority: 0}), qt.IsTrue)
-	c.Assert(rank(second, &route.Route{Priority: 0}) < rank(second, &route.Route{Priority: 1}), qt.IsTrue)
-	c.Assert(rank(&route.Organisation{}, &route.Route{Priority: 2}), qt.Equals, 2)
+	c.Assert(combinedPriority(first, &route.Route{Priority: 7}) < combinedPriority(second, &route.Route{Priority: 0}), qt.IsTrue)
+	c.Assert(combinedPriority(second, &route.Route{Priority: 0}) < combinedPriority(second, &route.Route{Priority: 1}), qt.IsTrue)
+	c.Assert(combinedPriority(&route.Organisation{}, &route.Route{Priority: 2}), qt.Equals, 2)
 }
--- a/internal/gateway/freer.go
+++ b/internal/gateway/resultfreer.go
@@ -12,38 +12,38 @@
 )
 
 const (
-	// freePause collects results of one producer into one call.
-	freePause   = 4 * time.Millisecond
-	freeTimeout = 500 * time.Millisecond
+	// freeCallDelay collects results of one producer into one call.
+	freeCallDelay   = 4 * time.Millisecond
+	freeCallTimeout = 500 * time.Millisecond
 )
 
-// Freer gives up results at the servers that hold them. A result whose call fails
+// ResultFreer gives up results at the servers that hold them. A result whose call fails
 // ends with its life.
-type Freer struct {
+type ResultFreer struct {
 	protocol Protocol
 	upstream *upstream.Client
-	servers  func(address string) (upstream.Server, bool)
+	serverAt func(address string) (upstream.Server, bool)
 	logger   *slog.Logger
 
 	mu      sync.Mutex
-	pending map[string]*freeing
+	pending map[string]*pendingFree
 }
 
-// freeing is the results that one producer is about to give up.
-type freeing struct {
+// pendingFree is the results that one producer is about to give up.
+type pendingFree struct {
 	results []string
-	// done are told once the producer has given them up.
-	done []func()
+	// onFreed are told once the producer has given them up.
+	onFreed []func()
 }
 
-// NewFreer returns a Freer that finds servers by their address.
-func NewFreer(protocol Protocol, client *upstream.Client, servers func(address string) (upstream.Server, bool), logger *slog.Logger) *Freer {
-	return &Freer{protocol: protocol, upstream: client, servers: servers, logger: logger, pending: map[string]*freeing{}}
+// NewResultFreer returns a Freer that finds servers by their address.
+func NewResultFreer(protocol Protocol, client *upstream.Client, servers func(address string) (upstream.Server, bool), logger *slog.Logger) *ResultFreer {
+	return &ResultFreer{protocol: protocol, upstream: client, serverAt: servers, logger: logger, pending: map[string]*pendingFree{}}
 }
 
 // Free gives up results soon. Done is called for each producer with those that it has
 // given up.
-func (f *Freer) Free(results []string, done func(freed []string)) {
+func (f *ResultFreer) Free(results []string, done func(freed []string)) {
 	byProducer := map[string][]string{}
 	for _, result := range results {
 		producer := f.protocol.Producer(result)
@@ -54,34 +54,34 @@
 	for producer, own := range byProducer {
 		waiting := f.pending[producer]
 		if waiting == nil {
-			waiting = &freeing{}
+			waiting = &pendingFree{}
 			f.pending[producer] = waiting
-			time.AfterFunc(freePause, func() { f.flush(producer) })
+			time.AfterFunc(freeCallDelay, func() { f.flush(producer) })
 		}
 		waiting.results = append(waiting.results, own...)
-		waiting.done = append(waiting.done, func() { done(own) })
+		waiting.onFreed = append(waiting.onFreed, func() { done(own) })
 	}
 }
 
-func (f *Freer) flush(producer string) {
+func (f *ResultFreer) flush(producer string) {
 	f.mu.Lock()
 	waiting := f.pending[producer]
 	delete(f.pending, producer)
 	f.mu.Unlock()
 	// Without a server its results are gone with it.
-	if server, ok := f.servers(producer); ok {
+	if server, ok := f.serverAt(producer); ok {
 		if err := f.send(server, waiting.results); err != nil {
 			events.FreeFailed.Log(context.Background(), f.logger, slog.String("server", server.ID), slog.Int("results", len(waiting.results)), slog.Any("error", err))
 			return
 		}
 	}
-	for _, done := range waiting.done {
+	for _, done := range waiting.onFreed {
 		done()
 	}
 }
 
-func (f *Freer) send(server upstream.Server, results []string) error {
-	ctx, cancel := context.WithTimeout(context.Background(), freeTimeout)
+func (f *ResultFreer) send(server upstream.Server, results []string) error {
+	ctx, cancel := context.WithTimeout(context.Background(), freeCallTimeout)
 	defer cancel()
 	request, err := f.protocol.FreeCall(server, results)
 	if err != nil {
--- a/internal/gateway/servicequeue.go
+++ b/internal/gateway/servicequeue.go
@@ -17,9 +17,9 @@
 	jobs  map[stagework.JobID]*stageJob
 	// pending holds the jobs that a peer will await again.
 	pending map[stagework.JobID]*stageJob
-	last    stagework.JobID
-	// reviewing is true while a review of waiting jobs is scheduled.
-	reviewing bool
+	lastID  stagework.JobID
+	// expiryScheduled is true while a review of waiting jobs is scheduled.
+	expiryScheduled bool
 }
 
 // stageJob is a job with what its pieces need.
@@ -30,10 +30,10 @@
 	// fetched is closed when the inputs may be freed. It is nil when the requester
 	// does not ask for that.
 	fetched chan struct{}
-	// told is true once the requester knows. Only the call that awaits the job uses it.
-	told bool
-	// abandoned cancels the job unless it is awaited again in time.
-	abandoned *time.Timer
+	// fetchReported is true once the requester knows. Only the call that awaits the job uses it.
+	fetchReported bool
+	// abandonTimer cancels the job unless it is awaited again in time.
+	abandonTimer *time.Timer
 }
 
 func newServiceQueue(service string) *serviceQueue {
@@ -43,9 +43,9 @@
 	}
 }
 
-// tell adds to a response how long a new piece waits and whether memory for results
+// addQueueState adds to a response how long a new piece waits and whether memory for results
 // is short.
-func (w *serviceQueue) tell(response *peerpb.RunStageResponse) *peerpb.RunStageResponse {
+func (w *serviceQueue) addQueueState(response *peerpb.RunStageResponse) *peerpb.RunStageResponse {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
@@ -53,9 +53,9 @@
 	return response
 }
 
-// begun schedules the message that the inputs of jobs were fetched. It is called with
+// scheduleInputsFetched schedules the message that the inputs of jobs were fetched. It is called with
 // the lock held.
-func (w *serviceQueue) begun(call stagework.Call) {
+func (w *serviceQueue) scheduleInputsFetched(call stagework.Call) {
 	for _, id := range call.Begun {
 		job := w.jobs[id]
 		if job == nil || !job.request.TellFetched {
@@ -71,27 +71,27 @@
 	}
 }
 
-// offer puts a job into the queue, or returns why it is refused.
-func (w *serviceQueue) offer(now time.Time, job *stageJob) (stagework.JobID, stagework.Refusal) {
+// enqueue puts a job into the queue, or returns why it is refused.
+func (w *serviceQueue) enqueue(now time.Time, job *stageJob) (stagework.JobID, stagework.Refusal) {
 	r := job.request
 	job.deadline = now.Add(time.Duration(r.DeadlineMs) * time.Millisecond)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.last++
+	w.lastID++
 	pieces := make([]int, len(r.Pieces))
 	for i, p := range r.Pieces {
 		pieces[i] = int(p)
 	}
 	refusal, ok := w.queue.Offer(now, stagework.Job{
-		ID: w.last, Pieces: pieces, ResultBytes: r.ResultBytes, Priority: int(r.Priority),
+		ID: w.lastID, Pieces: pieces, ResultBytes: r.ResultBytes, Priority: int(r.Priority),
 		Due:      now.Add(time.Duration(r.DueMs) * time.Millisecond),
 		Deadline: job.deadline, FailureDomain: r.FailureDomain, Started: r.Started, InputBytes: r.InputBytes,
 	})
 	if !ok {
 		return 0, refusal
 	}
-	w.jobs[w.last] = job
-	return w.last, ""
+	w.jobs[w.lastID] = job
+	return w.lastID, ""
 }
 
 // pieces returns what a call sends. It is called with the lock held.
--- a/internal/gateway/reread.go
+++ b/internal/gateway/settingswatcher.go
@@ -11,10 +11,10 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/settings"
 )
 
-// rereader follows the settings file. Addresses and names hold from the start to
+// settingsWatcher follows the settings file. Addresses and names hold from the start to
 // the end of a process, so a change of them is reported and takes effect with the
 // next start.
-type rereader struct {
+type settingsWatcher struct {
 	path   string
 	logger *slog.Logger
 
@@ -23,17 +23,17 @@
 	current settings.Gateway
 }
 
-func newRereader(path string, s settings.Gateway, logger *slog.Logger) *rereader {
+func newSettingsWatcher(path string, s settings.Gateway, logger *slog.Logger) *settingsWatcher {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		events.SettingsInvalid.Log(context.Background(), logger, slog.Any("error", err))
 	}
-	return &rereader{path: path, logger: logger, data: data, current: s}
+	return &settingsWatcher{path: path, logger: logger, data: data, current: s}
 }
 
 // check reads the file again and reports a change, with always also an unchanged
 // file.
-func (r *rereader) check(always bool) {
+func (r *settingsWatcher) check(always bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	data, err := os.ReadFile(r.path)
--- a/internal/gateway/stagecalls.go
+++ b/internal/gateway/stagecalls.go
@@ -10,8 +10,8 @@
 	"github.com/coltsfootdrift/coltsfootdrift/stagework"
 )
 
-// pump starts the calls that can be made now.
-func (s *StageCaller) pump(w *serviceQueue) {
+// startCalls starts the calls that can be made now.
+func (s *StageScheduler) startCalls(w *serviceQueue) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for {
@@ -19,37 +19,37 @@
 		if !ok {
 			return
 		}
-		w.begun(call)
-		go s.call(w, call, w.pieces(call, time.Now()))
+		w.scheduleInputsFetched(call)
+		go s.runCall(w, call, w.pieces(call, time.Now()))
 	}
 }
 
-// call makes one call and takes its outcome.
-func (s *StageCaller) call(w *serviceQueue, call stagework.Call, pieces []Piece) {
+// runCall makes one call and takes its outcome.
+func (s *StageScheduler) runCall(w *serviceQueue, call stagework.Call, pieces []Piece) {
 	started := time.Now()
-	outcomes, err := s.exchange(call, pieces)
+	outcomes, err := s.sendCall(call, pieces)
 	s.calls.Inc(1)
 	s.callTime.Record(time.Since(started))
 	attrs := []slog.Attr{
 		slog.String("service", w.service), slog.String("server", call.Server), slog.Int("pieces", len(pieces)), slog.Int("crossing", call.Crossing),
 		slog.Int("waiting", call.Waiting), slog.Int64("room_left", call.RoomLeft),
-		slog.Int64("took_ms", time.Since(started).Milliseconds()), slog.String("outcome", summary(outcomes)),
+		slog.Int64("took_ms", time.Since(started).Milliseconds()), slog.String("outcome", worstOutcome(outcomes)),
 	}
 	if err != nil {
-		s.refused.Inc(1)
+		s.callsFailed.Inc(1)
 		attrs = append(attrs, slog.Any("error", err))
 	}
 	events.StageCallEnded.Log(context.Background(), s.logger, attrs...)
 	w.mu.Lock()
 	effects := w.queue.Finished(time.Now(), call.ID, outcomes)
 	w.mu.Unlock()
-	s.apply(w, effects)
-	s.pump(w)
+	s.applyEffects(w, effects)
+	s.startCalls(w)
 }
 
-// exchange sends a call and reads its outcomes, of which there is always one for
+// sendCall sends a call and reads its outcomes, of which there is always one for
 // each piece.
-func (s *StageCaller) exchange(call stagework.Call, pieces []Piece) ([]stagework.Outcome, error) {
+func (s *StageScheduler) sendCall(call stagework.Call, pieces []Piece) ([]stagework.Outcome, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), call.Timeout)
 	defer cancel()
 	server, ok := s.fleet.Server(call.Server)
@@ -65,7 +65,7 @@
 		return stagework.SameOutcome(stagework.Failed, len(pieces)), err
 	}
 	defer answer.Close()
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maxStageAnswer))
+	body, err := io.ReadAll(io.LimitReader(answer.Body, maxStageAnswerBytes))
 	if err != nil {
 		return stagework.SameOutcome(stagework.Failed, len(pieces)), err
 	}
@@ -76,8 +76,8 @@
 	return outcomes, nil
 }
 
-// summary names the worst outcome of a call.
-func summary(outcomes []stagework.Outcome) string {
+// worstOutcome names the worst outcome of a call.
+func worstOutcome(outcomes []stagework.Outcome) string {
 	worst := stagework.Produced
 	for _, o := range outcomes {
 		worst = max(worst, o.Status)
--- a/internal/gateway/chain.go
+++ b/internal/gateway/stagerun.go
@@ -11,8 +11,8 @@
 	"github.com/coltsfootdrift/coltsfootdrift/stagework"
 )
 
-// Chain is the stages of one request.
-type Chain struct {
+// StagePlan is the stages of one request.
+type StagePlan struct {
 	RequestID string
 	Key       string
 	Table     *route.Table
@@ -28,40 +28,40 @@
 	DomainOf func(result string) string
 }
 
-// run is the state of a chain.
-type run struct {
-	*Stages
-	Chain
-	done    []chan struct{}
+// stageRun is the state of a chain.
+type stageRun struct {
+	*StageRunner
+	StagePlan
+	ended   []chan struct{}
 	mu      sync.Mutex
 	results [][]string
-	// users counts the stages that still need the results of each stage.
-	users []int
-	// released holds the stages whose inputs are not needed any more.
-	released []bool
-	progress *stagework.Progress
+	// consumers counts the stages that still need the results of each stage.
+	consumers []int
+	// inputsFreed holds the stages whose inputs are not needed any more.
+	inputsFreed []bool
+	progress    *stagework.Progress
 	// changed is closed and replaced whenever a stage ends.
 	changed chan struct{}
 }
 
 // Run runs all stages and returns the handles of the final results. After an error
 // nothing is held.
-func (s *Stages) Run(ctx context.Context, chain Chain) ([]string, error) {
+func (s *StageRunner) Run(ctx context.Context, chain StagePlan) ([]string, error) {
 	n := len(chain.Route.Stages)
-	r := &run{
-		Stages: s, Chain: chain, done: make([]chan struct{}, n), results: make([][]string, n), users: make([]int, n), released: make([]bool, n),
+	r := &stageRun{
+		StageRunner: s, StagePlan: chain, ended: make([]chan struct{}, n), results: make([][]string, n), consumers: make([]int, n), inputsFreed: make([]bool, n),
 		progress: stagework.NewProgress(chain.Graph.After, chain.Graph.Counts), changed: make(chan struct{}),
 	}
 	for i := range n {
-		r.done[i] = make(chan struct{})
+		r.ended[i] = make(chan struct{})
 		for _, j := range chain.Graph.After[i] {
-			r.users[j]++
+			r.consumers[j]++
 		}
 	}
 	group, groupCtx := errgroup.WithContext(ctx)
 	for i, count := range chain.Graph.Counts {
 		if count > 0 {
-			group.Go(func() error { return r.stage(groupCtx, i) })
+			group.Go(func() error { return r.runStage(groupCtx, i) })
 		}
 	}
 	if err := group.Wait(); err != nil {
@@ -77,12 +77,12 @@
 	return final, nil
 }
 
-// stage waits for the inputs of a stage and runs it.
-func (r *run) stage(ctx context.Context, i int) error {
+// runStage waits for the inputs of a stage and runs it.
+func (r *stageRun) runStage(ctx context.Context, i int) error {
 	var inputs []string
 	for _, j := range r.Graph.After[i] {
 		select {
-		case <-r.done[j]:
+		case <-r.ended[j]:
 			r.mu.Lock()
 			inputs = append(inputs, r.results[j]...)
 			r.mu.Unlock()
@@ -90,37 +90,37 @@
 			return ctx.Err()
 		}
 	}
-	if err := r.delay(ctx, i); err != nil {
+	if err := r.waitToStart(ctx, i); err != nil {
 		return err
 	}
 	started := time.Now()
-	results, err := r.ask(ctx, i, inputs)
+	results, err := r.requestStage(ctx, i, inputs)
 	if err != nil {
 		return err
 	}
-	r.typical.learn(r.Route.Stages[i].Service, time.Since(started))
+	r.stageTimes.observe(r.Route.Stages[i].Service, time.Since(started))
 	r.mu.Lock()
 	r.results[i] = results
 	r.progress.End(i)
 	close(r.changed)
 	r.changed = make(chan struct{})
 	r.mu.Unlock()
-	r.release(i)
-	close(r.done[i])
+	r.freeInputsOf(i)
+	close(r.ended[i])
 	return nil
 }
 
-// release frees the inputs of a stage that no other stage needs. It may be called
+// freeInputsOf frees the inputs of a stage that no other stage needs. It may be called
 // more than once.
-func (r *run) release(i int) {
+func (r *stageRun) freeInputsOf(i int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.released[i] {
+	if r.inputsFreed[i] {
 		return
 	}
-	r.released[i] = true
+	r.inputsFreed[i] = true
 	for _, j := range r.Graph.After[i] {
-		if r.users[j]--; r.users[j] == 0 {
+		if r.consumers[j]--; r.consumers[j] == 0 {
 			r.Free(r.Route.Stages[j].Service, r.results[j])
 			r.results[j] = nil
 		}
@@ -128,16 +128,16 @@
 }
 
 // typicalTimes returns the typical duration of each stage at this moment.
-func (r *run) typicalTimes() []time.Duration {
+func (r *stageRun) typicalTimes() []time.Duration {
 	times := make([]time.Duration, len(r.Route.Stages))
 	for i, stage := range r.Route.Stages {
-		times[i] = r.Typical(r.Table, stage.Service)
+		times[i] = r.TypicalTime(r.Table, stage.Service)
 	}
 	return times
 }
 
-// delay waits while a stage need not start yet, and records its start.
-func (r *run) delay(ctx context.Context, i int) error {
+// waitToStart waits while a stage need not start yet, and records its start.
+func (r *stageRun) waitToStart(ctx context.Context, i int) error {
 	for {
 		typical := r.typicalTimes()
 		r.mu.Lock()
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -13,28 +13,28 @@
 	"github.com/coltsfootdrift/coltsfootdrift/route"
 )
 
-// generation is a request to a model server.
-type generation struct {
-	*attempt
+// generateRequest is a request to a model server.
+type generateRequest struct {
+	*clientRequest
 	graph route.Graph
-	// domain is the failure domain in which the inputs are made.
-	domain string
+	// inputDomain is the failure domain in which the inputs are made.
+	inputDomain string
 	// inputs are the final results of the stages while they are held.
-	inputs  []string
-	tried   []string
-	unsent  int
-	remade  int
-	lastID  string
-	started bool
-	events  int
+	inputs      []string
+	tried       []string
+	unsentTries int
+	stageReruns int
+	lastID      string
+	streaming   bool
+	eventsSent  int
 }
 
-// maxRemade bounds how often lost results are made again.
-const maxRemade = 1
+// maxStageReruns bounds how often lost results are made again.
+const maxStageReruns = 1
 
 // serveEngine runs the stages of a request and sends it to a model server.
-func (a *attempt) serveEngine() {
-	g := &generation{attempt: a, graph: a.route.NewGraph(a.demand.PieceCounts), lastID: a.demand.LastEventID}
+func (a *clientRequest) serveEngine() {
+	g := &generateRequest{clientRequest: a, graph: a.route.NewGraph(a.requestInfo.PieceCounts), lastID: a.requestInfo.LastEventID}
 	defer g.freeInputs()
 	for !g.try() {
 	}
@@ -42,143 +42,143 @@
 
 // try runs the stages and sends the request to one server. It returns true when the
 // request has its answer.
-func (g *generation) try() bool {
-	if ready, ended := g.prepare(); !ready {
+func (g *generateRequest) try() bool {
+	if ready, ended := g.prepareInputs(); !ready {
 		return ended
 	}
 	if !g.producersLive() {
-		return g.remake("a producer of inputs has left")
+		return g.rerunStages("a producer of inputs has left")
 	}
 	inputs := g.inputsByDomain()
-	placed, ok := g.placer.Place(g.ctx, g.demand.ID, g.service.Name, engine.Query{
-		Prompt: g.demand.Prompt, InputBytes: inputs, Excluded: g.tried,
+	placed, ok := g.placer.Place(g.ctx, g.requestInfo.ID, g.service.Name, engine.Query{
+		Prompt: g.requestInfo.Prompt, InputBytes: inputs, Excluded: g.tried,
 	})
 	if !ok {
-		return g.giveUp("no server", retryLater, nil)
+		return g.giveUp("no server", longRetryAfter, nil)
 	}
 	g.tried = append(g.tried, placed.Server)
 	target, known := g.fleet.Server(placed.Server)
 	if !known {
 		return false // it left in this moment
 	}
-	urgency := min(maxUrgency, g.priority+firstUrgency)
+	urgency := min(maxUrgency, g.priority+baseUrgency)
 	sent := time.Now()
 	g.log(events.AttemptSent, slog.String("server", placed.Server), slog.String("route", g.route.Name), slog.Int("try", len(g.tried)),
 		slog.Int64("left_ms", g.remaining().Milliseconds()), slog.Int("inputs", len(g.inputs)), slog.Int64("expected_ms", placed.Expected.Milliseconds()),
-		slog.String("copy_from", placed.CopyFrom), slog.Int64("crossing_bytes", crossing(inputs, placed.FailureDomain)),
+		slog.String("copy_from", placed.CopyFrom), slog.Int64("crossing_bytes", crossDomainBytes(inputs, placed.FailureDomain)),
 		slog.Int64("view", g.viewVersion()))
 	source, _ := g.fleet.Server(placed.CopyFrom)
-	request := g.outgoing(target, SendInfo{Urgency: &urgency, Inputs: g.inputs, LastEventID: g.lastID, CopyFrom: source.Address})
-	stop := g.freeFetched()
+	request := g.outgoingRequest(target, SendInfo{Urgency: &urgency, Inputs: g.inputs, LastEventID: g.lastID, CopyFrom: source.Address})
+	stop := g.freeInputsWhenFetched()
 	answer, err := g.upstream.Send(g.ctx, target, request)
 	freed := stop()
 	if err != nil {
-		return g.sendFailed(placed, err)
+		return g.handleSendError(placed, err)
 	}
 	g.sends++
 	defer answer.Close()
 	info := g.protocol.ReadAnswer(answer.Status, answer.Header)
 	if freed {
-		g.fetches.learn(g.service.Name, !info.InputsLost)
+		g.fetchEstimates.record(g.service.Name, !info.InputsLost)
 	}
-	return g.answer(placed, answer, info, sent)
+	return g.handleAnswer(placed, answer, info, sent)
 }
 
 // Urgencies of model servers: 0 is first and 5 is the default of other callers.
 const (
-	firstUrgency = 3
-	maxUrgency   = 9
+	baseUrgency = 3
+	maxUrgency  = 9
 )
 
 // giveUp ends the request, whose last send did not run.
-func (g *generation) giveUp(reason string, retry time.Duration, err error) bool {
+func (g *generateRequest) giveUp(reason string, retry time.Duration, err error) bool {
 	switch {
-	case g.started:
-		g.broken(errors.Join(errors.New(reason), err))
-	case g.left() || g.late():
-		g.ended()
+	case g.streaming:
+		g.abort(errors.Join(errors.New(reason), err))
+	case g.clientGone() || g.expired():
+		g.endUnanswered()
 	default:
 		g.refuse(reason, retry)
 	}
 	return true
 }
 
-// sendFailed handles a send without an answer.
-func (g *generation) sendFailed(placed engine.Placement, err error) bool {
-	if g.left() || g.late() {
-		return g.end()
+// handleSendError handles a send without an answer.
+func (g *generateRequest) handleSendError(placed engine.Placement, err error) bool {
+	if g.clientGone() || g.expired() {
+		return g.endIncomplete()
 	}
 	g.placer.Report(g.service.Name, engine.Report{Server: placed.Server, Failed: true})
-	g.logFailed(upstream.Server{ID: placed.Server}, 0, err)
+	g.logSendFailed(upstream.Server{ID: placed.Server}, 0, err)
 	if errors.Is(err, upstream.ErrNotSent) {
-		if g.unsent++; g.unsent >= maxUnsent {
-			return g.giveUp("servers are not reached", retrySoon, err)
+		if g.unsentTries++; g.unsentTries >= maxUnsentTries {
+			return g.giveUp("servers are not reached", shortRetryAfter, err)
 		}
 		return false
 	}
 	g.sends++
-	return g.unanswered(err)
+	return g.resumeOrFail(err)
 }
 
-// end answers a request whose client left or whose deadline has passed.
-func (g *generation) end() bool {
-	if g.started && !g.left() {
-		g.broken(errDeadline)
+// endIncomplete answers a request whose client left or whose deadline has passed.
+func (g *generateRequest) endIncomplete() bool {
+	if g.streaming && !g.clientGone() {
+		g.abort(errDeadlinePassed)
 	}
-	g.ended()
+	g.endUnanswered()
 	return true
 }
 
-// unanswered handles a broken send: another server goes on where the kind allows
+// resumeOrFail handles a broken send: another server goes on where the kind allows
 // it.
-func (g *generation) unanswered(err error) bool {
+func (g *generateRequest) resumeOrFail(err error) bool {
 	g.mayHaveRun = true
-	if g.route.Repeatable() && g.mayRepeat() {
-		if g.started {
-			g.counts.resumed.Inc(1)
-			g.log(events.StreamResumed, slog.String("after", g.lastID), slog.Int("events", g.events))
+	if g.route.Repeatable() && g.mayRetry() {
+		if g.streaming {
+			g.metrics.resumed.Inc(1)
+			g.log(events.StreamResumed, slog.String("after", g.lastID), slog.Int("events", g.eventsSent))
 		}
 		return false
 	}
-	if g.started {
-		g.broken(err)
+	if g.streaming {
+		g.abort(err)
 	}
 	g.fail(http.StatusBadGateway, "no answer from the model server", err)
 	return true
 }
 
-// answer handles an answer of a model server.
-func (g *generation) answer(placed engine.Placement, answer *upstream.Answer, info AnswerInfo, sent time.Time) bool {
+// handleAnswer handles an answer of a model server.
+func (g *generateRequest) handleAnswer(placed engine.Placement, answer *upstream.Answer, info AnswerInfo, sent time.Time) bool {
 	switch {
 	case info.InputsLost:
-		g.logFailed(upstream.Server{ID: placed.Server}, answer.Status, nil)
+		g.logSendFailed(upstream.Server{ID: placed.Server}, answer.Status, nil)
 		g.sends--
 		g.tried = g.tried[:len(g.tried)-1]
-		return g.remake("inputs were lost")
+		return g.rerunStages("inputs were lost")
 	case info.NotRun:
 		g.placer.Report(g.service.Name, engine.Report{Server: placed.Server, Refused: true})
-		g.logFailed(upstream.Server{ID: placed.Server}, answer.Status, nil)
-		if g.mayRepeat() {
+		g.logSendFailed(upstream.Server{ID: placed.Server}, answer.Status, nil)
+		if g.mayRetry() {
 			return false
 		}
-		return g.giveUp("servers are full", retryLater, nil)
+		return g.giveUp("servers are full", longRetryAfter, nil)
 	}
 	g.mayHaveRun = true
 	if answer.Status == http.StatusOK {
 		return g.relay(placed, answer, sent)
 	}
 	g.placer.Report(g.service.Name, engine.Report{Server: placed.Server, Failed: true})
-	g.logFailed(upstream.Server{ID: placed.Server}, answer.Status, nil)
-	if g.route.Repeatable() && g.mayRepeat() {
+	g.logSendFailed(upstream.Server{ID: placed.Server}, answer.Status, nil)
+	if g.route.Repeatable() && g.mayRetry() {
 		return false
 	}
 	switch {
-	case g.started:
-		g.broken(errors.New("model server failed after the stream began"))
-	case promises(answer.Status):
+	case g.streaming:
+		g.abort(errors.New("model server failed after the stream began"))
+	case impliesNotRun(answer.Status):
 		g.fail(http.StatusBadGateway, "model server refused without saying that it did not run", nil)
 	default:
-		if err := g.deliver(answer, placed.Server); err != nil {
+		if err := g.forwardAnswer(answer, placed.Server); err != nil {
 			g.fail(http.StatusBadGateway, "answer of the model server broke off", err)
 		}
 	}
@@ -186,62 +186,62 @@
 }
 
 // relay passes on events as they arrive.
-func (g *generation) relay(placed engine.Placement, answer *upstream.Answer, sent time.Time) bool {
+func (g *generateRequest) relay(placed engine.Placement, answer *upstream.Answer, sent time.Time) bool {
 	reader := newEventReader(answer.Body)
 	controller := http.NewResponseController(g.writer)
 	for first := true; ; first = false {
 		e, err := reader.next()
 		whole := err == nil || errors.Is(err, io.EOF)
 		if !whole {
-			return g.interrupted(placed, err)
+			return g.handleBrokenStream(placed, err)
 		}
 		if first {
-			g.begun(placed, time.Since(sent))
+			g.recordFirstEvent(placed, time.Since(sent))
 		}
 		if len(e.data) > 0 {
-			if !g.started {
-				g.started = true
+			if !g.streaming {
+				g.streaming = true
 				g.writeHead(answer, -1)
 			}
 			if _, failed := g.writer.Write(e.data); failed != nil {
-				g.broken(failed)
+				g.abort(failed)
 			}
-			g.events++
+			g.eventsSent++
 			if e.id != "" {
 				g.lastID = e.id
 			}
 		}
 		if err != nil {
-			if !g.started {
-				g.started = true
+			if !g.streaming {
+				g.streaming = true
 				g.writeHead(answer, -1)
 			}
-			g.runs.learn(g.route.Name, time.Since(sent))
-			g.answered(answer.Status, placed.Server)
+			g.runTimes.observe(g.route.Name, time.Since(sent))
+			g.recordAnswered(answer.Status, placed.Server)
 			return true
 		}
-		if !reader.more() {
+		if !reader.buffered() {
 			_ = controller.Flush() // the next write reports a failure
 		}
 	}
 }
 
-// begun records the start of a run. The model server has read its inputs.
-func (g *generation) begun(placed engine.Placement, delay time.Duration) {
+// recordFirstEvent records the start of a run. The model server has read its inputs.
+func (g *generateRequest) recordFirstEvent(placed engine.Placement, delay time.Duration) {
 	now := time.Now()
 	g.firstEvent = delay
 	g.placer.Report(g.service.Name, engine.Report{Server: placed.Server, Expected: placed.Expected, Delay: delay})
-	g.counts.firstEvent.RecordDuration(now.Sub(g.arrived))
+	g.metrics.timeToFirstEvent.RecordDuration(now.Sub(g.arrived))
 	g.freeInputs()
 }
 
-// interrupted handles a stream that broke off. Events that were not whole are
+// handleBrokenStream handles a stream that broke off. Events that were not whole are
 // dropped.
-func (g *generation) interrupted(placed engine.Placement, err error) bool {
-	if g.left() || g.late() {
-		return g.end()
+func (g *generateRequest) handleBrokenStream(placed engine.Placement, err error) bool {
+	if g.clientGone() || g.expired() {
+		return g.endIncomplete()
 	}
 	g.placer.Report(g.service.Name, engine.Report{Server: placed.Server, Failed: true})
-	g.logFailed(upstream.Server{ID: placed.Server}, http.StatusOK, err)
-	return g.unanswered(err)
+	g.logSendFailed(upstream.Server{ID: placed.Server}, http.StatusOK, err)
+	return g.resumeOrFail(err)
 }
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -40,9 +40,9 @@
 // Guards against events that are held back until the stream ends.
 func TestEventsArePassedOnAsTheyArrive(t *testing.T) {
 	c := qt.New(t)
-	w := generating(c, false)
+	w := newEngineFixture(c, false)
 	goOn := make(chan struct{})
-	w.backend("x", func(rw http.ResponseWriter, _ *http.Request) {
+	w.addServer("x", func(rw http.ResponseWriter, _ *http.Request) {
 		sendEvents(rw, 1, 1)
 		<-goOn
 		sendEvents(rw, 2, 2)
@@ -68,13 +68,13 @@
 // is joined from two runs although its kind forbids it.
 func TestBrokenStreamsStayBroken(t *testing.T) {
 	c := qt.New(t)
-	w := generating(c, false)
+	w := newEngineFixture(c, false)
 	var seen recorder
 	for range 2 {
-		w.backend("x", func(rw http.ResponseWriter, r *http.Request) {
+		w.addServer("x", func(rw http.ResponseWriter, r *http.Request) {
 			seen.add("")
 			sendEvents(rw, 1, 2)
-			cut(rw, r)
+			abortConnection(rw, r)
 		})
 	}
 	w.start()
@@ -88,40 +88,40 @@
 // client does that was reset.
 type failingWriter struct {
 	*httptest.ResponseRecorder
-	heads int
+	headsWritten int
 }
 
-func (f *failingWriter) WriteHeader(int)           { f.heads++ }
+func (f *failingWriter) WriteHeader(int)           { f.headsWritten++ }
 func (f *failingWriter) Write([]byte) (int, error) { return 0, errors.New("connection reset") }
 
 // Guards against a second answer on a connection whose client is lost after the head
 // of a stream was written.
 func TestFailedWritesBreakStreams(t *testing.T) {
 	c := qt.New(t)
-	w := generating(c, true)
-	w.backend("x", func(rw http.ResponseWriter, _ *http.Request) { sendEvents(rw, 1, 2) })
+	w := newEngineFixture(c, true)
+	w.addServer("x", func(rw http.ResponseWriter, _ *http.Request) { sendEvents(rw, 1, 2) })
 	w.start()
 	request := httptest.NewRequest("POST", "/p/", nil)
 	request.Host = "h"
 	request.Header.Set("Id", "a1")
 	writer := &failingWriter{ResponseRecorder: httptest.NewRecorder()}
 	c.Assert(func() { w.gateway.ServeHTTP(writer, request) }, qt.PanicMatches, http.ErrAbortHandler.Error())
-	c.Assert(writer.heads, qt.Equals, 1)
+	c.Assert(writer.headsWritten, qt.Equals, 1)
 }
 
 // Guards against a resumed stream with an event that is missing or comes twice, and
 // against half an event of the first run.
 func TestResumableStreamsGoOnAtAnotherServer(t *testing.T) {
 	c := qt.New(t)
-	w := generating(c, true)
+	w := newEngineFixture(c, true)
 	var seen recorder
 	for range 2 {
-		w.backend("x", func(rw http.ResponseWriter, r *http.Request) {
+		w.addServer("x", func(rw http.ResponseWriter, r *http.Request) {
 			if seen.add(r.Header.Get("Last")) == 1 {
 				sendEvents(rw, 1, 2)
 				_, _ = io.WriteString(rw, "id: 3\nda")
 				_ = http.NewResponseController(rw).Flush()
-				cut(rw, r)
+				abortConnection(rw, r)
 			}
 			sendEvents(rw, 3, 4)
 		})
@@ -133,11 +133,11 @@
 	c.Assert(seen.all(), qt.DeepEquals, []string{"", "2"})
 }
 
-// stageServer produces results and records calls and what is freed.
-func (w *world) stageServer(calls, freed *recorder) {
+// addStageServer produces results and records calls and what is freed.
+func (w *fixture) addStageServer(calls, freed *recorder) {
 	var address string
 	made := 0
-	address = w.backend("stage", func(rw http.ResponseWriter, r *http.Request) {
+	address = w.addServer("stage", func(rw http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/free" {
 			var results []string
 			_ = json.NewDecoder(r.Body).Decode(&results)
@@ -173,10 +173,10 @@
 // some, and against results that are never freed.
 func TestStagesRunInOrderAndTheirResultsAreFreed(t *testing.T) {
 	c := qt.New(t)
-	w := generating(c, false, route.Stage{Service: "stage", ResultBytes: 1}, route.Stage{Service: "stage", After: []int{0}}, route.Stage{Service: "stage"})
+	w := newEngineFixture(c, false, route.Stage{Service: "stage", ResultBytes: 1}, route.Stage{Service: "stage", After: []int{0}}, route.Stage{Service: "stage"})
 	var calls, freed, inputs recorder
-	w.stageServer(&calls, &freed)
-	w.backend("x", func(rw http.ResponseWriter, r *http.Request) {
+	w.addStageServer(&calls, &freed)
+	w.addServer("x", func(rw http.ResponseWriter, r *http.Request) {
 		inputs.add(r.Header.Get("Inputs"))
 		sendEvents(rw, 1, 1)
 	})
@@ -195,10 +195,10 @@
 // when it did not.
 func TestResultsAreFreedWhenFetched(t *testing.T) {
 	c := qt.New(t)
-	w := generating(c, false, route.Stage{Service: "stage", ResultBytes: 1})
+	w := newEngineFixture(c, false, route.Stage{Service: "stage", ResultBytes: 1})
 	var calls, freed, inputs recorder
-	w.stageServer(&calls, &freed)
-	w.backend("x", func(rw http.ResponseWriter, r *http.Request) {
+	w.addStageServer(&calls, &freed)
+	w.addServer("x", func(rw http.ResponseWriter, r *http.Request) {
 		first := inputs.add(r.Header.Get("Inputs")) == 1
 		eventually(c, func() bool { return slices.Contains(freed.all(), r.Header.Get("Inputs")) })
 		if first {
@@ -220,14 +220,14 @@
 // while calls of other requests wait for that memory.
 func TestInputsOfStagesAreFreedWhenFetched(t *testing.T) {
 	c := qt.New(t)
-	w := generating(c, false, route.Stage{Service: "stage", ResultBytes: 1}, route.Stage{Service: "next", After: []int{0}})
+	w := newEngineFixture(c, false, route.Stage{Service: "stage", ResultBytes: 1}, route.Stage{Service: "next", After: []int{0}})
 	w.config.Services[1].Work.RoomBytes = 3
 	w.config.Services[1].Work.CallTime = 200 * time.Millisecond
 	w.config.Routes[0].Target, w.config.Routes[0].Timeout = 5*time.Second, 10*time.Second
 	w.config.Services = append(w.config.Services, route.Service{Name: "next", Work: w.config.Services[1].Work})
 	var calls, freed recorder
-	w.stageServer(&calls, &freed)
-	w.backend("next", func(rw http.ResponseWriter, r *http.Request) {
+	w.addStageServer(&calls, &freed)
+	w.addServer("next", func(rw http.ResponseWriter, r *http.Request) {
 		var pieces []Piece
 		_ = json.NewDecoder(r.Body).Decode(&pieces)
 		if r.URL.Path == "/run" {
@@ -235,7 +235,7 @@
 		}
 		_ = json.NewEncoder(rw).Encode([]stagework.Outcome{{Result: r.Host + "/1"}})
 	})
-	w.backend("x", func(rw http.ResponseWriter, _ *http.Request) { sendEvents(rw, 1, 1) })
+	w.addServer("x", func(rw http.ResponseWriter, _ *http.Request) { sendEvents(rw, 1, 1) })
 	w.start()
 	// The result of another request leaves room for two, so that the stage tells of the
 	// lack.
@@ -254,11 +254,11 @@
 // not given up yet.
 func TestMemoryIsCountedUntilResultsAreGivenUp(t *testing.T) {
 	c := qt.New(t)
-	w := generating(c, false, route.Stage{Service: "stage", ResultBytes: 1})
+	w := newEngineFixture(c, false, route.Stage{Service: "stage", ResultBytes: 1})
 	w.config.Services[1].Work.RoomBytes = 1
 	release := make(chan struct{})
 	var runs recorder
-	w.backend("stage", func(rw http.ResponseWriter, r *http.Request) {
+	w.addServer("stage", func(rw http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/free" {
 			<-release
 			return
@@ -282,13 +282,13 @@
 // them.
 func TestStagesBesideAChainAreAskedLate(t *testing.T) {
 	c := qt.New(t)
-	w := generating(c, false, route.Stage{Service: "stage", ResultBytes: 1},
+	w := newEngineFixture(c, false, route.Stage{Service: "stage", ResultBytes: 1},
 		route.Stage{Service: "stage"}, route.Stage{Service: "stage", After: []int{1}}, route.Stage{Service: "stage", After: []int{2}})
 	w.config.Services[1].Work.CallTime = 300 * time.Millisecond
 	w.config.Routes[0].Target, w.config.Routes[0].Timeout = 5*time.Second, 10*time.Second
 	var calls, freed recorder
-	w.stageServer(&calls, &freed)
-	w.backend("x", func(rw http.ResponseWriter, _ *http.Request) { sendEvents(rw, 1, 1) })
+	w.addStageServer(&calls, &freed)
+	w.addServer("x", func(rw http.ResponseWriter, _ *http.Request) { sendEvents(rw, 1, 1) })
 	w.start()
 	_, _, err := w.do("POST", "/p/", "", "Counts", "1 1 1 1")
 	c.Assert(err, qt.IsNil)
@@ -300,10 +300,10 @@
 // model server had them.
 func TestLostInputsAreMadeAgain(t *testing.T) {
 	c := qt.New(t)
-	w := generating(c, false, route.Stage{Service: "stage"})
+	w := newEngineFixture(c, false, route.Stage{Service: "stage"})
 	var calls, freed, inputs recorder
-	w.stageServer(&calls, &freed)
-	w.backend("x", func(rw http.ResponseWriter, r *http.Request) {
+	w.addStageServer(&calls, &freed)
+	w.addServer("x", func(rw http.ResponseWriter, r *http.Request) {
 		if inputs.add(r.Header.Get("Inputs")) == 1 {
 			rw.Header().Set("Not-Run", "inputs")
 			rw.WriteHeader(http.StatusConflict)
@@ -322,11 +322,11 @@
 // against a client that waits for the refusal.
 func TestRequestsThatCannotEndInTimeAreRefusedAtOnce(t *testing.T) {
 	c := qt.New(t)
-	w := generating(c, false, route.Stage{Service: "stage"})
+	w := newEngineFixture(c, false, route.Stage{Service: "stage"})
 	w.config.Services[1].Work.CallTime = time.Minute
 	var calls, freed recorder
-	w.stageServer(&calls, &freed)
-	w.backend("x", func(rw http.ResponseWriter, _ *http.Request) { sendEvents(rw, 1, 1) })
+	w.addStageServer(&calls, &freed)
+	w.addServer("x", func(rw http.ResponseWriter, _ *http.Request) { sendEvents(rw, 1, 1) })
 	w.start()
 	response, _, err := w.do("POST", "/p/", "", "Counts", "1")
 	c.Assert(err, qt.IsNil)
@@ -339,9 +339,9 @@
 // takes long, and against jobs of requesters that have gone.
 func TestPendingStagesAreAwaitedAgainOrAbandoned(t *testing.T) {
 	c := qt.New(t)
-	w := generating(c, false, route.Stage{Service: "stage"})
+	w := newEngineFixture(c, false, route.Stage{Service: "stage"})
 	release := make(chan struct{})
-	w.backend("stage", func(rw http.ResponseWriter, _ *http.Request) {
+	w.addServer("stage", func(rw http.ResponseWriter, _ *http.Request) {
 		<-release
 		_ = json.NewEncoder(rw).Encode([]stagework.Outcome{{Result: "m/1"}})
 	})
@@ -363,10 +363,10 @@
 // takes its place, and against a stage that no instance takes because all stop.
 func TestStoppingInstancesHandStagesOver(t *testing.T) {
 	c := qt.New(t)
-	w := generating(c, false, route.Stage{Service: "stage"})
+	w := newEngineFixture(c, false, route.Stage{Service: "stage"})
 	w.config.Services[1].Work.Batch = 1
 	begun, release := make(chan struct{}, 4), make(chan struct{})
-	w.backend("stage", func(rw http.ResponseWriter, _ *http.Request) {
+	w.addServer("stage", func(rw http.ResponseWriter, _ *http.Request) {
 		begun <- struct{}{}
 		<-release
 		_ = json.NewEncoder(rw).Encode([]stagework.Outcome{{Result: "m/1"}})
@@ -385,7 +385,7 @@
 	<-begun
 	go ask("second")
 	eventually(c, func() bool {
-		w := w.caller.queueOf("stage", false)
+		w := w.caller.serviceQueue("stage", false)
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		return len(w.jobs) == 2
@@ -431,7 +431,7 @@
 	c := qt.New(t)
 	blocked := blockedWriter{make(chan struct{})}
 	w := NewLogWriter(blocked)
-	for range 3 * queuedLines {
+	for range 3 * maxQueuedLines {
 		_, err := w.Write([]byte("line\n"))
 		c.Assert(err, qt.IsNil)
 	}
@@ -444,18 +444,18 @@
 // instead of telling their clients that they have not run.
 func TestWaitingRequestsAreRefusedBeforeTheProcessEnds(t *testing.T) {
 	c := qt.New(t)
-	w := generating(c, false, route.Stage{Service: "stage"})
+	w := newEngineFixture(c, false, route.Stage{Service: "stage"})
 	asked := make(chan struct{}, 4)
-	w.backend("stage", func(_ http.ResponseWriter, r *http.Request) {
+	w.addServer("stage", func(_ http.ResponseWriter, r *http.Request) {
 		asked <- struct{}{}
 		<-r.Context().Done()
 	})
-	w.backend("x", func(rw http.ResponseWriter, _ *http.Request) { sendEvents(rw, 1, 1) })
+	w.addServer("x", func(rw http.ResponseWriter, _ *http.Request) { sendEvents(rw, 1, 1) })
 	w.config.Services[1].Work.CallTime = time.Second
 	w.start()
 	go func() {
 		<-asked
-		w.drain.Begin(time.Now().Add(unsentMargin - 8*time.Second))
+		w.drain.Begin(time.Now().Add(waitingMargin - 8*time.Second))
 	}()
 	response, body, err := w.do("POST", "/p/", "", "Counts", "1")
 	c.Assert(err, qt.IsNil)
@@ -467,10 +467,10 @@
 // against a message of that region which reaches an instance that places no prompts.
 func TestPartsThatAnotherRegionKeepsAreCopied(t *testing.T) {
 	c := qt.New(t)
-	w := generating(c, false)
+	w := newEngineFixture(c, false)
 	w.config.Services[0].Engine = &route.EngineShape{TokenBytes: 1, LinkRate: 1e9}
 	var seen recorder
-	w.backend("x", func(rw http.ResponseWriter, r *http.Request) {
+	w.addServer("x", func(rw http.ResponseWriter, r *http.Request) {
 		seen.add(r.Header.Get("Copy-From"))
 		sendEvents(rw, 1, 1)
 	})
@@ -489,8 +489,8 @@
 // Guards against placements that the other regions are not told, or more than once.
 func TestPlacementsAreSharedOnce(t *testing.T) {
 	c := qt.New(t)
-	w := generating(c, false)
-	w.backend("x", func(rw http.ResponseWriter, _ *http.Request) { sendEvents(rw, 1, 1) })
+	w := newEngineFixture(c, false)
+	w.addServer("x", func(rw http.ResponseWriter, _ *http.Request) { sendEvents(rw, 1, 1) })
 	w.start()
 	placer := w.gateway.placer
 	prompt := []engine.Part{{ID: "system", Tokens: 1000}, {ID: "own", Tokens: 10}}
@@ -500,19 +500,19 @@
 	}
 	placer.mu.Lock()
 	defer placer.mu.Unlock()
-	c.Assert(placer.shares["x"], qt.HasLen, 1)
-	c.Assert(placer.shares["x"][0].Parts, qt.HasLen, 1)
-	c.Assert(placer.shares["x"][0].Parts[0].Id, qt.Equals, "system")
+	c.Assert(placer.pendingShares["x"], qt.HasLen, 1)
+	c.Assert(placer.pendingShares["x"][0].Parts, qt.HasLen, 1)
+	c.Assert(placer.pendingShares["x"][0].Parts[0].Id, qt.Equals, "system")
 }
 
 // Guards against an instance that begins to place prompts without asking what the
 // model servers keep, and asks again and again.
 func TestPlacersAskOnceWhatServersKeep(t *testing.T) {
 	c := qt.New(t)
-	w := generating(c, false)
+	w := newEngineFixture(c, false)
 	var asked recorder
 	for range 2 {
-		w.backend("x", func(rw http.ResponseWriter, r *http.Request) {
+		w.addServer("x", func(rw http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/cache" {
 				asked.add("")
 				_, _ = io.WriteString(rw, `[{"ID":"p","Tokens":9000}]`)
@@ -531,23 +531,23 @@
 func TestStagesRunWhereMostBytesAre(t *testing.T) {
 	c := qt.New(t)
 	domains := map[string]string{"1": "a", "2": "b", "3": "b", "4": ""}
-	r := &run{Chain: Chain{FailureDomain: "c", DomainOf: func(result string) string { return domains[result] }}}
+	r := &stageRun{StagePlan: StagePlan{FailureDomain: "c", DomainOf: func(result string) string { return domains[result] }}}
 	request := &peerpb.RunStageRequest{Inputs: []string{"1", "2", "3"}, InputBytes: 300, ResultBytes: 100}
-	c.Assert(r.domain(request), qt.Equals, "b")
+	c.Assert(r.preferredDomain(request), qt.Equals, "b")
 	request.ResultBytes = 300
-	c.Assert(r.domain(request), qt.Equals, "c")
-	c.Assert(r.domain(&peerpb.RunStageRequest{ResultBytes: 1}), qt.Equals, "c")
+	c.Assert(r.preferredDomain(request), qt.Equals, "c")
+	c.Assert(r.preferredDomain(&peerpb.RunStageRequest{ResultBytes: 1}), qt.Equals, "c")
 }
 
 // Guards against a stage that waits until its inputs are gone, which costs a call and
 // the work of the stages before.
 func TestStagesEndBeforeTheLifeOfTheirInputs(t *testing.T) {
 	c := qt.New(t)
-	w := generating(c, false, route.Stage{Service: "stage"}, route.Stage{Service: "stage", After: []int{0}})
+	w := newEngineFixture(c, false, route.Stage{Service: "stage"}, route.Stage{Service: "stage", After: []int{0}})
 	table := route.NewTable(w.config)
-	chain := Chain{Table: table, Route: &table.Routes[0], Graph: table.Routes[0].NewGraph([]int{1, 1}), Deadline: time.Now().Add(time.Minute)}
-	r := &run{Stages: NewStages(nil, nil, nil, logger()), Chain: chain, progress: stagework.NewProgress(chain.Graph.After, chain.Graph.Counts)}
+	chain := StagePlan{Table: table, Route: &table.Routes[0], Graph: table.Routes[0].NewGraph([]int{1, 1}), Deadline: time.Now().Add(time.Minute)}
+	r := &stageRun{StageRunner: NewStageRunner(nil, nil, nil, discardLogger()), StagePlan: chain, progress: stagework.NewProgress(chain.Graph.After, chain.Graph.Counts)}
 	r.progress.SetTypical(make([]time.Duration, 2))
-	c.Assert(r.request(0, nil).DeadlineMs > 50_000, qt.IsTrue)
-	c.Assert(r.request(1, nil).DeadlineMs, qt.Equals, int64(1000))
+	c.Assert(r.newRunStageRequest(0, nil).DeadlineMs > 50_000, qt.IsTrue)
+	c.Assert(r.newRunStageRequest(1, nil).DeadlineMs, qt.Equals, int64(1000))
 }
