--- a/internal/gateway/bodymemory.go
+++ b/internal/gateway/bodymemory.go
@@ -7,25 +7,26 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// maxBodyMemoryBytes bounds the bodies of requests that an instance holds at once: a quarter
-// of the memory of the smallest instances.
+// maxBodyMemoryBytes bounds the request bodies that an instance holds in memory at
+// once: a quarter of the memory of the smallest instances.
 const maxBodyMemoryBytes = 48 << 20
 
-var errBodyMemoryFull = errors.New("too many request bodies are held")
+var errBodyMemoryFull = errors.New("memory limit for request bodies is reached")
 
-// bodyMemory counts the memory that bodies of requests take.
+// bodyMemory limits the memory that request bodies take.
 type bodyMemory struct{ available *semaphore.Weighted }
 
 func newBodyMemory() *bodyMemory { return &bodyMemory{semaphore.NewWeighted(maxBodyMemoryBytes)} }
 
-// bodyReader reads a body and counts it.
+// bodyReader reads a body and reserves memory for what it has read.
 type bodyReader struct {
 	memory *bodyMemory
 	reader io.Reader
 	held   int64
 }
 
-// Read reads the body. It returns errBodiesFull when there is no room for more.
+// Read reads from the body. It returns errBodyMemoryFull when the memory limit is
+// reached.
 func (b *bodyReader) Read(p []byte) (int, error) {
 	n, err := b.reader.Read(p)
 	if n > 0 && !b.memory.available.TryAcquire(int64(n)) {
@@ -35,5 +36,5 @@
 	return n, err
 }
 
-// release gives the memory back.
+// release releases the reserved memory.
 func (b *bodyReader) release() { b.memory.available.Release(b.held) }
--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -22,29 +22,30 @@
 )
 
 const (
-	// registrationPrefix is where instances write their peer addresses.
+	// registrationPrefix is the prefix of the store keys that hold the peer addresses of
+	// instances.
 	registrationPrefix = "instances/"
-	// registrationTTL is the life of a registration without renewal. An old one is only
-	// a hint.
+	// registrationTTL is the time to live of a registration that is not renewed. It may
+	// be long, because a stale registration only adds a candidate to membership.
 	registrationTTL           = 10 * time.Minute
 	registrationRenewInterval = 3 * time.Minute
-	// registrationRereads are the times after which the registrations are read again:
+	// registrationRereads is how often the registrations are reread after the start:
 	// instances that start together read them before the others have registered.
 	registrationRereads        = 2
 	registrationRereadInterval = 3 * time.Second
-	// joinGracePeriod is how long after the start registered instances count as live:
-	// until membership has heard of them, every instance would take itself for the
-	// one that forms all calls.
+	// joinGracePeriod is how long after the start registered instances count as live.
+	// Without it, every instance would consider itself the owner of all services until
+	// membership discovers the others.
 	joinGracePeriod    = 5 * time.Second
 	registerRetryDelay = 2 * time.Second
 	maxRegistrations   = 1000
-	// avoidDuration is how long an instance that did not answer gets no stages.
+	// avoidDuration is how long an instance that did not answer ranks last among owners.
 	avoidDuration = 2 * time.Second
 )
 
 var errNoPeerKnown = errors.New("no other instance is known")
 
-// Cluster is the other instances.
+// Cluster is this instance's view of the other instances.
 type Cluster struct {
 	settings settings.Gateway
 	node     *peer.Node
@@ -55,20 +56,20 @@
 	mu         sync.Mutex
 	avoidUntil map[string]time.Time
 	started    time.Time
-	// rereadInterval is the mean time between the first reviews.
+	// rereadInterval is the mean time between rereads of the registrations.
 	rereadInterval time.Duration
-	// registered holds the peer addresses of the region's instances by ID, as they
-	// stood in the store at the start.
+	// registered holds the peer addresses of the region's other instances by ID, as last
+	// read from the store during the start.
 	registered map[string]string
 }
 
-// registration is what an instance writes into the store.
+// registration is the value that an instance stores under its registration key.
 type registration struct {
 	Address string `json:"address"`
 	Region  string `json:"region"`
 }
 
-// NewCluster returns the cluster as seen from a node.
+// NewCluster returns the cluster as seen by a membership node.
 func NewCluster(s settings.Gateway, node *peer.Node, client *peer.Client, st store.Store, logger *slog.Logger) *Cluster {
 	return &Cluster{settings: s, node: node, client: client, store: st, logger: logger, avoidUntil: map[string]time.Time{}, started: time.Now(), rereadInterval: registrationRereadInterval}
 }
@@ -89,7 +90,8 @@
 	c.node.Do(func(s *membership.State) []membership.Output { return s.SetRevision(int64(version), fromStore) })
 }
 
-// randomPeer returns the address of a random other instance, or an empty string.
+// randomPeer returns the address of a random other instance, or an empty string when
+// none is known.
 func (c *Cluster) randomPeer() string {
 	var known []string
 	c.node.View(func(s *membership.State) {
@@ -108,7 +110,7 @@
 	return known[rand.IntN(len(known))]
 }
 
-// RegionContacts returns the address of one instance of each other region.
+// RegionContacts returns the address of one random instance of each other region.
 func (c *Cluster) RegionContacts() (addresses []string) {
 	c.node.View(func(s *membership.State) {
 		for _, summary := range s.Summaries(time.Now()) {
@@ -120,19 +122,19 @@
 	return addresses
 }
 
-// InstanceCount returns the number of live instances.
+// InstanceCount returns the number of live instances, at least 1.
 func (c *Cluster) InstanceCount() int {
 	n := 1
 	c.node.View(func(s *membership.State) { n = max(1, s.Instances(time.Now())) })
 	return n
 }
 
-// storeReaders is the number of instances of a region that look often for changes in the
-// store.
+// storeReaders is the number of instances of a region that poll the store for changes
+// at short intervals.
 const storeReaders = 2
 
-// Reader implements view.Peers. An instance that knows no other yet is none: when all
-// start together, each would take itself for a reader.
+// Reader implements view.Peers. It returns false until joinGracePeriod has passed:
+// when all instances start together, each would otherwise consider itself a reader.
 func (c *Cluster) Reader() bool {
 	if time.Since(c.started) < joinGracePeriod {
 		return false
@@ -141,8 +143,8 @@
 	return slices.Contains(rendezvous.Order("store reader", ids)[:min(storeReaders, len(ids))], c.settings.Instance)
 }
 
-// liveInstances returns the live instances of the region, and their addresses by ID. That
-// of this instance is empty.
+// liveInstances returns the IDs of the live instances of the region, and their
+// addresses by ID. The address of this instance is empty.
 func (c *Cluster) liveInstances() (ids []string, addresses map[string]string) {
 	addresses = map[string]string{c.settings.Instance: ""}
 	if time.Since(c.started) < joinGracePeriod {
@@ -160,20 +162,21 @@
 	return slices.Collect(maps.Keys(addresses)), addresses
 }
 
-// Owners returns the addresses of the instances that may form the calls of a
-// service of the region, the first choice first. Instances that did not answer
-// lately come last; an empty address stands for this instance.
-func (c *Cluster) Owners(service string) []string {
+// Owners returns the addresses of the region's live instances in the order of
+// rendezvous hashing of a key. The first one owns the key: it batches the calls of the
+// stage service of that name, or places the prompts of an engine service. Instances
+// that did not answer lately come last. An empty address is this instance.
+func (c *Cluster) Owners(key string) []string {
 	ids, byID := c.liveInstances()
-	var callers, avoided []string
-	for _, chosen := range rendezvous.Order(service, ids) {
-		if c.avoided(byID[chosen]) {
-			avoided = append(avoided, byID[chosen])
+	var owners, avoided []string
+	for _, id := range rendezvous.Order(key, ids) {
+		if c.avoided(byID[id]) {
+			avoided = append(avoided, byID[id])
 		} else {
-			callers = append(callers, byID[chosen])
+			owners = append(owners, byID[id])
 		}
 	}
-	return append(callers, avoided...)
+	return append(owners, avoided...)
 }
 
 func (c *Cluster) avoided(address string) bool {
@@ -182,18 +185,18 @@
 	return time.Now().Before(c.avoidUntil[address])
 }
 
-// Avoid passes over an instance that did not answer for a while.
+// Avoid ranks an instance that did not answer last among owners for avoidDuration.
 func (c *Cluster) Avoid(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.avoidUntil[address] = time.Now().Add(avoidDuration)
 }
 
-// Leave tells the others that this instance stops.
+// Leave announces to the other instances that this one stops.
 func (c *Cluster) Leave(ctx context.Context) { c.node.Leave(ctx, c.client) }
 
-// Register writes this instance's peer address into the store and reads those of
-// the others, until the context ends.
+// Register writes this instance's peer address into the store, reads those of the
+// others, and renews the registration until the context ends.
 func (c *Cluster) Register(ctx context.Context) {
 	c.addCandidates(nil)
 	var lease store.LeaseID
@@ -215,7 +218,8 @@
 	}
 }
 
-// rereadRegistrations reads the registrations of instances that started at the same time.
+// rereadRegistrations reads the registrations of instances that started at the same
+// time as this one.
 func (c *Cluster) rereadRegistrations(ctx context.Context) {
 	for range registrationRereads {
 		clock.Sleep(ctx, c.rereadInterval/2+rand.N(c.rereadInterval))
@@ -253,7 +257,8 @@
 	return lease, err
 }
 
-// addCandidates tells membership which addresses may belong to other instances.
+// addCandidates passes membership the addresses of the settings and of the registration
+// entries, which may belong to other instances.
 func (c *Cluster) addCandidates(entries []store.Entry) {
 	addresses := slices.Clone(c.settings.Peers)
 	registered := map[string]string{}
--- a/internal/gateway/daemon.go
+++ b/internal/gateway/daemon.go
@@ -27,13 +27,13 @@
 	"github.com/coltsfootdrift/coltsfootdrift/membership"
 )
 
-// Store is the platform's store.
+// Store is a client of the platform's store.
 type Store interface {
 	store.Store
 	view.Source
 }
 
-// Adapter is the translation between the platform and the product.
+// Adapter translates between the platform's protocols and this package.
 type Adapter struct {
 	Protocol Protocol
 	// Store returns a client of the store at an address.
@@ -41,18 +41,18 @@
 }
 
 const (
-	// readHeaderTimeout bounds the headers of calls to readiness, metrics and peers.
+	// readHeaderTimeout bounds reading the headers of readiness, metrics and peer calls.
 	readHeaderTimeout = 5 * time.Second
-	// closeIdleInterval is how often idle connections to backend servers are reviewed.
+	// closeIdleInterval is how often idle connections to backend servers are closed.
 	closeIdleInterval = time.Second
-	// settingsPollInterval is how often the settings file is looked at: it may change
-	// without a signal.
+	// settingsPollInterval is how often the settings file is checked, as it may change
+	// without a SIGHUP.
 	settingsPollInterval = 2 * time.Second
-	// leaveTimeout bounds the calls that tell other instances of a shutdown.
+	// leaveTimeout bounds the calls that announce a shutdown to the other instances.
 	leaveTimeout = 500 * time.Millisecond
 )
 
-// daemon is what runs in the process.
+// daemon holds the components of the process.
 type daemon struct {
 	fx.In
 	Settings  settings.Gateway
@@ -72,7 +72,7 @@
 	Readiness *readiness.Readiness
 }
 
-// module provides the parts of a gateway.
+// module provides the components of a gateway.
 func module(s settings.Gateway, adapter Adapter, logger *slog.Logger) fx.Option {
 	return fx.Options(
 		fx.Supply(s, logger),
@@ -109,7 +109,8 @@
 	)
 }
 
-// newNode joins the instances of the region: stage work is shared among them.
+// newNode returns the membership node of this instance. Its failure domain is the
+// region, because the instances of a region share stage work.
 func newNode(s settings.Gateway, m *metrics.Metrics, logger *slog.Logger) (*peer.Node, error) {
 	identity := membership.Identity{
 		ID: s.Instance, FailureDomain: s.Region, Address: s.PeerAddress,
@@ -130,7 +131,7 @@
 }
 
 // Run runs a gateway until SIGTERM or SIGINT. Path is the settings file, which is
-// read again on SIGHUP and when it changes.
+// reread on SIGHUP and when it changes.
 func Run(path string, s settings.Gateway, adapter Adapter, logger *slog.Logger) error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
@@ -144,26 +145,26 @@
 	if err := d.start(ctx); err != nil {
 		return err
 	}
-	reread := newSettingsWatcher(path, s, logger)
-	go clock.Every(ctx, settingsPollInterval, func() { reread.check(false) })
+	watcher := newSettingsWatcher(path, s, logger)
+	go clock.Every(ctx, settingsPollInterval, func() { watcher.check(false) })
 	for received := range signals {
 		if received != syscall.SIGHUP {
 			d.stop(received.String())
 			return nil
 		}
-		reread.check(true)
+		watcher.check(true)
 	}
 	return nil
 }
 
-// start opens the listeners and begins to follow the store and the peers.
+// start opens the listeners and starts watching the store and the peers.
 func (d *daemon) start(ctx context.Context) error {
 	d.Views.Observe(d.Fleet.Update)
 	d.Views.Observe(d.Scheduler.Update)
 	d.Views.Observe(d.Frontend.Update)
 	d.Node.Observe(func(output membership.Output) {
-		if heard, ok := output.(membership.RevisionHeard); ok {
-			d.Views.Heard(store.Version(heard.Revision), heard.Address)
+		if announced, ok := output.(membership.RevisionHeard); ok {
+			d.Views.Heard(store.Version(announced.Revision), announced.Address)
 		}
 	})
 	d.Readiness.Require("configuration", func() bool {
@@ -205,15 +206,15 @@
 	return nil
 }
 
-// stop withdraws readiness, finishes the requests under way and those that still
-// come, and ends within the grace time.
+// stop withdraws readiness, serves the requests in flight and those that still arrive,
+// and returns within the grace period.
 func (d *daemon) stop(reason string) {
 	ctx := context.Background()
 	d.Readiness.Withdraw()
 	d.Drain.Begin(time.Now())
 	events.GatewayStopping.Log(ctx, d.Logger, slog.String("reason", reason), slog.Int64("running", d.Gateway.InFlight()))
-	leaving, cancel := context.WithTimeout(ctx, leaveTimeout)
-	d.Cluster.Leave(leaving)
+	leaveCtx, cancel := context.WithTimeout(ctx, leaveTimeout)
+	d.Cluster.Leave(leaveCtx)
 	cancel()
 	d.Scheduler.HandOver()
 	for !d.Drain.done(time.Now(), d.Gateway.InFlight()) {
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -9,45 +9,46 @@
 )
 
 const (
-	// balancerDetectionTime is the time in which the balancer sees that readiness is
-	// withdrawn: two misses of a check each second, and the way.
+	// balancerDetectionTime is how long the load balancer takes to notice that readiness
+	// is withdrawn: two failed health checks, one second apart, and the network delay.
 	balancerDetectionTime = 3200 * time.Millisecond
-	// streamAdmitTime is how long after the signal new streams are still taken. One
-	// that starts later may not end within the grace time.
+	// streamAdmitTime is how long after the signal new streams are still admitted. One
+	// that starts later may not end within the grace period.
 	streamAdmitTime = 2800 * time.Millisecond
-	// admitMargin is the part of the grace time in which nothing new is taken.
+	// admitMargin is the last part of the grace period, in which no new request is
+	// admitted.
 	admitMargin = 1200 * time.Millisecond
-	// waitingMargin is the part of the grace time in which requests that wait for
-	// their stages are refused: a model server could not answer them any more.
+	// waitingMargin is the last part of the grace period, in which requests that wait for
+	// their stages are refused, as a model server could no longer answer them in time.
 	waitingMargin = 2200 * time.Millisecond
-	// exitMargin is what the end of the process itself needs.
+	// exitMargin is the part of the grace period that the exit of the process takes.
 	exitMargin = 400 * time.Millisecond
-	// idleConnectionGrace is how long clients have to use a kept connection once more
-	// and learn that it closes.
+	// idleConnectionGrace is how long clients have to send another request on an idle
+	// connection, whose answer carries "Connection: close".
 	idleConnectionGrace = 5 * time.Second
 	drainPollInterval   = 50 * time.Millisecond
 )
 
-// Drain is the state of a shutdown.
+// Drain is the state of a graceful shutdown.
 type Drain struct {
 	grace time.Duration
 
 	mu              sync.Mutex
 	startedAt       time.Time
 	openConnections atomic.Int64
-	// waitingCtx ends when requests that were not sent yet are refused.
+	// waitingCtx is cancelled when the requests that are not sent yet must be refused.
 	waitingCtx    context.Context
 	cancelWaiting context.CancelFunc
 }
 
-// NewDrain returns the state of an instance that is not stopping. Grace is the
-// time that a shutdown may take.
+// NewDrain returns the state of an instance that is not stopping. Grace is how long a
+// shutdown may take.
 func NewDrain(grace time.Duration) *Drain {
 	closing, end := context.WithCancel(context.Background())
 	return &Drain{grace: grace, waitingCtx: closing, cancelWaiting: end}
 }
 
-// Begin starts the shutdown.
+// Begin starts the shutdown. Further calls have no effect.
 func (d *Drain) Begin(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -65,13 +66,14 @@
 	return now.Sub(d.startedAt), !d.startedAt.IsZero()
 }
 
-// Draining reports whether the shutdown has begun.
+// Draining reports whether the shutdown has started.
 func (d *Drain) Draining() bool {
 	_, draining := d.elapsed(time.Now())
 	return draining
 }
 
-// Admits reports whether a new request can end before the process does.
+// Admits reports whether a new request, or a new stream, can finish before the process
+// exits.
 func (d *Drain) Admits(stream bool) bool {
 	elapsed, draining := d.elapsed(time.Now())
 	if !draining {
@@ -83,7 +85,7 @@
 	return elapsed < d.grace-admitMargin
 }
 
-// done reports whether the process can end.
+// done reports whether the process can exit while running requests are in flight.
 func (d *Drain) done(now time.Time, running int64) bool {
 	elapsed, _ := d.elapsed(now)
 	switch {
@@ -95,9 +97,10 @@
 	return d.openConnections.Load() == 0 || elapsed >= idleConnectionGrace
 }
 
-// closeWhenDraining tells the client of an answer that its connection closes.
-func (a *clientRequest) closeWhenDraining(header http.Header) {
-	if a.drain.Draining() {
+// closeWhenDraining sets "Connection: close" in the header of an answer during a
+// shutdown.
+func (c *clientRequest) closeWhenDraining(header http.Header) {
+	if c.drain.Draining() {
 		header.Set("Connection", "close")
 	}
 }
--- a/internal/gateway/eventreader.go
+++ b/internal/gateway/eventreader.go
@@ -12,8 +12,8 @@
 
 var errEventTooLarge = errors.New("event of a stream is too large")
 
-// eventReader splits a stream of server-sent events into whole ones, without
-// changing a byte.
+// eventReader splits a stream of server-sent events into complete events. It changes no
+// byte.
 type eventReader struct {
 	reader *bufio.Reader
 }
@@ -29,8 +29,8 @@
 	id string
 }
 
-// next returns the next whole event. At the end of the stream it returns what is
-// left with io.EOF; after another error what is left is not whole.
+// next returns the next complete event. At the end of the stream it returns the rest of
+// the stream with io.EOF. With any other error the returned event is incomplete.
 func (r *eventReader) next() (event, error) {
 	var e event
 	for {
@@ -52,5 +52,5 @@
 	}
 }
 
-// buffered reports whether another event has arrived already.
+// buffered reports whether more data of the stream has already arrived.
 func (r *eventReader) buffered() bool { return r.reader.Buffered() > 0 }
--- a/internal/gateway/fetchestimates.go
+++ b/internal/gateway/fetchestimates.go
@@ -8,7 +8,7 @@
 	"github.com/coltsfootdrift/coltsfootdrift/stagework"
 )
 
-// fetchEstimates holds by service of model servers how long they take to fetch inputs.
+// fetchEstimates holds how long model servers take to fetch their inputs, by service.
 type fetchEstimates struct {
 	mu        sync.Mutex
 	byService map[string]*stagework.Fetch
@@ -20,28 +20,29 @@
 
 // estimate returns the estimate of a service. It is called with the lock held.
 func (f *fetchEstimates) estimate(service string) *stagework.Fetch {
-	known := f.byService[service]
-	if known == nil {
-		known = &stagework.Fetch{}
-		f.byService[service] = known
+	estimate := f.byService[service]
+	if estimate == nil {
+		estimate = &stagework.Fetch{}
+		f.byService[service] = estimate
 	}
-	return known
+	return estimate
 }
 
-// timeUntilFetched returns how long results are kept after a request that needs them was sent.
-// They are listed by the service that made them and have a size together.
+// timeUntilFetched returns how long results are kept after the request that needs them
+// was sent to a model server of a service. Results lists them by the stage service that
+// produced them; bytes is their total size.
 func (f *fetchEstimates) timeUntilFetched(service string, table *route.Table, results map[string][]string, bytes int64) (longest time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for made := range results {
-		if described := table.Service(made); described != nil && described.Work != nil {
-			longest = max(longest, f.estimate(service).Time(*described.Work, bytes))
+	for producer := range results {
+		if configured := table.Service(producer); configured != nil && configured.Work != nil {
+			longest = max(longest, f.estimate(service).Time(*configured.Work, bytes))
 		}
 	}
 	return longest
 }
 
-// record records whether a model server found results that were given up before it
+// record records whether a model server still found results that were freed before it
 // answered.
 func (f *fetchEstimates) record(service string, found bool) {
 	f.mu.Lock()
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -16,15 +16,16 @@
 	"github.com/coltsfootdrift/coltsfootdrift/routing"
 )
 
-// connectionLimitShare is the part of a server's connections that all instances
-// together may open, so that instances that disagree on their number stay below
-// the limit.
+// connectionLimitShare is the share of a server's connection limit that all instances
+// together use, so that they stay below the limit while they disagree on the number of
+// instances.
 const connectionLimitShare = 0.8
 
-// minServerConnections is the least number of connections to one server.
+// minServerConnections is the lowest limit of connections from one instance to one
+// server.
 const minServerConnections = 2
 
-// Fleet is the backend servers as this instance sees them.
+// Fleet holds this instance's view of the backend servers and of their load.
 type Fleet struct {
 	settings  settings.Gateway
 	instances func() int
@@ -47,7 +48,7 @@
 	}
 }
 
-// Update takes a new view.
+// Update replaces the servers by those of a new view.
 func (f *Fleet) Update(v *view.View) {
 	if v.Table == nil {
 		return
@@ -105,7 +106,8 @@
 	pool.Update(servers, time.Now())
 }
 
-// Server returns where a server is reached, and false when it is not in use.
+// Server returns the address and connection limit of a server, and false when it is
+// not in use.
 func (f *Fleet) Server(id string) (upstream.Server, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -118,14 +120,14 @@
 	return f.settings.Regions[domain] == f.settings.Region
 }
 
-// InUse reports whether a server may get work.
+// InUse reports whether the current view lists a server.
 func (f *Fleet) InUse(id string) bool {
 	_, ok := f.Server(id)
 	return ok
 }
 
-// WithPool calls use with the pool of a plain service, or returns false when there is
-// none.
+// WithPool calls use with the pool of a plain service while it holds the lock. It
+// returns false when there is no such pool.
 func (f *Fleet) WithPool(service string, use func(*routing.Pool, *rand.Rand)) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -137,8 +139,8 @@
 	return true
 }
 
-// WithEngines calls use with the model servers of a service, or returns false when
-// there are none.
+// WithEngines calls use with the model servers of a service while it holds the lock. It
+// returns false when the service has none.
 func (f *Fleet) WithEngines(service string, use func(*engine.Set)) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -158,9 +160,9 @@
 }
 
 const (
-	// retryRatioShare and retrySlackShare are the parts of the budget that all
-	// instances share which are used, so that a client's own repeats and changes
-	// in the number of instances stay within it.
+	// retryRatioShare and retrySlackShare are the shares of the common retry budget that
+	// the instances use. The rest covers retries by clients and changes in the number of
+	// instances.
 	retryRatioShare = 0.5
 	retrySlackShare = 0.4
 )
@@ -187,7 +189,8 @@
 	f.budget(service).Request(time.Now())
 }
 
-// AllowRetry takes one repeat from the budget of a service.
+// AllowRetry takes one retry from the budget of a service. It returns false when the
+// budget is used up.
 func (f *Fleet) AllowRetry(service string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -201,7 +204,7 @@
 	return f.random.Float64()
 }
 
-// newPlainQuery is the query of a plain request.
+// newPlainQuery returns the query that picks a server for a plain request.
 func newPlainQuery(remaining time.Duration, excluded []routing.ServerIndex) routing.Query {
 	return routing.Query{Class: pipeline.ClassInteractive, Link: true, Remaining: remaining, Excluded: excluded}
 }
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -14,11 +14,11 @@
 	"github.com/coltsfootdrift/coltsfootdrift/route"
 )
 
-// defaultLimits hold until the first configuration is known.
+// defaultLimits apply until the first configuration is loaded.
 var defaultLimits = route.Limits{HeaderBytes: 32 << 10, HeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute}
 
-// Frontend accepts the connections of clients. The limits of the configuration hold
-// for connections that are opened after it came into force.
+// Frontend accepts client connections. When the limits of the configuration change,
+// the new ones apply to connections that are opened afterwards.
 type Frontend struct {
 	handler http.Handler
 	drain   *Drain
@@ -31,12 +31,13 @@
 	servers  []*http.Server
 }
 
-// NewFrontend returns a front that passes requests to a handler.
+// NewFrontend returns a frontend that passes requests to a handler.
 func NewFrontend(handler http.Handler, drain *Drain, logger *slog.Logger) *Frontend {
 	return &Frontend{handler: handler, drain: drain, logger: logger}
 }
 
-// connListener is the listener of one http.Server. It gets its connections from Front.
+// connListener is the net.Listener of one http.Server. Frontend passes it the accepted
+// connections.
 type connListener struct {
 	address net.Addr
 	conns   chan net.Conn
@@ -54,16 +55,16 @@
 	}
 }
 
-// Close ends Accept.
+// Close makes Accept return net.ErrClosed.
 func (i *connListener) Close() error {
 	i.once.Do(func() { close(i.closed) })
 	return nil
 }
 
-// Addr returns the address that Front listens on.
+// Addr returns the address that Frontend listens on.
 func (i *connListener) Addr() net.Addr { return i.address }
 
-// Listen binds the address and starts to serve.
+// Listen binds the address and serves connections until Close.
 func (f *Frontend) Listen(ctx context.Context, address string) error {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp", address)
@@ -78,7 +79,8 @@
 	return nil
 }
 
-// Update puts the limits of a configuration in force.
+// Update applies the connection limits of a new view to connections that are opened
+// from now on.
 func (f *Frontend) Update(v *view.View) {
 	if v.Table == nil {
 		return
@@ -90,8 +92,8 @@
 	}
 }
 
-// startServer starts a server with limits for the connections to come. It is called with
-// the lock held.
+// startServer starts an http.Server with new limits, which serves the connections that
+// are accepted from now on. It is called with the lock held.
 func (f *Frontend) startServer(limits route.Limits) {
 	f.limits = limits
 	f.current = &connListener{address: f.listener.Addr(), conns: make(chan net.Conn), closed: make(chan struct{})}
@@ -117,10 +119,11 @@
 	}
 }
 
-// acceptRetryDelay follows a failed accept, such as one without a free descriptor.
+// acceptRetryDelay is the delay after a failed accept, such as one without a free file
+// descriptor.
 const acceptRetryDelay = 20 * time.Millisecond
 
-// accept passes connections to the newest server.
+// accept passes accepted connections to the newest server.
 func (f *Frontend) accept() {
 	for {
 		conn, err := f.listener.Accept()
@@ -139,7 +142,7 @@
 	}
 }
 
-// Close ends all connections.
+// Close closes the listener and all connections.
 func (f *Frontend) Close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -30,12 +30,12 @@
 	metrics    requestMetrics
 	inFlight   atomic.Int64
 	bodyMemory *bodyMemory
-	// runTimes holds the durations of runs at model servers by route.
+	// runTimes holds the mean duration of generate requests by route.
 	runTimes       *movingAverages
 	fetchEstimates *fetchEstimates
 }
 
-// requestMetrics are the metrics of requests.
+// requestMetrics are the metrics of client requests.
 type requestMetrics struct {
 	requests, answered, refused, failed, aborted, abandoned, resumed tally.Counter
 	duration, timeToFirstEvent                                       tally.Histogram
@@ -52,91 +52,94 @@
 	}
 }
 
-// New returns a gateway.
+// New returns a gateway that serves requests by the current view of views.
 func New(protocol Protocol, views *view.Sync, fleet *Fleet, client *upstream.Client, stages *StageRunner, placer *Placer, drain *Drain, logger *slog.Logger, scope tally.Scope) *Gateway {
 	return &Gateway{protocol: protocol, views: views, fleet: fleet, upstream: client, stages: stages, placer: placer, drain: drain, logger: logger, metrics: newRequestMetrics(scope), runTimes: newMovingAverages(), fetchEstimates: newFetchEstimates(), bodyMemory: newBodyMemory()}
 }
 
-// InFlight returns the number of requests under way.
+// InFlight returns the number of requests in flight.
 func (g *Gateway) InFlight() int64 { return g.inFlight.Load() }
 
-// defaultTimeout bounds requests of routes without a timeout whose client gives no
+// defaultTimeout bounds requests whose route has no timeout and whose client sets no
 // deadline.
 const defaultTimeout = 30 * time.Second
 
-// ServeHTTP serves one request.
+// ServeHTTP serves one client request. It panics with http.ErrAbortHandler to close
+// the connection of a client that is gone or whose answer broke off.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
 	g.metrics.requests.Inc(1)
-	a := &clientRequest{
+	c := &clientRequest{
 		Gateway: g, writer: w, request: r, arrived: time.Now(),
 		view: g.views.Current(), requestInfo: g.protocol.ReadRequest(r.Header),
 	}
-	a.deadline = a.arrived.Add(defaultTimeout)
-	defer a.releaseBody()
-	if !a.resolveRoute() || !a.readBody() {
+	c.deadline = c.arrived.Add(defaultTimeout)
+	defer c.releaseBody()
+	if !c.resolveRoute() || !c.readBody() {
 		return
 	}
-	ctx, cancel := context.WithDeadline(r.Context(), a.deadline)
+	ctx, cancel := context.WithDeadline(r.Context(), c.deadline)
 	defer cancel()
-	a.ctx = ctx
-	if !g.drain.Admits(a.route.Kind == route.Stream) {
-		a.refuse("draining", shortRetryAfter)
+	c.ctx = ctx
+	if !g.drain.Admits(c.route.Kind == route.Stream) {
+		c.refuse("draining", shortRetryAfter)
 		return
 	}
-	g.fleet.CountRequest(a.service.Name)
-	if a.service.Engine != nil {
-		a.serveEngine()
+	g.fleet.CountRequest(c.service.Name)
+	if c.service.Engine != nil {
+		c.serveEngine()
 		return
 	}
-	a.servePlain()
+	c.servePlain()
 }
 
-// resolveRoute finds what the configuration says of the request, or answers it.
-func (a *clientRequest) resolveRoute() bool {
-	if a.view == nil || a.view.Table == nil {
-		a.refuse("no configuration", longRetryAfter)
+// resolveRoute looks up the route, organisation, priority, deadline and service of the
+// request in the configuration. It returns false after it has answered the request
+// itself.
+func (c *clientRequest) resolveRoute() bool {
+	if c.view == nil || c.view.Table == nil {
+		c.refuse("no configuration", longRetryAfter)
 		return false
 	}
-	table := a.view.Table
-	path, _, _ := strings.Cut(a.request.RequestURI, "?")
-	a.route = table.Match(a.request.Host, path)
-	if a.route == nil {
-		a.fail(http.StatusNotFound, "no route", nil)
+	table := c.view.Table
+	path, _, _ := strings.Cut(c.request.RequestURI, "?")
+	c.route = table.Match(c.request.Host, path)
+	if c.route == nil {
+		c.fail(http.StatusNotFound, "no route", nil)
 		return false
 	}
-	a.priority = a.route.Priority
-	if table.KeysRequired() && !a.route.Public {
-		o := table.Organisation(a.requestInfo.Key)
+	c.priority = c.route.Priority
+	if table.KeysRequired() && !c.route.Public {
+		o := table.Organisation(c.requestInfo.Key)
 		if o == nil {
-			a.fail(http.StatusUnauthorized, "unknown key", nil)
+			c.fail(http.StatusUnauthorized, "unknown key", nil)
 			return false
 		}
-		a.organisation = o.Name
-		a.priority = combinedPriority(o, a.route)
+		c.organisation = o.Name
+		c.priority = combinedPriority(o, c.route)
 	}
-	wait := a.route.Timeout
-	if wait <= 0 {
-		wait = defaultTimeout
+	timeout := c.route.Timeout
+	if timeout <= 0 {
+		timeout = defaultTimeout
 	}
-	if a.requestInfo.HasTimeout {
-		wait = min(wait, a.requestInfo.Timeout)
+	if c.requestInfo.HasTimeout {
+		timeout = min(timeout, c.requestInfo.Timeout)
 	}
-	a.deadline = a.arrived.Add(wait)
-	a.service = table.Service(a.route.Choose(a.fleet.RandomFloat64()))
-	if a.service == nil {
-		a.refuse("no service", longRetryAfter)
+	c.deadline = c.arrived.Add(timeout)
+	c.service = table.Service(c.route.Choose(c.fleet.RandomFloat64()))
+	if c.service == nil {
+		c.refuse("no service", longRetryAfter)
 		return false
 	}
 	return true
 }
 
-// routePriorities is the number of priorities of routes within one of organisations.
+// routePriorities is the number of route priorities within each organisation priority.
 const routePriorities = 3
 
-// combinedPriority combines the priority of an organisation with that of a route, which counts
-// only between requests of equal organisations.
+// combinedPriority combines the priority of an organisation with that of a route. The
+// route's priority only orders requests of organisations with the same priority.
 func combinedPriority(o *route.Organisation, r *route.Route) int {
 	if !o.Ranked {
 		return r.Priority
@@ -144,32 +147,33 @@
 	return o.Priority*routePriorities + min(r.Priority, routePriorities-1)
 }
 
-// readBody reads the body, or answers the request.
-func (a *clientRequest) readBody() bool {
-	if a.request.ContentLength == 0 {
+// readBody reads the request body into memory. It returns false after it has answered
+// the request itself.
+func (c *clientRequest) readBody() bool {
+	if c.request.ContentLength == 0 {
 		return true
 	}
-	controller := http.NewResponseController(a.writer)
-	_ = controller.SetReadDeadline(a.deadline) // connections without deadlines wait for the client
-	reader := io.Reader(a.request.Body)
-	if limit := a.view.Table.Limits.BodyBytes; limit > 0 {
-		reader = http.MaxBytesReader(a.writer, a.request.Body, limit)
+	controller := http.NewResponseController(c.writer)
+	_ = controller.SetReadDeadline(c.deadline) // a connection without read deadlines waits for the client
+	reader := io.Reader(c.request.Body)
+	if limit := c.view.Table.Limits.BodyBytes; limit > 0 {
+		reader = http.MaxBytesReader(c.writer, c.request.Body, limit)
 	}
-	a.bodyReader = &bodyReader{memory: a.bodyMemory, reader: reader}
-	body, err := io.ReadAll(a.bodyReader)
+	c.bodyReader = &bodyReader{memory: c.bodyMemory, reader: reader}
+	body, err := io.ReadAll(c.bodyReader)
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.Is(err, errBodyMemoryFull):
-		a.refuse("memory for bodies is full", shortRetryAfter)
+		c.refuse("memory for bodies is full", shortRetryAfter)
 		return false
 	case errors.As(err, &tooLarge):
-		a.fail(http.StatusRequestEntityTooLarge, "body is too large", err)
+		c.fail(http.StatusRequestEntityTooLarge, "body is too large", err)
 		return false
 	case err != nil:
-		a.fail(http.StatusBadRequest, "body could not be read", err)
+		c.fail(http.StatusBadRequest, "body could not be read", err)
 		return false
 	}
 	_ = controller.SetReadDeadline(time.Time{})
-	a.body = body
+	c.body = body
 	return true
 }
--- a/internal/gateway/inputs.go
+++ b/internal/gateway/inputs.go
@@ -11,42 +11,44 @@
 	"github.com/coltsfootdrift/coltsfootdrift/stagework"
 )
 
-// chooseInputDomain returns the failure domain in which the inputs are made: that of the
-// model server for the prompt when they are large, otherwise one by the prompt's
-// shared part and the servers that make the largest inputs.
+// chooseInputDomain returns the failure domain in which the inputs should be produced.
+// For large inputs it is the one of the model server that the prompt would be placed
+// on. Otherwise it is chosen by the shared part of the prompt and the distribution of
+// the servers that produce the largest inputs.
 func (g *generateRequest) chooseInputDomain() string {
 	largest := g.largestInput()
 	if largest < 0 {
 		return ""
 	}
-	near, all := map[string]int{}, map[string]int{}
+	local, all := map[string]int{}, map[string]int{}
 	for _, s := range g.view.Servers[g.route.Stages[largest].Service] {
 		all[s.FailureDomain]++
 		if g.fleet.InRegion(s.FailureDomain) {
-			near[s.FailureDomain]++
+			local[s.FailureDomain]++
 		}
 	}
-	if len(near) == 0 {
-		near = all
+	if len(local) == 0 {
+		local = all
 	}
-	domain := engine.Domain(g.requestInfo.Prompt, near, g.fleet.RandomFloat64())
+	domain := engine.Domain(g.requestInfo.Prompt, local, g.fleet.RandomFloat64())
 	if g.inputBytes() < largeInputBytes {
 		return domain
 	}
 	placed, ok := g.placer.Place(g.ctx, g.requestInfo.ID, g.service.Name, engine.Query{
 		Prompt: g.requestInfo.Prompt, InputBytes: map[string]int64{domain: g.inputBytes()}, Excluded: g.tried, AskOnly: true,
 	})
-	if _, made := near[placed.FailureDomain]; ok && made {
+	if _, produces := local[placed.FailureDomain]; ok && produces {
 		return placed.FailureDomain
 	}
 	return domain
 }
 
-// largeInputBytes is the size of inputs from which they are made where the model server
-// that keeps the prompt stands.
+// largeInputBytes is the total size from which inputs are produced in the failure
+// domain of the model server that caches the prompt.
 const largeInputBytes = 100 << 10
 
-// largestInput returns the final stage with the largest results, -1 without stages.
+// largestInput returns the index of the final stage with the largest results, -1 when
+// there is none.
 func (g *generateRequest) largestInput() int {
 	largest := -1
 	for _, i := range g.graph.Final {
@@ -57,7 +59,7 @@
 	return largest
 }
 
-// inputBytes returns the approximate size of all inputs.
+// inputBytes returns the approximate total size of all inputs.
 func (g *generateRequest) inputBytes() (bytes int64) {
 	for _, i := range g.graph.Final {
 		bytes += int64(g.graph.Counts[i]) * g.route.Stages[i].ResultBytes
@@ -65,8 +67,8 @@
 	return bytes
 }
 
-// inputsByDomain returns the approximate size of the inputs that are held, by the
-// failure domain of their producers, which may not be the one that was chosen.
+// inputsByDomain returns the approximate size in bytes of the produced inputs by the
+// failure domain of their producers, which may differ from inputDomain.
 func (g *generateRequest) inputsByDomain() map[string]int64 {
 	bytes := map[string]int64{}
 	for input, stage := range g.allInputs() {
@@ -75,39 +77,40 @@
 	return bytes
 }
 
-// allInputs yields the inputs that are held with the stage that made each.
+// allInputs yields the handle of each produced input with the stage that produced it.
 func (g *generateRequest) allInputs() iter.Seq2[string, *route.Stage] {
 	return func(yield func(string, *route.Stage) bool) {
-		at := 0
+		next := 0
 		for _, i := range g.graph.Final {
 			for range g.graph.Counts[i] {
-				if !yield(g.inputs[at], &g.route.Stages[i]) {
+				if !yield(g.inputs[next], &g.route.Stages[i]) {
 					return
 				}
-				at++
+				next++
 			}
 		}
 	}
 }
 
-// domainOf returns the failure domain in which a result is held, or an empty string
-// when its producer is not registered any more.
+// domainOf returns the failure domain of the server that holds a result, or an empty
+// string when that server is no longer registered.
 func (g *generateRequest) domainOf(result string) string {
 	return g.views.Current().ByAddress[g.protocol.Producer(result)].FailureDomain
 }
 
-// crossDomainBytes returns the size of the inputs that are in other failure domains.
+// crossDomainBytes returns the size of the inputs that are in other failure domains
+// than the given one.
 func crossDomainBytes(inputs map[string]int64, domain string) (bytes int64) {
-	for at, size := range inputs {
-		if at != domain {
+	for inputDomain, size := range inputs {
+		if inputDomain != domain {
 			bytes += size
 		}
 	}
 	return bytes
 }
 
-// prepareInputs runs the stages unless their results are held. It returns false when the
-// request has its answer or must be tried again.
+// prepareInputs runs the stages unless their results exist. When ready is false, the
+// try is over, and ended says whether the request is too.
 func (g *generateRequest) prepareInputs() (ready, ended bool) {
 	if g.graph.Empty() || g.inputs != nil {
 		return true, false
@@ -145,8 +148,8 @@
 	return false, g.giveUp("stages: "+string(refused.Reason), refused.Wait, err)
 }
 
-// waitingContext returns the context of the request, which also ends when a shutdown
-// refuses the requests that were not sent yet.
+// waitingContext returns a context of the request that also ends when a shutdown
+// refuses the requests that are not sent yet.
 func (g *generateRequest) waitingContext() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(g.ctx)
 	stop := context.AfterFunc(g.drain.waitingCtx, cancel)
@@ -156,8 +159,9 @@
 	}
 }
 
-// stagesDeadline returns when the stages must end, so that a run of typical length
-// ends by the deadline and its first event comes while the client still waits.
+// stagesDeadline returns when the stages must end, so that a run of typical length at
+// the model server ends by the deadline and its first event arrives within the
+// client's patience.
 func (g *generateRequest) stagesDeadline(firstEvent time.Duration) time.Time {
 	end := g.deadline.Add(-max(firstEvent, g.runTimes.mean(g.route.Name)))
 	if patience := g.arrived.Add(g.route.Patience - firstEvent); g.route.Patience > 0 && patience.Before(end) {
@@ -166,8 +170,9 @@
 	return end
 }
 
-// producersLive reports whether the servers that hold the inputs are still
-// registered. Results end with their producer, at any moment after it has left.
+// producersLive reports whether the servers that hold the inputs are still registered.
+// Results are lost when their producer exits, which may be at any time after its
+// registration has ended.
 func (g *generateRequest) producersLive() bool {
 	current := g.views.Current()
 	for _, result := range g.inputs {
@@ -178,8 +183,8 @@
 	return true
 }
 
-// rerunStages gives up the inputs so that the next try makes them again, or ends the
-// request.
+// rerunStages frees the inputs so that the next try runs the stages again. It ends the
+// request when no rerun is left or too little time.
 func (g *generateRequest) rerunStages(reason string) bool {
 	g.freeInputs()
 	if g.stageReruns++; g.stageReruns > maxStageReruns || g.remaining() < minRetryTime {
@@ -188,7 +193,7 @@
 	return false
 }
 
-// freeInputs gives up the results that the request holds.
+// freeInputs frees the results that the request holds.
 func (g *generateRequest) freeInputs() {
 	if len(g.inputs) == 0 {
 		return
@@ -197,8 +202,8 @@
 	g.inputs = nil
 }
 
-// inputsByService returns the inputs by the service that made them, which counts the
-// room that they take.
+// inputsByService returns the handles of the inputs by the stage service that produced
+// them, as result memory is counted per service.
 func (g *generateRequest) inputsByService() map[string][]string {
 	results := map[string][]string{}
 	for input, stage := range g.allInputs() {
@@ -207,9 +212,9 @@
 	return results
 }
 
-// freeInputsWhenFetched gives up the inputs once the model server that the request is sent to
-// is expected to have fetched them. The returned function ends the wait and reports
-// whether they were given up.
+// freeInputsWhenFetched frees the inputs at the time by which the model server that the
+// request is sent to is expected to have fetched them. The returned function stops the
+// timer and reports whether the inputs were freed.
 func (g *generateRequest) freeInputsWhenFetched() (stop func() bool) {
 	if len(g.inputs) == 0 {
 		return func() bool { return false }
--- a/internal/gateway/logwriter.go
+++ b/internal/gateway/logwriter.go
@@ -12,8 +12,8 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/events"
 )
 
-// LogWriter passes log lines on without ever blocking their writer. Lines that
-// find its queue full are dropped and counted.
+// LogWriter writes log lines in the background, so that logging never blocks. Lines
+// are dropped and counted while its queue is full.
 type LogWriter struct {
 	lines   chan []byte
 	out     io.Writer
@@ -26,13 +26,13 @@
 const (
 	// maxQueuedLines bounds the lines that wait to be written.
 	maxQueuedLines = 4096
-	// targetBatchBytes is written at once.
+	// targetBatchBytes is the size from which a batch gets no more lines.
 	targetBatchBytes = 16 << 10
-	// dropReportInterval is how often dropped lines are reported.
+	// dropReportInterval is how often the number of dropped lines is logged.
 	dropReportInterval = 5 * time.Second
 )
 
-// NewLogWriter returns a writer to out. Close it at the end.
+// NewLogWriter returns a LogWriter that writes to out until it is closed.
 func NewLogWriter(out io.Writer) *LogWriter {
 	w := &LogWriter{lines: make(chan []byte, maxQueuedLines), out: out, closing: make(chan struct{}), done: make(chan struct{})}
 	go w.run()
@@ -64,13 +64,13 @@
 	}
 }
 
-// writeBatch writes a line and those that wait behind it.
+// writeBatch writes a line together with the queued lines after it.
 func (w *LogWriter) writeBatch(line []byte) {
 	batch := bytes.Clone(line)
 	for len(batch) < targetBatchBytes && len(w.lines) > 0 {
 		batch = append(batch, <-w.lines...)
 	}
-	_, _ = w.out.Write(batch) // there is nowhere to report it
+	_, _ = w.out.Write(batch) // an error of the log itself cannot be logged
 }
 
 // ReportDropped logs the number of dropped lines until the context ends.
@@ -82,7 +82,8 @@
 	})
 }
 
-// Close writes what is queued. Lines that are written afterwards are lost.
+// Close writes the queued lines and stops the writer. Lines that are written afterwards
+// are lost.
 func (w *LogWriter) Close() {
 	close(w.closing)
 	<-w.done
--- a/internal/gateway/movingaverages.go
+++ b/internal/gateway/movingaverages.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// newestWeight is the weight of the newest duration in a mean.
+// newestWeight is the weight of the newest duration in an exponential moving average.
 const newestWeight = 0.2
 
-// movingAverages are moving averages of durations by name.
+// movingAverages are exponential moving averages of durations by name.
 type movingAverages struct {
 	mu     sync.Mutex
 	byName map[string]time.Duration
@@ -16,7 +16,7 @@
 
 func newMovingAverages() *movingAverages { return &movingAverages{byName: map[string]time.Duration{}} }
 
-// observe takes a new duration.
+// observe adds a new duration to the average of a name.
 func (a *movingAverages) observe(name string, took time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -26,7 +26,7 @@
 	a.byName[name] = took
 }
 
-// mean returns the mean of a name, 0 when nothing was learnt.
+// mean returns the average of a name, 0 without observations.
 func (a *movingAverages) mean(name string) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/gateway/placementsharing.go
+++ b/internal/gateway/placementsharing.go
@@ -11,28 +11,29 @@
 )
 
 const (
-	// shareBatchDelay collects placements for the other regions.
+	// shareBatchDelay is how long placements are collected for one message to the other
+	// regions.
 	shareBatchDelay = 200 * time.Millisecond
-	// shareTimeout bounds the message to one of them. A lost one costs a prompt that
-	// is read again.
+	// shareTimeout bounds the message to one region. A lost message only costs that a
+	// model server there computes prompt parts that it could have copied.
 	shareTimeout = time.Second
-	// maxPendingShares bounds the placements of one message.
+	// maxPendingShares bounds the placements in one message. Further ones are dropped.
 	maxPendingShares = 1024
 )
 
-// queueShare tells the other regions soon what a model server will keep, so that their
-// servers copy it instead of reading it again.
+// queueShare queues a placement for the next message to the other regions, so that
+// their servers copy the prompt parts instead of computing them again.
 func (p *Placer) queueShare(service string, placed engine.Placement) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	waiting := p.pendingShares[service]
-	if len(waiting) >= maxPendingShares {
+	pending := p.pendingShares[service]
+	if len(pending) >= maxPendingShares {
 		return
 	}
-	if len(waiting) == 0 {
+	if len(pending) == 0 {
 		time.AfterFunc(shareBatchDelay, func() { p.sendShares(service) })
 	}
-	p.pendingShares[service] = append(waiting, &peerpb.SharedPlacement{Server: placed.Server, Parts: encodeParts(placed.New)})
+	p.pendingShares[service] = append(pending, &peerpb.SharedPlacement{Server: placed.Server, Parts: encodeParts(placed.New)})
 }
 
 func (p *Placer) sendShares(service string) {
@@ -53,8 +54,8 @@
 	}
 }
 
-// SharePlacements implements peer.PlacementHandler. The instance that places the
-// prompts of the region takes the message, or gets it from the one that was told.
+// SharePlacements implements peer.PlacementHandler. An instance that does not place the
+// prompts of the service forwards the message once to the one of its region that does.
 func (p *Placer) SharePlacements(request *peerpb.SharePlacementsRequest) {
 	address := p.cluster.Owners(placementKey(request.Service))[0]
 	if address != "" && !request.Forwarded {
--- a/internal/gateway/placer.go
+++ b/internal/gateway/placer.go
@@ -16,52 +16,55 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/upstream"
 )
 
-// placePromptTimeout bounds the question where a prompt goes; without an answer this
-// instance chooses by what it knows itself.
+// placePromptTimeout bounds the call to the instance that places prompts. When it
+// fails, this instance places the prompt by its own state.
 const placePromptTimeout = 100 * time.Millisecond
 
 const (
-	// restoreInterval is how often an instance looks whether it has become the one
-	// that places prompts.
+	// restoreInterval is how often an instance checks whether it has become the one that
+	// places the prompts of a service.
 	restoreInterval = 300 * time.Millisecond
-	// cacheReadTimeout bounds the question what a model server keeps.
+	// cacheReadTimeout bounds the call that reads the cached prompt parts of a model
+	// server.
 	cacheReadTimeout  = 400 * time.Millisecond
 	maxCacheListBytes = 4 << 20
 )
 
-// Placer chooses model servers. One instance of the region chooses for all, because
-// it alone knows what the others have placed.
+// Placer chooses model servers for prompts. One instance of the region places the
+// prompts of a service for all instances, so that it knows all placements.
 type Placer struct {
 	cluster *Cluster
 	client  *peer.Client
 	fleet   *Fleet
-	// upstream and protocol ask model servers what they keep.
+	// upstream and protocol read the cached prompt parts of model servers.
 	upstream *upstream.Client
 	protocol Protocol
 	logger   *slog.Logger
-	// restored holds the services whose prompts this instance places with what the
-	// servers keep. Only Restore uses it.
+	// restored holds the services whose prompts this instance places and whose servers'
+	// cached parts it has read. Only Restore uses it.
 	restored map[string]bool
 
 	mu sync.Mutex
-	// pendingShares holds by service what other regions are about to be told.
+	// pendingShares holds the placements that the next message to the other regions
+	// carries, by service.
 	pendingShares map[string][]*peerpb.SharedPlacement
 }
 
-// NewPlacer returns a placer.
+// NewPlacer returns a placer for the model servers of fleet.
 func NewPlacer(cluster *Cluster, client *peer.Client, fleet *Fleet, servers *upstream.Client, protocol Protocol, logger *slog.Logger) *Placer {
 	return &Placer{cluster: cluster, client: client, fleet: fleet, upstream: servers, protocol: protocol, logger: logger, restored: map[string]bool{}, pendingShares: map[string][]*peerpb.SharedPlacement{}}
 }
 
-// Restore asks the model servers what they keep for each service whose prompts this
-// instance begins to place: what the one before knew of them is lost.
+// Restore reads the cached prompt parts of the model servers of each service whose
+// prompts this instance has begun to place, because the state of the instance that
+// placed them before is lost.
 func (p *Placer) Restore(ctx context.Context) {
 	for _, service := range p.fleet.EngineServices() {
-		mine := p.cluster.Owners(placementKey(service))[0] == ""
-		if mine && !p.restored[service] {
+		owned := p.cluster.Owners(placementKey(service))[0] == ""
+		if owned && !p.restored[service] {
 			p.restore(ctx, service)
 		}
-		p.restored[service] = mine
+		p.restored[service] = owned
 	}
 }
 
@@ -101,10 +104,11 @@
 	return p.protocol.CachedParts(body)
 }
 
-// placementKey is hashed to the instance that places the prompts of a service.
+// placementKey returns the key whose owner places the prompts of a service.
 func placementKey(service string) string { return "place prompts of " + service }
 
-// Place chooses the model server for a prompt, or returns false when there is none.
+// Place chooses the model server for a prompt of the request with an ID. It returns
+// false when there is none.
 func (p *Placer) Place(ctx context.Context, id, service string, q engine.Query) (engine.Placement, bool) {
 	address := p.cluster.Owners(placementKey(service))[0]
 	if address == "" {
@@ -130,8 +134,8 @@
 	return placed, ok
 }
 
-// placeForRegion chooses a server as the instance that does so for the region, and
-// tells the other regions what the server will keep.
+// placeForRegion places a prompt for an instance of the region, and queues the prompt
+// parts that the server will cache for the other regions.
 func (p *Placer) placeForRegion(service string, q engine.Query) (engine.Placement, bool) {
 	placed, ok := p.placeLocally(service, q)
 	if len(placed.New) > 0 {
@@ -148,7 +152,7 @@
 	return &peerpb.PlacePromptResponse{Server: placed.Server, ExpectedUs: placed.Expected.Microseconds(), FailureDomain: placed.FailureDomain, CopyFrom: placed.CopyFrom}
 }
 
-// Report tells what became of a placement, here and where it was made.
+// Report records the outcome of a placement, here and at the instance that made it.
 func (p *Placer) Report(service string, r engine.Report) {
 	p.fleet.WithEngines(service, func(s *engine.Set) { s.Report(time.Now(), r) })
 	address := p.cluster.Owners(placementKey(service))[0]
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -13,56 +13,57 @@
 	"github.com/coltsfootdrift/coltsfootdrift/routing"
 )
 
-// maxUnsentTries bounds the servers that are tried without a byte being sent.
+// maxUnsentTries bounds the tries of one request that fail before a byte is sent.
 const maxUnsentTries = 3
 
-// plainSend is one send of a plain request.
+// plainSend is one send of a plain request to a server.
 type plainSend struct {
 	server  upstream.Server
 	index   routing.ServerIndex
 	started time.Time
 }
 
-// servePlain sends a request to a server of a plain service.
-func (a *clientRequest) servePlain() {
+// servePlain sends the request to a server of a plain service, and retries it on others
+// as far as the route allows.
+func (c *clientRequest) servePlain() {
 	var excluded []routing.ServerIndex
-	for unsent := 0; ; {
-		send, ok := a.pickServer(excluded)
+	for unsentTries := 0; ; {
+		send, ok := c.pickServer(excluded)
 		if !ok {
-			a.refuse("no server", longRetryAfter)
+			c.refuse("no server", longRetryAfter)
 			return
 		}
 		excluded = append(excluded, send.index)
-		answer, err := a.upstream.Send(a.ctx, send.server, a.outgoingRequest(send.server, SendInfo{}))
+		answer, err := c.upstream.Send(c.ctx, send.server, c.outgoingRequest(send.server, SendInfo{}))
 		switch {
-		case errors.Is(err, upstream.ErrNotSent) && !a.clientGone() && !a.expired():
-			a.finishSend(send, routing.Unreachable)
-			a.logSendFailed(send.server, 0, err)
-			if unsent++; unsent >= maxUnsentTries {
-				a.refuse("servers are not reached", shortRetryAfter)
+		case errors.Is(err, upstream.ErrNotSent) && !c.clientGone() && !c.expired():
+			c.finishSend(send, routing.Unreachable)
+			c.logSendFailed(send.server, 0, err)
+			if unsentTries++; unsentTries >= maxUnsentTries {
+				c.refuse("servers are not reached", shortRetryAfter)
 				return
 			}
 			continue
 		case err != nil:
-			a.sends++
-			if a.handlePlainSendError(send, err) {
+			c.sends++
+			if c.handlePlainSendError(send, err) {
 				return
 			}
 			continue
 		}
-		a.sends++
-		if a.handlePlainAnswer(send, answer) {
+		c.sends++
+		if c.handlePlainAnswer(send, answer) {
 			return
 		}
 	}
 }
 
-// pickServer chooses a server and counts the call.
-func (a *clientRequest) pickServer(excluded []routing.ServerIndex) (send plainSend, ok bool) {
+// pickServer chooses a server outside excluded and starts counting the call in its load.
+func (c *clientRequest) pickServer(excluded []routing.ServerIndex) (send plainSend, ok bool) {
 	now := time.Now()
 	var id string
-	a.fleet.WithPool(a.service.Name, func(pool *routing.Pool, random *rand.Rand) {
-		if send.index, ok = pool.Pick(now, random, newPlainQuery(a.remaining(), excluded)); ok {
+	c.fleet.WithPool(c.service.Name, func(pool *routing.Pool, random *rand.Rand) {
+		if send.index, ok = pool.Pick(now, random, newPlainQuery(c.remaining(), excluded)); ok {
 			id = pool.ID(send.index)
 			pool.Started(send.index, pipeline.ClassInteractive, now)
 		}
@@ -71,99 +72,101 @@
 		return send, false
 	}
 	send.started = now
-	server, known := a.fleet.Server(id)
+	server, known := c.fleet.Server(id)
 	if !known {
-		a.finishSend(send, routing.Refused)
+		c.finishSend(send, routing.Refused)
 		return send, false
 	}
 	send.server = server
-	a.log(events.AttemptSent, slog.String("server", id), slog.String("route", a.route.Name), slog.Int("try", len(excluded)+1),
-		slog.Int64("left_ms", a.remaining().Milliseconds()), slog.Int64("view", a.viewVersion()))
+	c.log(events.AttemptSent, slog.String("server", id), slog.String("route", c.route.Name), slog.Int("try", len(excluded)+1),
+		slog.Int64("left_ms", c.remaining().Milliseconds()), slog.Int64("view", c.viewVersion()))
 	return send, true
 }
 
-// finishSend ends the count of a call.
-func (a *clientRequest) finishSend(send plainSend, outcome routing.Outcome) {
+// finishSend records the outcome of a call and stops counting it in the server's load.
+func (c *clientRequest) finishSend(send plainSend, outcome routing.Outcome) {
 	now := time.Now()
-	a.fleet.WithPool(a.service.Name, func(pool *routing.Pool, _ *rand.Rand) {
+	c.fleet.WithPool(c.service.Name, func(pool *routing.Pool, _ *rand.Rand) {
 		pool.Finished(send.index, pipeline.ClassInteractive, routing.Result{Outcome: outcome, Latency: now.Sub(send.started)}, now)
 	})
 }
 
-func (a *clientRequest) logSendFailed(server upstream.Server, status int, err error) {
+func (c *clientRequest) logSendFailed(server upstream.Server, status int, err error) {
 	attrs := []slog.Attr{slog.String("server", server.ID), slog.Int("status", status)}
 	if err != nil {
 		attrs = append(attrs, slog.Any("error", err))
 	}
-	a.log(events.AttemptFailed, attrs...)
+	c.log(events.AttemptFailed, attrs...)
 }
 
-// handlePlainSendError handles a send without a whole answer. It returns true when the
-// request is answered.
-func (a *clientRequest) handlePlainSendError(send plainSend, err error) bool {
-	if a.clientGone() || a.expired() {
-		a.finishSend(send, routing.Abandoned)
-		a.endUnanswered()
+// handlePlainSendError handles a send without a complete answer. It returns true when
+// the request is answered.
+func (c *clientRequest) handlePlainSendError(send plainSend, err error) bool {
+	if c.clientGone() || c.expired() {
+		c.finishSend(send, routing.Abandoned)
+		c.endUnanswered()
 		return true
 	}
-	a.mayHaveRun = true
-	a.finishSend(send, routing.Failed)
-	a.logSendFailed(send.server, 0, err)
-	if a.route.Repeatable() && a.mayRetry() {
+	c.mayHaveRun = true
+	c.finishSend(send, routing.Failed)
+	c.logSendFailed(send.server, 0, err)
+	if c.route.Repeatable() && c.mayRetry() {
 		return false
 	}
-	a.fail(http.StatusBadGateway, "no answer from the backend server", err)
+	c.fail(http.StatusBadGateway, "no answer from the backend server", err)
 	return true
 }
 
-// handlePlainAnswer handles an answer. It returns true when the request is answered.
-func (a *clientRequest) handlePlainAnswer(send plainSend, answer *upstream.Answer) bool {
+// handlePlainAnswer handles the answer of a server. It returns true when the request is
+// answered, and false when it is to be retried.
+func (c *clientRequest) handlePlainAnswer(send plainSend, answer *upstream.Answer) bool {
 	defer answer.Close()
-	info := a.protocol.ReadAnswer(answer.Status, answer.Header)
+	info := c.protocol.ReadAnswer(answer.Status, answer.Header)
 	if info.Load != nil {
-		a.fleet.WithPool(a.service.Name, func(pool *routing.Pool, _ *rand.Rand) { pool.Report(send.index, *info.Load, time.Now()) })
+		c.fleet.WithPool(c.service.Name, func(pool *routing.Pool, _ *rand.Rand) { pool.Report(send.index, *info.Load, time.Now()) })
 	}
 	if info.NotRun {
-		a.finishSend(send, routing.Refused)
-		a.logSendFailed(send.server, answer.Status, nil)
-		if a.mayRetry() {
+		c.finishSend(send, routing.Refused)
+		c.logSendFailed(send.server, answer.Status, nil)
+		if c.mayRetry() {
 			return false
 		}
-		a.refuse("servers are full", longRetryAfter)
+		c.refuse("servers are full", longRetryAfter)
 		return true
 	}
-	a.mayHaveRun = true
+	c.mayHaveRun = true
 	if answer.Status >= http.StatusInternalServerError {
-		a.finishSend(send, routing.Failed)
-		a.logSendFailed(send.server, answer.Status, nil)
-		if a.route.Repeatable() && a.mayRetry() {
+		c.finishSend(send, routing.Failed)
+		c.logSendFailed(send.server, answer.Status, nil)
+		if c.route.Repeatable() && c.mayRetry() {
 			return false
 		}
 	} else {
-		a.finishSend(send, routing.Answered)
+		c.finishSend(send, routing.Answered)
 	}
 	if impliesNotRun(answer.Status) {
-		a.fail(http.StatusBadGateway, "backend server refused without saying that it did not run", nil)
+		c.fail(http.StatusBadGateway, "backend server refused without saying that it did not run", nil)
 		return true
 	}
-	err := a.forwardAnswer(answer, send.server.ID)
+	err := c.forwardAnswer(answer, send.server.ID)
 	if err == nil {
 		return true
 	}
-	if a.clientGone() || a.expired() {
-		a.endUnanswered()
+	if c.clientGone() || c.expired() {
+		c.endUnanswered()
 		return true
 	}
-	a.logSendFailed(send.server, answer.Status, err)
-	if a.route.Repeatable() && a.mayRetry() {
+	c.logSendFailed(send.server, answer.Status, err)
+	if c.route.Repeatable() && c.mayRetry() {
 		return false
 	}
-	a.fail(http.StatusBadGateway, "answer of the backend server broke off", err)
+	c.fail(http.StatusBadGateway, "answer of the backend server broke off", err)
 	return true
 }
 
-// impliesNotRun reports whether a status tells clients that a request has not run. A
-// server that does not promise it itself may have run the request.
+// impliesNotRun reports whether clients take a status to mean that the request has not
+// run. A server that answers with it may have run the request nevertheless, unless the
+// answer's headers state that it did not.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -1,6 +1,6 @@
-// Package gateway serves clients on the users' platform: it takes a request from
-// its connection, plans it by one snapshot of the configuration, runs its stages,
-// sends it to a backend server and passes the answer back.
+// Package gateway serves HTTP clients: it routes each request by one snapshot of the
+// configuration, runs the stages of its route, forwards it to a backend server and
+// passes the answer back. Protocol adapts it to the platform that it runs on.
 package gateway
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/coltsfootdrift/coltsfootdrift/stagework"
 )
 
-// RequestInfo is what the headers of a client's request ask for.
+// RequestInfo is what the headers of a client request say.
 type RequestInfo struct {
 	// ID is the client's ID of this attempt.
 	ID string
@@ -23,34 +23,37 @@
 	// Timeout is how long the client waits; Bounded is false when it did not say.
 	Timeout    time.Duration
 	HasTimeout bool
-	// Prompt holds the prompt's parts; the last one is its own.
+	// Prompt holds the parts of the prompt. The last one is specific to the request.
 	Prompt []engine.Part
-	// LastEventID is the last event of a stream that the client has.
+	// LastEventID is the ID of the last event that the client has received of a stream.
 	LastEventID string
-	// PieceCounts holds the number of pieces of each stage, PieceKey their key.
+	// PieceCounts holds the number of pieces of each stage. PieceKey is the key that is
+	// sent with each piece.
 	PieceCounts []int
 	PieceKey    string
 }
 
-// SendInfo is what the system adds to a request to a backend server.
+// SendInfo is what the gateway adds to a request that it sends to a backend server.
 type SendInfo struct {
-	// Server is the ID of the server that is meant.
-	Server       string
+	// Server is the ID of the server that the request is sent to.
+	Server string
+	// Remaining is the time left until the deadline of the request.
 	Remaining    time.Duration
 	Organisation string
-	// Urgency is the rank at a model server, nil for other servers.
+	// Urgency is the request's rank at a model server, 0 being the first; nil for other
+	// servers.
 	Urgency     *int
 	LastEventID string
-	// Inputs are the handles of the results that a model server takes.
+	// Inputs are the handles of the stage results that a model server fetches.
 	Inputs []string
-	// CopyFrom is the address of a model server from which the one that is meant
-	// copies what it lacks of the prompt; empty for none.
+	// CopyFrom is the address of a model server from which the receiving one copies the
+	// prompt parts that it lacks; empty for none.
 	CopyFrom string
 }
 
 // AnswerInfo is what the headers of an answer say.
 type AnswerInfo struct {
-	// NotRun answers promise that the request has not run.
+	// NotRun is true when the answer states that the request has not run.
 	NotRun bool
 	// InputsLost is true when an input of the request does not exist any more.
 	InputsLost bool
@@ -68,22 +71,27 @@
 	Inputs    []string
 }
 
-// Protocol is the platform's form of requests and entries.
+// Protocol translates requests, answers and store entries from and to the platform's
+// wire format.
 type Protocol interface {
 	view.Decoder
 	ReadRequest(http.Header) RequestInfo
-	// WriteRequest removes the headers that only the system may set and sets them.
+	// WriteRequest sets the headers that only the gateway may set, and removes what the
+	// client sent in them.
 	WriteRequest(http.Header, SendInfo)
-	// WriteLocalAnswer sets the headers of an answer that the gateway itself gives.
+	// WriteLocalAnswer sets the headers of an answer that the gateway itself generates to
+	// the attempt with an ID.
 	WriteLocalAnswer(header http.Header, id string)
-	// Belongs reports whether an answer is the one to the request with an ID.
+	// Belongs reports whether an answer belongs to the attempt with an ID.
 	Belongs(header http.Header, id string) bool
 	ReadAnswer(status int, header http.Header) AnswerInfo
+	// StageCall returns the request that runs pieces of a stage on a server.
 	StageCall(upstream.Server, []Piece) (*upstream.Request, error)
 	// StageOutcomes reads the answer to a call of n pieces.
 	StageOutcomes(status int, header http.Header, body []byte, n int) ([]stagework.Outcome, error)
+	// FreeCall returns the request that frees results on the server that holds them.
 	FreeCall(server upstream.Server, results []string) (*upstream.Request, error)
-	// CacheCall asks a model server which prompt parts it keeps.
+	// CacheCall returns the request that lists the cached prompt parts of a model server.
 	CacheCall(upstream.Server) *upstream.Request
 	// CachedParts reads the answer to a CacheCall.
 	CachedParts(body []byte) ([]engine.Part, error)
--- a/internal/gateway/resultfreer.go
+++ b/internal/gateway/resultfreer.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// freeCallDelay collects results of one producer into one call.
+	// freeCallDelay is how long results of one producer are collected for one call.
 	freeCallDelay   = 4 * time.Millisecond
 	freeCallTimeout = 500 * time.Millisecond
 )
 
-// ResultFreer gives up results at the servers that hold them. A result whose call fails
-// ends with its life.
+// ResultFreer frees results at the servers that hold them. A result whose call fails
+// stays until its time to live ends.
 type ResultFreer struct {
 	protocol Protocol
 	upstream *upstream.Client
@@ -29,20 +29,20 @@
 	pending map[string]*pendingFree
 }
 
-// pendingFree is the results that one producer is about to give up.
+// pendingFree holds the results that the next call to one producer frees.
 type pendingFree struct {
 	results []string
-	// onFreed are told once the producer has given them up.
+	// onFreed are called once the producer has freed the results.
 	onFreed []func()
 }
 
-// NewResultFreer returns a Freer that finds servers by their address.
+// NewResultFreer returns a ResultFreer that looks up servers by address in servers.
 func NewResultFreer(protocol Protocol, client *upstream.Client, servers func(address string) (upstream.Server, bool), logger *slog.Logger) *ResultFreer {
 	return &ResultFreer{protocol: protocol, upstream: client, serverAt: servers, logger: logger, pending: map[string]*pendingFree{}}
 }
 
-// Free gives up results soon. Done is called for each producer with those that it has
-// given up.
+// Free frees results after freeCallDelay. Done is called once for each producer with
+// the results that it has freed.
 func (f *ResultFreer) Free(results []string, done func(freed []string)) {
 	byProducer := map[string][]string{}
 	for _, result := range results {
@@ -68,7 +68,7 @@
 	waiting := f.pending[producer]
 	delete(f.pending, producer)
 	f.mu.Unlock()
-	// Without a server its results are gone with it.
+	// The results of a server that is no longer registered are gone with it.
 	if server, ok := f.serverAt(producer); ok {
 		if err := f.send(server, waiting.results); err != nil {
 			events.FreeFailed.Log(context.Background(), f.logger, slog.String("server", server.ID), slog.Int("results", len(waiting.results)), slog.Any("error", err))
--- a/internal/gateway/servicequeue.go
+++ b/internal/gateway/servicequeue.go
@@ -8,31 +8,33 @@
 	"github.com/coltsfootdrift/coltsfootdrift/stagework"
 )
 
-// serviceQueue is the queue of one stage service with the jobs that wait in it.
+// serviceQueue is the queue of one stage service with its waiting jobs.
 type serviceQueue struct {
 	service string
 
 	mu    sync.Mutex
 	queue *stagework.Queue
 	jobs  map[stagework.JobID]*stageJob
-	// pending holds the jobs that a peer will await again.
+	// pending holds the jobs that no call waits for at present. Their requesters are
+	// expected to call AwaitStage again.
 	pending map[stagework.JobID]*stageJob
 	lastID  stagework.JobID
-	// expiryScheduled is true while a review of waiting jobs is scheduled.
+	// expiryScheduled is true while the timer of scheduleExpiry runs.
 	expiryScheduled bool
 }
 
-// stageJob is a job with what its pieces need.
+// stageJob is a job with the request that it came from.
 type stageJob struct {
 	request  *peerpb.RunStageRequest
 	deadline time.Time
 	done     chan stagework.Done
-	// fetched is closed when the inputs may be freed. It is nil when the requester
-	// does not ask for that.
+	// fetched is closed when the inputs may be freed. It is nil when the requester does
+	// not need to know.
 	fetched chan struct{}
-	// fetchReported is true once the requester knows. Only the call that awaits the job uses it.
+	// fetchReported is true once a response has said that the inputs may be freed. Only
+	// the call that awaits the job uses it.
 	fetchReported bool
-	// abandonTimer cancels the job unless it is awaited again in time.
+	// abandonTimer cancels the job unless AwaitStage is called in time.
 	abandonTimer *time.Timer
 }
 
@@ -43,62 +45,63 @@
 	}
 }
 
-// addQueueState adds to a response how long a new piece waits and whether memory for results
-// is short.
-func (w *serviceQueue) addQueueState(response *peerpb.RunStageResponse) *peerpb.RunStageResponse {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// addQueueState adds to a response how long a new piece waits and whether memory for
+// results is short.
+func (q *serviceQueue) addQueueState(response *peerpb.RunStageResponse) *peerpb.RunStageResponse {
+	q.mu.Lock()
+	defer q.mu.Unlock()
 	now := time.Now()
-	response.WaitMs, response.RoomShort = w.queue.Wait(now).Milliseconds(), w.queue.RoomShort(now)
+	response.WaitMs, response.RoomShort = q.queue.Wait(now).Milliseconds(), q.queue.RoomShort(now)
 	return response
 }
 
-// scheduleInputsFetched schedules the message that the inputs of jobs were fetched. It is called with
-// the lock held.
-func (w *serviceQueue) scheduleInputsFetched(call stagework.Call) {
+// scheduleInputsFetched closes the fetched channel of each job whose last waiting pieces
+// are in a call, once the call has had time to fetch the inputs. It is called with the
+// lock held.
+func (q *serviceQueue) scheduleInputsFetched(call stagework.Call) {
 	for _, id := range call.Begun {
-		job := w.jobs[id]
+		job := q.jobs[id]
 		if job == nil || !job.request.TellFetched {
 			continue
 		}
 		time.AfterFunc(call.FetchTime, func() {
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			if w.queue.InputsFetched(id, call.ID) {
+			q.mu.Lock()
+			defer q.mu.Unlock()
+			if q.queue.InputsFetched(id, call.ID) {
 				close(job.fetched)
 			}
 		})
 	}
 }
 
-// enqueue puts a job into the queue, or returns why it is refused.
-func (w *serviceQueue) enqueue(now time.Time, job *stageJob) (stagework.JobID, stagework.Refusal) {
+// enqueue adds a job to the queue and returns its ID, or returns why it is refused.
+func (q *serviceQueue) enqueue(now time.Time, job *stageJob) (stagework.JobID, stagework.Refusal) {
 	r := job.request
 	job.deadline = now.Add(time.Duration(r.DeadlineMs) * time.Millisecond)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.lastID++
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.lastID++
 	pieces := make([]int, len(r.Pieces))
 	for i, p := range r.Pieces {
 		pieces[i] = int(p)
 	}
-	refusal, ok := w.queue.Offer(now, stagework.Job{
-		ID: w.lastID, Pieces: pieces, ResultBytes: r.ResultBytes, Priority: int(r.Priority),
+	refusal, ok := q.queue.Offer(now, stagework.Job{
+		ID: q.lastID, Pieces: pieces, ResultBytes: r.ResultBytes, Priority: int(r.Priority),
 		Due:      now.Add(time.Duration(r.DueMs) * time.Millisecond),
 		Deadline: job.deadline, FailureDomain: r.FailureDomain, Started: r.Started, InputBytes: r.InputBytes,
 	})
 	if !ok {
 		return 0, refusal
 	}
-	w.jobs[w.lastID] = job
-	return w.lastID, ""
+	q.jobs[q.lastID] = job
+	return q.lastID, ""
 }
 
-// pieces returns what a call sends. It is called with the lock held.
-func (w *serviceQueue) pieces(call stagework.Call, now time.Time) []Piece {
+// pieces returns the pieces that a call sends. It is called with the lock held.
+func (q *serviceQueue) pieces(call stagework.Call, now time.Time) []Piece {
 	pieces := make([]Piece, len(call.Items))
 	for i, item := range call.Items {
-		job := w.jobs[item.Job]
+		job := q.jobs[item.Job]
 		if job == nil {
 			continue
 		}
--- a/internal/gateway/settingswatcher.go
+++ b/internal/gateway/settingswatcher.go
@@ -11,9 +11,8 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/settings"
 )
 
-// settingsWatcher follows the settings file. Addresses and names hold from the start to
-// the end of a process, so a change of them is reported and takes effect with the
-// next start.
+// settingsWatcher watches the settings file. A process keeps its addresses and names
+// until it ends, so a change of them is logged and takes effect after a restart.
 type settingsWatcher struct {
 	path   string
 	logger *slog.Logger
@@ -31,8 +30,8 @@
 	return &settingsWatcher{path: path, logger: logger, data: data, current: s}
 }
 
-// check reads the file again and reports a change, with always also an unchanged
-// file.
+// check reads the file again and logs a change. With always it logs an unchanged file
+// too.
 func (r *settingsWatcher) check(always bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/gateway/stagecalls.go
+++ b/internal/gateway/stagecalls.go
@@ -10,28 +10,28 @@
 	"github.com/coltsfootdrift/coltsfootdrift/stagework"
 )
 
-// startCalls starts the calls that can be made now.
-func (s *StageScheduler) startCalls(w *serviceQueue) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// startCalls starts the calls of a queue that can be made now.
+func (s *StageScheduler) startCalls(q *serviceQueue) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
 	for {
-		call, ok := w.queue.Next(time.Now())
+		call, ok := q.queue.Next(time.Now())
 		if !ok {
 			return
 		}
-		w.scheduleInputsFetched(call)
-		go s.runCall(w, call, w.pieces(call, time.Now()))
+		q.scheduleInputsFetched(call)
+		go s.runCall(q, call, q.pieces(call, time.Now()))
 	}
 }
 
-// runCall makes one call and takes its outcome.
-func (s *StageScheduler) runCall(w *serviceQueue, call stagework.Call, pieces []Piece) {
+// runCall makes one call and applies its outcomes to the queue.
+func (s *StageScheduler) runCall(q *serviceQueue, call stagework.Call, pieces []Piece) {
 	started := time.Now()
 	outcomes, err := s.sendCall(call, pieces)
 	s.calls.Inc(1)
 	s.callTime.Record(time.Since(started))
 	attrs := []slog.Attr{
-		slog.String("service", w.service), slog.String("server", call.Server), slog.Int("pieces", len(pieces)), slog.Int("crossing", call.Crossing),
+		slog.String("service", q.service), slog.String("server", call.Server), slog.Int("pieces", len(pieces)), slog.Int("crossing", call.Crossing),
 		slog.Int("waiting", call.Waiting), slog.Int64("room_left", call.RoomLeft),
 		slog.Int64("took_ms", time.Since(started).Milliseconds()), slog.String("outcome", worstOutcome(outcomes)),
 	}
@@ -40,15 +40,15 @@
 		attrs = append(attrs, slog.Any("error", err))
 	}
 	events.StageCallEnded.Log(context.Background(), s.logger, attrs...)
-	w.mu.Lock()
-	effects := w.queue.Finished(time.Now(), call.ID, outcomes)
-	w.mu.Unlock()
-	s.applyEffects(w, effects)
-	s.startCalls(w)
+	q.mu.Lock()
+	effects := q.queue.Finished(time.Now(), call.ID, outcomes)
+	q.mu.Unlock()
+	s.applyEffects(q, effects)
+	s.startCalls(q)
 }
 
-// sendCall sends a call and reads its outcomes, of which there is always one for
-// each piece.
+// sendCall sends a call and returns its outcomes, one for each piece even when it also
+// returns an error.
 func (s *StageScheduler) sendCall(call stagework.Call, pieces []Piece) ([]stagework.Outcome, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), call.Timeout)
 	defer cancel()
@@ -76,7 +76,7 @@
 	return outcomes, nil
 }
 
-// worstOutcome names the worst outcome of a call.
+// worstOutcome returns the name of the worst status among the outcomes of a call.
 func worstOutcome(outcomes []stagework.Outcome) string {
 	worst := stagework.Produced
 	for _, o := range outcomes {
--- a/internal/gateway/stagerequest.go
+++ b/internal/gateway/stagerequest.go
@@ -14,31 +14,31 @@
 )
 
 const (
-	// peerAnswerTimeout is how long an instance that forms calls may stay silent: it
-	// answers within pendingAfter even when the stage has not ended. The rest leaves
-	// a slow machine time.
+	// peerAnswerTimeout bounds one call to the owner of a service, which answers after
+	// awaitPollTimeout at the latest, even when the stage has not ended. The rest is a
+	// margin for slow machines.
 	peerAnswerTimeout = awaitPollTimeout + 350*time.Millisecond
-	// maxOwners is the number of instances that are asked for one stage.
+	// maxOwners bounds the instances that one stage is sent to in turn.
 	maxOwners = 3
 )
 
-// requestStage has a stage run by the instance that forms the calls of its service, or by
-// the next one when that does not answer.
+// requestStage has stage i run by the instance that owns its service, or by the next
+// one in the order of owners when that does not answer.
 func (r *stageRun) requestStage(ctx context.Context, i int, inputs []string) ([]string, error) {
 	stage := r.Route.Stages[i]
-	callers := r.cluster.Owners(stage.Service)
-	callers = callers[:min(maxOwners, len(callers))]
-	var failed error
-	for try, address := range callers {
+	owners := r.cluster.Owners(stage.Service)
+	owners = owners[:min(maxOwners, len(owners))]
+	var lastErr error
+	for try, address := range owners {
 		started := time.Now()
 		request := r.newRunStageRequest(i, inputs)
-		request.Forced = try == len(callers)-1
+		request.Forced = try == len(owners)-1
 		response, err := r.requestFrom(ctx, address, i, request)
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
 		if err != nil {
-			failed = err
+			lastErr = err
 			r.cluster.Avoid(address)
 			events.StagePeerFailed.Log(ctx, r.logger, slog.String("id", r.RequestID), slog.Int("stage", i), slog.String("address", address),
 				slog.Int64("waited_ms", time.Since(started).Milliseconds()), slog.Any("error", err))
@@ -61,26 +61,26 @@
 		}
 		return response.Results, nil
 	}
-	return nil, errors.Join(&RefusedError{Stage: i, Reason: stagework.RefusedFailed}, failed)
+	return nil, errors.Join(&RefusedError{Stage: i, Reason: stagework.RefusedFailed}, lastErr)
 }
 
-// newRunStageRequest describes a stage to the instance that runs it.
+// newRunStageRequest returns the request that has stage i run.
 func (r *stageRun) newRunStageRequest(i int, inputs []string) *peerpb.RunStageRequest {
 	stage := r.Route.Stages[i]
 	r.mu.Lock()
-	tail, begun := r.progress.Tail(i), r.progress.AnyEnded()
+	tail, started := r.progress.Tail(i), r.progress.AnyEnded()
 	r.mu.Unlock()
 	request := &peerpb.RunStageRequest{
 		Service: stage.Service, RequestId: r.RequestID, Stage: int32(i), Key: r.Key, Inputs: inputs,
 		ResultBytes: stage.ResultBytes, Priority: int32(r.Priority),
 		DueMs:      time.Until(r.Due.Add(-tail)).Milliseconds(),
 		DeadlineMs: min(time.Until(r.Deadline.Add(-tail)), r.inputLifetime(i)).Milliseconds(),
-		Started:    begun,
+		Started:    started,
 	}
 	for _, j := range r.Graph.After[i] {
-		before := r.Route.Stages[j]
-		request.InputBytes += int64(r.Graph.Counts[j]) * before.ResultBytes
-		request.TellFetched = request.TellFetched || r.resultMemoryShort(before.Service)
+		producer := r.Route.Stages[j]
+		request.InputBytes += int64(r.Graph.Counts[j]) * producer.ResultBytes
+		request.TellFetched = request.TellFetched || r.resultMemoryShort(producer.Service)
 	}
 	request.FailureDomain = r.preferredDomain(request)
 	for piece := range r.Graph.Counts[i] {
@@ -89,38 +89,39 @@
 	return request
 }
 
-// preferredDomain returns the failure domain in which a stage should run: where most of its
-// inputs are, as each piece fetches all of them, or where its results are used when
-// those are larger.
+// preferredDomain returns the failure domain in which a stage should run: the one that
+// holds most of its inputs, as each piece fetches all of them, or the one where its
+// results are used when those are larger.
 func (r *stageRun) preferredDomain(request *peerpb.RunStageRequest) string {
 	if request.InputBytes <= request.ResultBytes {
 		return r.FailureDomain
 	}
-	held := map[string]int{}
-	most := r.FailureDomain
+	inputs := map[string]int{}
+	preferred := r.FailureDomain
 	for _, input := range request.Inputs {
-		at := r.DomainOf(input)
-		if held[at]++; held[at] > held[most] {
-			most = at
+		domain := r.DomainOf(input)
+		if inputs[domain]++; inputs[domain] > inputs[preferred] {
+			preferred = domain
 		}
 	}
-	return most
+	return preferred
 }
 
-// inputLifetime returns how long the inputs of a stage are kept, if they were made just
-// now. A stage that waits longer would find them gone.
+// inputLifetime returns how long the inputs of stage i are kept when they have just
+// been produced. A stage that waits longer would find them gone.
 func (r *stageRun) inputLifetime(i int) time.Duration {
-	life := time.Duration(math.MaxInt64)
+	lifetime := time.Duration(math.MaxInt64)
 	for _, j := range r.Graph.After[i] {
 		if producer := r.Table.Service(r.Route.Stages[j].Service); producer != nil && producer.Work != nil && producer.Work.ResultLife > 0 {
-			life = min(life, producer.Work.ResultLife)
+			lifetime = min(lifetime, producer.Work.ResultLife)
 		}
 	}
-	return life
+	return lifetime
 }
 
-// requestFrom asks one instance, or this one for an empty address, until the stage has
-// ended. An instance that stays silent is given up.
+// requestFrom has a stage run by the instance at an address, or by this one for an
+// empty address, and polls until the stage has ended. It returns an error when a call
+// is not answered in time.
 func (r *stageRun) requestFrom(ctx context.Context, address string, i int, request *peerpb.RunStageRequest) (*peerpb.RunStageResponse, error) {
 	response, err := r.callRunStage(ctx, address, request)
 	for err == nil && response.Pending != 0 {
--- a/internal/gateway/stagerun.go
+++ b/internal/gateway/stagerun.go
@@ -11,7 +11,7 @@
 	"github.com/coltsfootdrift/coltsfootdrift/stagework"
 )
 
-// StagePlan is the stages of one request.
+// StagePlan describes the stages to run for one request.
 type StagePlan struct {
 	RequestID string
 	Key       string
@@ -19,65 +19,65 @@
 	Route     *route.Route
 	Graph     route.Graph
 	Priority  int
-	// Due and Deadline are when the last stage should and must end.
+	// Due is when the last stage should end, Deadline when it must end.
 	Due      time.Time
 	Deadline time.Time
-	// FailureDomain is where the model server stands.
+	// FailureDomain is where the final results are used.
 	FailureDomain string
 	// DomainOf returns the failure domain in which a result is held.
 	DomainOf func(result string) string
 }
 
-// stageRun is the state of a chain.
+// stageRun is the state of the stages of one request.
 type stageRun struct {
 	*StageRunner
 	StagePlan
 	ended   []chan struct{}
 	mu      sync.Mutex
 	results [][]string
-	// consumers counts the stages that still need the results of each stage.
+	// consumers counts for each stage the stages that still need its results.
 	consumers []int
-	// inputsFreed holds the stages whose inputs are not needed any more.
+	// inputsFreed is true for the stages that no longer need their inputs.
 	inputsFreed []bool
 	progress    *stagework.Progress
 	// changed is closed and replaced whenever a stage ends.
 	changed chan struct{}
 }
 
-// Run runs all stages and returns the handles of the final results. After an error
-// nothing is held.
-func (s *StageRunner) Run(ctx context.Context, chain StagePlan) ([]string, error) {
-	n := len(chain.Route.Stages)
+// Run runs all stages of a plan and returns the handles of the final results. After an
+// error it has freed all results.
+func (s *StageRunner) Run(ctx context.Context, plan StagePlan) ([]string, error) {
+	n := len(plan.Route.Stages)
 	r := &stageRun{
-		StageRunner: s, StagePlan: chain, ended: make([]chan struct{}, n), results: make([][]string, n), consumers: make([]int, n), inputsFreed: make([]bool, n),
-		progress: stagework.NewProgress(chain.Graph.After, chain.Graph.Counts), changed: make(chan struct{}),
+		StageRunner: s, StagePlan: plan, ended: make([]chan struct{}, n), results: make([][]string, n), consumers: make([]int, n), inputsFreed: make([]bool, n),
+		progress: stagework.NewProgress(plan.Graph.After, plan.Graph.Counts), changed: make(chan struct{}),
 	}
 	for i := range n {
 		r.ended[i] = make(chan struct{})
-		for _, j := range chain.Graph.After[i] {
+		for _, j := range plan.Graph.After[i] {
 			r.consumers[j]++
 		}
 	}
 	group, groupCtx := errgroup.WithContext(ctx)
-	for i, count := range chain.Graph.Counts {
+	for i, count := range plan.Graph.Counts {
 		if count > 0 {
 			group.Go(func() error { return r.runStage(groupCtx, i) })
 		}
 	}
 	if err := group.Wait(); err != nil {
 		for i := range n {
-			s.Free(chain.Route.Stages[i].Service, r.results[i])
+			s.Free(plan.Route.Stages[i].Service, r.results[i])
 		}
 		return nil, err
 	}
 	var final []string
-	for _, i := range chain.Graph.Final {
+	for _, i := range plan.Graph.Final {
 		final = append(final, r.results[i]...)
 	}
 	return final, nil
 }
 
-// runStage waits for the inputs of a stage and runs it.
+// runStage waits for the inputs of stage i and runs it.
 func (r *stageRun) runStage(ctx context.Context, i int) error {
 	var inputs []string
 	for _, j := range r.Graph.After[i] {
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// freeInputsOf frees the inputs of a stage that no other stage needs. It may be called
-// more than once.
+// freeInputsOf frees those inputs of stage i that no other stage needs. Further calls
+// for the same stage have no effect.
 func (r *stageRun) freeInputsOf(i int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -127,7 +127,7 @@
 	}
 }
 
-// typicalTimes returns the typical duration of each stage at this moment.
+// typicalTimes returns the current typical duration of each stage.
 func (r *stageRun) typicalTimes() []time.Duration {
 	times := make([]time.Duration, len(r.Route.Stages))
 	for i, stage := range r.Route.Stages {
@@ -136,7 +136,7 @@
 	return times
 }
 
-// waitToStart waits while a stage need not start yet, and records its start.
+// waitToStart waits until stage i should start, and records its start.
 func (r *stageRun) waitToStart(ctx context.Context, i int) error {
 	for {
 		typical := r.typicalTimes()
--- a/internal/gateway/stagerunner.go
+++ b/internal/gateway/stagerunner.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// assumedPieces is the number of pieces that a stage without measurements is
-	// taken to have.
+	// assumedPieces is the number of pieces that is assumed for a stage without
+	// measurements.
 	assumedPieces = 6
-	// queueStateMaxAge is how long the state that a queue told is believed.
+	// queueStateMaxAge is how long the reported state of a queue is used.
 	queueStateMaxAge = time.Second
-	// peerFreeDelay collects the results that a request gives up.
+	// peerFreeDelay is how long the results to free are collected for one call.
 	peerFreeDelay = 3 * time.Millisecond
 )
 
-// RefusedError reports a stage that was not run to its end.
+// RefusedError reports a stage that was refused.
 type RefusedError struct {
 	Stage  int
 	Reason stagework.Refusal
-	// Wait is how long a new piece waits.
+	// Wait is how long a new piece waits in the queue of the stage's service.
 	Wait time.Duration
 }
 
@@ -35,7 +35,8 @@
 	return fmt.Sprintf("stage %d was refused: %s", e.Stage, e.Reason)
 }
 
-// StageRunner runs the stages of requests.
+// StageRunner runs the stages of requests. It sends each stage to the instance that
+// owns the stage's service.
 type StageRunner struct {
 	cluster   *Cluster
 	client    *peer.Client
@@ -46,44 +47,47 @@
 
 	mu           sync.Mutex
 	pendingFrees map[string][]string
-	// queueStates holds what the instances that form calls last told of their queues.
+	// queueStates holds the last reported state of the queue of each service.
 	queueStates map[string]queueState
 }
 
-// queueState is how long a new piece of a service waited at a time, and whether
-// memory for results was short.
+// queueState is the state of the queue of a service at a point in time.
 type queueState struct {
-	wait        time.Duration
+	// wait is how long a new piece waits.
+	wait time.Duration
+	// memoryShort is true when memory for results limited the calls.
 	memoryShort bool
 	reportedAt  time.Time
 }
 
-// NewStageRunner returns a Stages that asks the local caller or those of peers.
+// NewStageRunner returns a StageRunner that uses the local scheduler and, through
+// client, those of peers.
 func NewStageRunner(cluster *Cluster, client *peer.Client, local *StageScheduler, logger *slog.Logger) *StageRunner {
 	return &StageRunner{cluster: cluster, client: client, scheduler: local, logger: logger, stageTimes: newMovingAverages(), pendingFrees: map[string][]string{}, queueStates: map[string]queueState{}}
 }
 
-// TypicalTime returns the typical duration of a stage of a service, or the longer one
-// that its queue showed lately: a burst fills a queue before the mean follows.
+// TypicalTime returns the mean duration of a stage of a service, or the duration by the
+// last state of its queue when that is longer: a burst fills the queue before the mean
+// follows.
 func (s *StageRunner) TypicalTime(table *route.Table, service string) time.Duration {
 	var call time.Duration
-	if described := table.Service(service); described != nil && described.Work != nil {
-		call = described.Work.CallDuration(min(assumedPieces, described.Work.Batch))
+	if configured := table.Service(service); configured != nil && configured.Work != nil {
+		call = configured.Work.CallDuration(min(assumedPieces, configured.Work.Batch))
 	}
-	known := s.stageTimes.mean(service)
-	if known == 0 {
-		known = call
+	typical := s.stageTimes.mean(service)
+	if typical == 0 {
+		typical = call
 	}
 	s.mu.Lock()
-	told := s.queueStates[service]
+	queue := s.queueStates[service]
 	s.mu.Unlock()
-	if time.Since(told.reportedAt) < queueStateMaxAge {
-		known = max(known, told.wait+call)
+	if time.Since(queue.reportedAt) < queueStateMaxAge {
+		typical = max(typical, queue.wait+call)
 	}
-	return known
+	return typical
 }
 
-// recordQueueState records what an instance that forms calls tells of its queue.
+// recordQueueState records the queue state in a response of the owner of a service.
 func (s *StageRunner) recordQueueState(service string, response *peerpb.RunStageResponse) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,11 +98,11 @@
 func (s *StageRunner) resultMemoryShort(service string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	told := s.queueStates[service]
-	return told.memoryShort && time.Since(told.reportedAt) < queueStateMaxAge
+	queue := s.queueStates[service]
+	return queue.memoryShort && time.Since(queue.reportedAt) < queueStateMaxAge
 }
 
-// Free gives up results of a service soon.
+// Free frees results of a service after peerFreeDelay.
 func (s *StageRunner) Free(service string, results []string) {
 	if len(results) == 0 {
 		return
@@ -111,15 +115,16 @@
 	s.pendingFrees[service] = append(s.pendingFrees[service], results...)
 }
 
-// FreeAll gives up results, listed by the service that made them, soon.
+// FreeAll frees results, listed by the service that produced them, after
+// peerFreeDelay.
 func (s *StageRunner) FreeAll(results map[string][]string) {
-	for service, made := range results {
-		s.Free(service, made)
+	for service, produced := range results {
+		s.Free(service, produced)
 	}
 }
 
-// flushFrees tells the instance that forms the calls of a service, which counts the
-// room for results, what is given up.
+// flushFrees sends the pending results of a service to the instance that owns it, which
+// frees them and accounts for result memory. When that fails, this instance frees them.
 func (s *StageRunner) flushFrees(service string) {
 	s.mu.Lock()
 	request := &peerpb.FreeResultsRequest{Service: service, Results: s.pendingFrees[service]}
--- a/internal/gateway/stagescheduler.go
+++ b/internal/gateway/stagescheduler.go
@@ -18,19 +18,20 @@
 )
 
 const (
-	// jobExpiryInterval is how often waiting jobs are reviewed.
+	// jobExpiryInterval is how often waiting jobs are checked for expiry.
 	jobExpiryInterval = 25 * time.Millisecond
-	// awaitPollTimeout is how long a call of a peer waits for its job before it is
-	// answered, so that the peer knows that this instance lives.
+	// awaitPollTimeout is how long a call of a peer waits for its job. It is answered
+	// then even while the job is pending, so that the peer can tell that this instance is
+	// alive.
 	awaitPollTimeout = 200 * time.Millisecond
-	// abandonJobAfter is how long a job is kept that no call waits for.
+	// abandonJobAfter is how long a pending job is kept while no call waits for it.
 	abandonJobAfter = time.Second
 	// maxStageAnswerBytes bounds the answer of a stage server.
 	maxStageAnswerBytes = 1 << 20
 )
 
-// StageScheduler forms the calls of stage services from the jobs of all instances of
-// the region.
+// StageScheduler batches the pieces of jobs of all instances of the region into calls
+// to stage servers.
 type StageScheduler struct {
 	protocol    Protocol
 	upstream    *upstream.Client
@@ -43,11 +44,11 @@
 
 	mu     sync.Mutex
 	queues map[string]*serviceQueue
-	// stopping is true once the queues were handed over.
+	// stopping is true once HandOver was called.
 	stopping bool
 }
 
-// NewStageScheduler returns a caller without services.
+// NewStageScheduler returns a scheduler without services.
 func NewStageScheduler(protocol Protocol, client *upstream.Client, fleet *Fleet, freer *ResultFreer, logger *slog.Logger, scope tally.Scope) *StageScheduler {
 	return &StageScheduler{
 		protocol: protocol, upstream: client, fleet: fleet, freer: freer, logger: logger,
@@ -56,7 +57,7 @@
 	}
 }
 
-// Update takes a new view.
+// Update applies the stage services and servers of a new view.
 func (s *StageScheduler) Update(v *view.View) {
 	if v.Table == nil {
 		return
@@ -66,28 +67,28 @@
 		if service.Work == nil {
 			continue
 		}
-		w := s.serviceQueue(service.Name, true)
-		w.mu.Lock()
-		w.queue.SetShape(*service.Work)
-		w.queue.SetServers(s.regionServers(v.Servers[service.Name]))
-		w.mu.Unlock()
-		s.startCalls(w)
+		q := s.serviceQueue(service.Name, true)
+		q.mu.Lock()
+		q.queue.SetShape(*service.Work)
+		q.queue.SetServers(s.regionServers(v.Servers[service.Name]))
+		q.mu.Unlock()
+		s.startCalls(q)
 	}
 }
 
-// regionServers returns the servers of the region, or all when it has none: results
-// are too large for the link between regions.
+// regionServers returns the servers of this instance's region, because results are too
+// large for the link between regions. It returns all servers when the region has none.
 func (s *StageScheduler) regionServers(listed []view.Server) []stagework.Server {
-	var near, all []stagework.Server
+	var local, all []stagework.Server
 	for _, server := range listed {
 		converted := stagework.Server{ID: server.ID, FailureDomain: server.FailureDomain}
 		all = append(all, converted)
 		if s.fleet.InRegion(server.FailureDomain) {
-			near = append(near, converted)
+			local = append(local, converted)
 		}
 	}
-	if len(near) > 0 {
-		return near
+	if len(local) > 0 {
+		return local
 	}
 	return all
 }
@@ -95,18 +96,18 @@
 func (s *StageScheduler) serviceQueue(service string, create bool) *serviceQueue {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w := s.queues[service]
-	if w == nil && create {
-		w = newServiceQueue(service)
-		s.queues[service] = w
+	q := s.queues[service]
+	if q == nil && create {
+		q = newServiceQueue(service)
+		s.queues[service] = q
 	}
-	return w
+	return q
 }
 
 // RunStage implements peer.StageHandler.
 func (s *StageScheduler) RunStage(ctx context.Context, request *peerpb.RunStageRequest) (*peerpb.RunStageResponse, error) {
-	w := s.serviceQueue(request.Service, false)
-	if w == nil {
+	q := s.serviceQueue(request.Service, false)
+	if q == nil {
 		return &peerpb.RunStageResponse{Refusal: string(stagework.RefusedNoServer)}, nil
 	}
 	if s.handedOver() && !request.Forced {
@@ -116,28 +117,28 @@
 	if request.TellFetched {
 		job.fetched = make(chan struct{})
 	}
-	id, refusal := w.enqueue(time.Now(), job)
+	id, refusal := q.enqueue(time.Now(), job)
 	if refusal != "" {
-		return w.addQueueState(&peerpb.RunStageResponse{Refusal: string(refusal)}), nil
+		return q.addQueueState(&peerpb.RunStageResponse{Refusal: string(refusal)}), nil
 	}
-	s.startCalls(w)
-	s.scheduleExpiry(w)
-	return s.awaitJob(ctx, w, id, job)
+	s.startCalls(q)
+	s.scheduleExpiry(q)
+	return s.awaitJob(ctx, q, id, job)
 }
 
-// HandOver gives the stages that have not begun back to their requesters, which ask
-// another instance. Two instances that form calls for the same servers take room and
-// slots from each other.
+// HandOver refuses the jobs that have not started, so that their requesters send them
+// to another instance. Two instances that schedule calls to the same servers would
+// compete for memory and slots.
 func (s *StageScheduler) HandOver() {
 	s.mu.Lock()
 	s.stopping = true
 	queues := slices.Collect(maps.Values(s.queues))
 	s.mu.Unlock()
-	for _, w := range queues {
-		w.mu.Lock()
-		effects := w.queue.HandOver()
-		w.mu.Unlock()
-		s.applyEffects(w, effects)
+	for _, q := range queues {
+		q.mu.Lock()
+		effects := q.queue.HandOver()
+		q.mu.Unlock()
+		s.applyEffects(q, effects)
 	}
 }
 
@@ -149,25 +150,26 @@
 
 // AwaitStage implements peer.StageHandler.
 func (s *StageScheduler) AwaitStage(ctx context.Context, request *peerpb.AwaitStageRequest) (*peerpb.RunStageResponse, error) {
-	w := s.serviceQueue(request.Service, false)
-	if w == nil {
+	q := s.serviceQueue(request.Service, false)
+	if q == nil {
 		return nil, errUnknownJob
 	}
 	id := stagework.JobID(request.Job)
-	w.mu.Lock()
-	job := w.pending[id]
-	delete(w.pending, id)
-	w.mu.Unlock()
+	q.mu.Lock()
+	job := q.pending[id]
+	delete(q.pending, id)
+	q.mu.Unlock()
 	if job == nil || !job.abandonTimer.Stop() {
 		return nil, errUnknownJob
 	}
-	return s.awaitJob(ctx, w, id, job)
+	return s.awaitJob(ctx, q, id, job)
 }
 
-var errUnknownJob = errors.New("job of a stage is not known here")
+var errUnknownJob = errors.New("unknown stage job")
 
-// awaitJob waits for a job, but not for long.
-func (s *StageScheduler) awaitJob(ctx context.Context, w *serviceQueue, id stagework.JobID, job *stageJob) (*peerpb.RunStageResponse, error) {
+// awaitJob waits for the end of a job, at most for awaitPollTimeout. A job that is still
+// pending then stays for the next AwaitStage.
+func (s *StageScheduler) awaitJob(ctx context.Context, q *serviceQueue, id stagework.JobID, job *stageJob) (*peerpb.RunStageResponse, error) {
 	timer := time.NewTimer(awaitPollTimeout)
 	defer timer.Stop()
 	fetched := job.fetched
@@ -176,41 +178,42 @@
 	}
 	select {
 	case done := <-job.done:
-		return w.addQueueState(&peerpb.RunStageResponse{Results: done.Results, Refusal: string(done.Refusal)}), nil
+		return q.addQueueState(&peerpb.RunStageResponse{Results: done.Results, Refusal: string(done.Refusal)}), nil
 	case <-fetched:
 		job.fetchReported = true
-		return s.keepPending(w, id, job, &peerpb.RunStageResponse{InputsFetched: true}), nil
+		return s.keepPending(q, id, job, &peerpb.RunStageResponse{InputsFetched: true}), nil
 	case <-timer.C:
-		return s.keepPending(w, id, job, &peerpb.RunStageResponse{}), nil
+		return s.keepPending(q, id, job, &peerpb.RunStageResponse{}), nil
 	case <-ctx.Done():
-		s.abandonJob(w, id, job)
+		s.abandonJob(q, id, job)
 		return nil, ctx.Err()
 	}
 }
 
-// keepPending keeps a job for the next call that awaits it.
-func (s *StageScheduler) keepPending(w *serviceQueue, id stagework.JobID, job *stageJob, response *peerpb.RunStageResponse) *peerpb.RunStageResponse {
-	w.mu.Lock()
-	w.pending[id] = job
-	job.abandonTimer = time.AfterFunc(abandonJobAfter, func() { s.abandonJob(w, id, job) })
-	w.mu.Unlock()
+// keepPending keeps a job for the next call of AwaitStage and returns the response that
+// names it.
+func (s *StageScheduler) keepPending(q *serviceQueue, id stagework.JobID, job *stageJob, response *peerpb.RunStageResponse) *peerpb.RunStageResponse {
+	q.mu.Lock()
+	q.pending[id] = job
+	job.abandonTimer = time.AfterFunc(abandonJobAfter, func() { s.abandonJob(q, id, job) })
+	q.mu.Unlock()
 	response.Pending = uint64(id)
-	return w.addQueueState(response)
+	return q.addQueueState(response)
 }
 
-// abandonJob ends a job that nobody waits for and frees its results.
-func (s *StageScheduler) abandonJob(w *serviceQueue, id stagework.JobID, job *stageJob) {
-	w.mu.Lock()
-	delete(w.pending, id)
-	effects := w.queue.Cancel(id)
-	delete(w.jobs, id)
+// abandonJob cancels a job that no call waits for and frees its results.
+func (s *StageScheduler) abandonJob(q *serviceQueue, id stagework.JobID, job *stageJob) {
+	q.mu.Lock()
+	delete(q.pending, id)
+	effects := q.queue.Cancel(id)
+	delete(q.jobs, id)
 	select {
 	case done := <-job.done:
 		effects.Orphans = append(effects.Orphans, done.Results...)
 	default:
 	}
-	w.mu.Unlock()
-	s.applyEffects(w, effects)
+	q.mu.Unlock()
+	s.applyEffects(q, effects)
 }
 
 // FreeResults implements peer.StageHandler.
@@ -218,51 +221,52 @@
 	s.freeResults(s.serviceQueue(request.Service, false), request.Results)
 }
 
-// freeResults gives up results. Their memory is counted until their producer has given them
-// up: a call that is sent before would find no room.
-func (s *StageScheduler) freeResults(w *serviceQueue, results []string) {
+// freeResults frees results. Their memory counts as used until their producer has freed
+// them, because a call that is sent earlier would find no memory.
+func (s *StageScheduler) freeResults(q *serviceQueue, results []string) {
 	if len(results) == 0 {
 		return
 	}
 	s.freer.Free(results, func(freed []string) {
-		if w == nil {
+		if q == nil {
 			return
 		}
-		w.mu.Lock()
-		w.queue.Freed(freed)
-		w.mu.Unlock()
-		s.startCalls(w)
+		q.mu.Lock()
+		q.queue.Freed(freed)
+		q.mu.Unlock()
+		s.startCalls(q)
 	})
 }
 
-// applyEffects tells the waiting jobs their ends and frees what no job needs.
-func (s *StageScheduler) applyEffects(w *serviceQueue, effects stagework.Effects) {
-	w.mu.Lock()
+// applyEffects passes the outcomes to the jobs that have ended and frees the results
+// that no job needs.
+func (s *StageScheduler) applyEffects(q *serviceQueue, effects stagework.Effects) {
+	q.mu.Lock()
 	for _, done := range effects.Done {
-		if job := w.jobs[done.Job]; job != nil {
-			delete(w.jobs, done.Job)
+		if job := q.jobs[done.Job]; job != nil {
+			delete(q.jobs, done.Job)
 			job.done <- done
 		}
 	}
-	w.mu.Unlock()
-	s.freeResults(w, effects.Orphans)
+	q.mu.Unlock()
+	s.freeResults(q, effects.Orphans)
 }
 
-// scheduleExpiry schedules a look at the waiting jobs, which repeats while there are any.
-func (s *StageScheduler) scheduleExpiry(w *serviceQueue) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.expiryScheduled || len(w.jobs) == 0 {
+// scheduleExpiry expires waiting jobs every jobExpiryInterval while there are any.
+func (s *StageScheduler) scheduleExpiry(q *serviceQueue) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.expiryScheduled || len(q.jobs) == 0 {
 		return
 	}
-	w.expiryScheduled = true
+	q.expiryScheduled = true
 	time.AfterFunc(jobExpiryInterval, func() {
-		w.mu.Lock()
-		w.expiryScheduled = false
-		effects := w.queue.Expire(time.Now())
-		w.mu.Unlock()
-		s.applyEffects(w, effects)
-		s.startCalls(w)
-		s.scheduleExpiry(w)
+		q.mu.Lock()
+		q.expiryScheduled = false
+		effects := q.queue.Expire(time.Now())
+		q.mu.Unlock()
+		s.applyEffects(q, effects)
+		s.startCalls(q)
+		s.scheduleExpiry(q)
 	})
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -13,35 +13,39 @@
 	"github.com/coltsfootdrift/coltsfootdrift/route"
 )
 
-// generateRequest is a request to a model server.
+// generateRequest is the state of a client request that a model server runs.
 type generateRequest struct {
 	*clientRequest
 	graph route.Graph
-	// inputDomain is the failure domain in which the inputs are made.
+	// inputDomain is the failure domain in which the inputs should be produced.
 	inputDomain string
-	// inputs are the final results of the stages while they are held.
-	inputs      []string
+	// inputs are the handles of the final results of the stages, nil before the stages
+	// have run and after the results were freed.
+	inputs []string
+	// tried holds the IDs of the model servers that the request was sent to.
 	tried       []string
 	unsentTries int
 	stageReruns int
-	lastID      string
-	streaming   bool
-	eventsSent  int
+	// lastID is the ID of the last event that the client has received.
+	lastID string
+	// streaming is true once the head of the answer was written to the client.
+	streaming  bool
+	eventsSent int
 }
 
-// maxStageReruns bounds how often lost results are made again.
+// maxStageReruns bounds how often the stages run again because results were lost.
 const maxStageReruns = 1
 
 // serveEngine runs the stages of a request and sends it to a model server.
-func (a *clientRequest) serveEngine() {
-	g := &generateRequest{clientRequest: a, graph: a.route.NewGraph(a.requestInfo.PieceCounts), lastID: a.requestInfo.LastEventID}
+func (c *clientRequest) serveEngine() {
+	g := &generateRequest{clientRequest: c, graph: c.route.NewGraph(c.requestInfo.PieceCounts), lastID: c.requestInfo.LastEventID}
 	defer g.freeInputs()
 	for !g.try() {
 	}
 }
 
-// try runs the stages and sends the request to one server. It returns true when the
-// request has its answer.
+// try runs the stages unless their results exist, and sends the request to one server.
+// It returns true when the request has ended.
 func (g *generateRequest) try() bool {
 	if ready, ended := g.prepareInputs(); !ready {
 		return ended
@@ -57,9 +61,9 @@
 		return g.giveUp("no server", longRetryAfter, nil)
 	}
 	g.tried = append(g.tried, placed.Server)
-	target, known := g.fleet.Server(placed.Server)
+	server, known := g.fleet.Server(placed.Server)
 	if !known {
-		return false // it left in this moment
+		return false // the server was removed since it was chosen
 	}
 	urgency := min(maxUrgency, g.priority+baseUrgency)
 	sent := time.Now()
@@ -68,9 +72,9 @@
 		slog.String("copy_from", placed.CopyFrom), slog.Int64("crossing_bytes", crossDomainBytes(inputs, placed.FailureDomain)),
 		slog.Int64("view", g.viewVersion()))
 	source, _ := g.fleet.Server(placed.CopyFrom)
-	request := g.outgoingRequest(target, SendInfo{Urgency: &urgency, Inputs: g.inputs, LastEventID: g.lastID, CopyFrom: source.Address})
+	request := g.outgoingRequest(server, SendInfo{Urgency: &urgency, Inputs: g.inputs, LastEventID: g.lastID, CopyFrom: source.Address})
 	stop := g.freeInputsWhenFetched()
-	answer, err := g.upstream.Send(g.ctx, target, request)
+	answer, err := g.upstream.Send(g.ctx, server, request)
 	freed := stop()
 	if err != nil {
 		return g.handleSendError(placed, err)
@@ -84,13 +88,14 @@
 	return g.handleAnswer(placed, answer, info, sent)
 }
 
-// Urgencies of model servers: 0 is first and 5 is the default of other callers.
+// Urgencies at a model server: 0 is served first, and 5 is the default for other
+// callers.
 const (
 	baseUrgency = 3
 	maxUrgency  = 9
 )
 
-// giveUp ends the request, whose last send did not run.
+// giveUp ends the request after a try that did not run it.
 func (g *generateRequest) giveUp(reason string, retry time.Duration, err error) bool {
 	switch {
 	case g.streaming:
@@ -120,7 +125,8 @@
 	return g.resumeOrFail(err)
 }
 
-// endIncomplete answers a request whose client left or whose deadline has passed.
+// endIncomplete ends a request whose client has disconnected or whose deadline has
+// passed.
 func (g *generateRequest) endIncomplete() bool {
 	if g.streaming && !g.clientGone() {
 		g.abort(errDeadlinePassed)
@@ -129,8 +135,9 @@
 	return true
 }
 
-// resumeOrFail handles a broken send: another server goes on where the kind allows
-// it.
+// resumeOrFail handles a send that may have run the request without a complete answer.
+// It returns false for another server to run or resume the request if the route allows
+// that, otherwise it ends the request.
 func (g *generateRequest) resumeOrFail(err error) bool {
 	g.mayHaveRun = true
 	if g.route.Repeatable() && g.mayRetry() {
@@ -147,7 +154,8 @@
 	return true
 }
 
-// handleAnswer handles an answer of a model server.
+// handleAnswer handles the answer of a model server. It returns true when the request
+// has ended.
 func (g *generateRequest) handleAnswer(placed engine.Placement, answer *upstream.Answer, info AnswerInfo, sent time.Time) bool {
 	switch {
 	case info.InputsLost:
@@ -185,14 +193,14 @@
 	return true
 }
 
-// relay passes on events as they arrive.
+// relay passes on the events of an answer as they arrive.
 func (g *generateRequest) relay(placed engine.Placement, answer *upstream.Answer, sent time.Time) bool {
 	reader := newEventReader(answer.Body)
 	controller := http.NewResponseController(g.writer)
 	for first := true; ; first = false {
 		e, err := reader.next()
-		whole := err == nil || errors.Is(err, io.EOF)
-		if !whole {
+		complete := err == nil || errors.Is(err, io.EOF)
+		if !complete {
 			return g.handleBrokenStream(placed, err)
 		}
 		if first {
@@ -203,8 +211,8 @@
 				g.streaming = true
 				g.writeHead(answer, -1)
 			}
-			if _, failed := g.writer.Write(e.data); failed != nil {
-				g.abort(failed)
+			if _, writeErr := g.writer.Write(e.data); writeErr != nil {
+				g.abort(writeErr)
 			}
 			g.eventsSent++
 			if e.id != "" {
@@ -221,12 +229,13 @@
 			return true
 		}
 		if !reader.buffered() {
-			_ = controller.Flush() // the next write reports a failure
+			_ = controller.Flush() // the next write returns the error
 		}
 	}
 }
 
-// recordFirstEvent records the start of a run. The model server has read its inputs.
+// recordFirstEvent records the arrival of the first event and frees the inputs, which
+// the model server has fetched by then.
 func (g *generateRequest) recordFirstEvent(placed engine.Placement, delay time.Duration) {
 	now := time.Now()
 	g.firstEvent = delay
@@ -235,7 +244,7 @@
 	g.freeInputs()
 }
 
-// handleBrokenStream handles a stream that broke off. Events that were not whole are
+// handleBrokenStream handles a stream that broke off. An incomplete last event is
 // dropped.
 func (g *generateRequest) handleBrokenStream(placed engine.Placement, err error) bool {
 	if g.clientGone() || g.expired() {
