--- a/internal/gateway/cluster_test.go
+++ b/internal/gateway/cluster_test.go
@@ -28,10 +28,10 @@
 	c.Assert(err, qt.IsNil)
 }
 
-// Guards against instances of a region that never hear of each other because they
+// Guards against instances of a region that never discover each other because they
 // started together and each read the registrations before the others wrote theirs.
-// Each then forms all calls by itself and finds the stage servers full.
-func TestRegistrationsAreReadAgain(t *testing.T) {
+// Each then schedules all stage calls by itself and finds the stage servers full.
+func TestRegistrationsAreReread(t *testing.T) {
 	c := qt.New(t)
 	st := storetest.New()
 	cluster := newTestCluster(c, st)
@@ -48,9 +48,9 @@
 	c.Assert(candidates, qt.Equals, 1, qt.Commentf("one address, registered twice"))
 }
 
-// Guards against a silent instance that is asked again by each request, and against
-// two instances that choose different ones.
-func TestCallersOfAService(t *testing.T) {
+// Guards against an instance that does not answer but is still called for each request,
+// and against two instances that choose different owners.
+func TestUnresponsiveOwnersRankLast(t *testing.T) {
 	c := qt.New(t)
 	st := storetest.New()
 	addRegistration(c, st, "other", "r")
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -32,8 +32,8 @@
 	"github.com/coltsfootdrift/coltsfootdrift/stagework"
 )
 
-// fakeProtocol is a wire form of its own: the configuration and servers are JSON
-// of the product's types.
+// fakeProtocol is a Protocol with a wire format for tests: the configuration and the
+// servers are the JSON of this project's types.
 type fakeProtocol struct{}
 
 func (fakeProtocol) Kind(key string) view.KeyKind {
@@ -112,7 +112,7 @@
 	return address
 }
 
-// fakeSource is a store that holds one state and never changes.
+// fakeSource is a view.Source whose entries never change.
 type fakeSource struct{ entries []store.Entry }
 
 func (f fakeSource) Snapshot(context.Context) ([]store.Entry, store.Version, error) {
@@ -124,26 +124,26 @@
 	return store.WatchResult{Version: 1}, nil
 }
 
-// fixture is a gateway before backend servers that are functions.
+// fixture is a running gateway whose backend servers are handler functions.
 type fixture struct {
-	c       *qt.C
-	config  route.Configuration
-	servers []view.Server
-	gateway *Gateway
-	caller  *StageScheduler
-	drain   *Drain
-	url     string
+	c         *qt.C
+	config    route.Configuration
+	servers   []view.Server
+	gateway   *Gateway
+	scheduler *StageScheduler
+	drain     *Drain
+	url       string
 }
 
-// addServer adds a server of a service.
-func (w *fixture) addServer(service string, handle http.HandlerFunc) string {
+// addServer adds a backend server to a service and returns its address.
+func (f *fixture) addServer(service string, handle http.HandlerFunc) string {
 	server := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		rw.Header().Set("Id", r.Header.Get("Id"))
 		handle(rw, r)
 	}))
-	w.c.Cleanup(server.CloseClientConnections)
+	f.c.Cleanup(server.CloseClientConnections)
 	address := strings.TrimPrefix(server.URL, "http://")
-	w.servers = append(w.servers, view.Server{ID: fmt.Sprint("s", len(w.servers)), Service: service, Address: address, FailureDomain: "d", Slots: 4})
+	f.servers = append(f.servers, view.Server{ID: fmt.Sprint("s", len(f.servers)), Service: service, Address: address, FailureDomain: "d", Slots: 4})
 	return address
 }
 
@@ -153,8 +153,8 @@
 // bound to port 0.
 var freeUDPPorts = standin.FreePorts()
 
-// listenPeer returns a node that holds its UDP port. A port that another process takes
-// between the draw and the bind is replaced by the next one.
+// listenPeer returns a node that is bound to its UDP port. It tries the next port when
+// another process takes one between the draw and the bind.
 func listenPeer(c *qt.C) *peer.Node {
 	for {
 		port, err := freeUDPPorts()
@@ -174,9 +174,9 @@
 	return address
 }
 
-// start runs the gateway.
-func (w *fixture) start() {
-	c := w.c
+// start starts the gateway and waits until it has loaded the configuration.
+func (f *fixture) start() {
+	c := f.c
 	node := listenPeer(c)
 	s := settings.Gateway{Instance: "g", Region: "r", FailureDomain: "d", Regions: map[string]string{"d": "r"}, PeerAddress: nodeAddress(node),
 		GraceSeconds: 8, RetryRatio: 20, RetrySlack: 1000, RetryWindowSeconds: 1}
@@ -186,10 +186,10 @@
 		c.Assert(err, qt.IsNil)
 		entries = append(entries, store.Entry{Key: key, Value: data, Version: 1})
 	}
-	if w.config.Version > 0 {
-		add("config", w.config)
+	if f.config.Version > 0 {
+		add("config", f.config)
 	}
-	for _, server := range w.servers {
+	for _, server := range f.servers {
 		add("server/"+server.ID, server)
 	}
 	protocol, client := fakeProtocol{}, peer.NewClient()
@@ -198,12 +198,12 @@
 	fleet := NewFleet(s, cluster)
 	connections := upstream.NewClient(tally.NoopScope)
 	freer := NewResultFreer(protocol, connections, serverByAddress(views), discardLogger())
-	w.caller = NewStageScheduler(protocol, connections, fleet, freer, discardLogger(), tally.NoopScope)
-	w.drain = NewDrain(s.Grace())
-	w.gateway = New(protocol, views, fleet, connections, NewStageRunner(cluster, client, w.caller, discardLogger()), NewPlacer(cluster, client, fleet, connections, protocol, discardLogger()), w.drain, discardLogger(), tally.NoopScope)
+	f.scheduler = NewStageScheduler(protocol, connections, fleet, freer, discardLogger(), tally.NoopScope)
+	f.drain = NewDrain(s.Grace())
+	f.gateway = New(protocol, views, fleet, connections, NewStageRunner(cluster, client, f.scheduler, discardLogger()), NewPlacer(cluster, client, fleet, connections, protocol, discardLogger()), f.drain, discardLogger(), tally.NoopScope)
 	changed := make(chan struct{}, 10)
 	views.Observe(fleet.Update)
-	views.Observe(w.caller.Update)
+	views.Observe(f.scheduler.Update)
 	views.Observe(func(*view.View) { changed <- struct{}{} })
 	ctx, cancel := context.WithCancel(context.Background())
 	go node.Run(ctx)
@@ -211,19 +211,19 @@
 	if len(entries) > 0 {
 		<-changed
 	}
-	front := NewFrontend(w.gateway, w.drain, discardLogger())
-	c.Assert(front.Listen(ctx, "127.0.0.1:0"), qt.IsNil)
+	frontend := NewFrontend(f.gateway, f.drain, discardLogger())
+	c.Assert(frontend.Listen(ctx, "127.0.0.1:0"), qt.IsNil)
 	if v := views.Current(); v != nil {
-		front.Update(v)
+		frontend.Update(v)
 	}
-	w.url = "http://" + front.listener.Addr().String()
+	f.url = "http://" + frontend.listener.Addr().String()
 	c.Cleanup(func() {
 		cancel()
-		front.Close()
+		frontend.Close()
 	})
 }
 
-// newPlainFixture returns a world whose route leads to one plain service.
+// newPlainFixture returns a fixture with one route, to a plain service.
 func newPlainFixture(c *qt.C, kind route.Kind) *fixture {
 	return &fixture{c: c, config: route.Configuration{Version: 1,
 		Routes:   []route.Route{{Name: "r", Host: "h", Prefix: "/p/", Kind: kind, Split: []route.Weight{{Service: "x", Weight: 1}}, Timeout: 2 * time.Second, MaxAttempts: 2, Public: true}},
@@ -231,21 +231,21 @@
 	}}
 }
 
-// newEngineFixture returns a world whose route leads to model servers, with stages.
+// newEngineFixture returns a fixture with one route, with stages, to model servers.
 func newEngineFixture(c *qt.C, resumable bool, stages ...route.Stage) *fixture {
-	w := newPlainFixture(c, route.Stream)
-	w.config.Routes[0].Resumable, w.config.Routes[0].Stages = resumable, stages
-	w.config.Routes[0].Target = time.Second
-	w.config.Services[0].Engine = &route.EngineShape{}
-	w.config.Services = append(w.config.Services, route.Service{Name: "stage",
+	f := newPlainFixture(c, route.Stream)
+	f.config.Routes[0].Resumable, f.config.Routes[0].Stages = resumable, stages
+	f.config.Routes[0].Target = time.Second
+	f.config.Services[0].Engine = &route.EngineShape{}
+	f.config.Services = append(f.config.Services, route.Service{Name: "stage",
 		Work: &stagework.Shape{Slots: 1, Batch: 4, CallTime: time.Millisecond, PieceTime: time.Millisecond, ResultLife: time.Second}})
-	return w
+	return f
 }
 
 // do sends a request with an ID and other headers, given as pairs.
-func (w *fixture) do(method, target, body string, headers ...string) (*http.Response, string, error) {
-	request, err := http.NewRequest(method, w.url+target, strings.NewReader(body))
-	w.c.Assert(err, qt.IsNil)
+func (f *fixture) do(method, target, body string, headers ...string) (*http.Response, string, error) {
+	request, err := http.NewRequest(method, f.url+target, strings.NewReader(body))
+	f.c.Assert(err, qt.IsNil)
 	request.Host = "h"
 	request.Header.Set("Id", "a1")
 	for i := 0; i+1 < len(headers); i += 2 {
@@ -260,7 +260,7 @@
 	return response, string(data), err
 }
 
-// recorder collects what servers saw.
+// recorder collects texts from the handlers of servers. It is safe for concurrent use.
 type recorder struct {
 	mu   sync.Mutex
 	seen []string
@@ -279,5 +279,5 @@
 	return append([]string(nil), r.seen...)
 }
 
-// abortConnection ends a connection without an answer.
+// abortConnection closes a connection without an answer.
 func abortConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
--- a/internal/gateway/plain_test.go
+++ b/internal/gateway/plain_test.go
@@ -15,21 +15,21 @@
 	"github.com/coltsfootdrift/coltsfootdrift/route"
 )
 
-// Guards against a method, path, query, body or header that changes on the way, and
-// against headers that concern one connection only.
+// Guards against a method, path, query, body or header that is changed by the gateway,
+// and against hop-by-hop headers that are forwarded.
 func TestRequestsAreForwardedUnchanged(t *testing.T) {
 	c := qt.New(t)
-	w := newPlainFixture(c, route.NonIdempotent)
+	f := newPlainFixture(c, route.NonIdempotent)
 	var seen recorder
-	w.addServer("x", func(rw http.ResponseWriter, r *http.Request) {
+	f.addServer("x", func(rw http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		seen.add(strings.Join([]string{r.Method, r.RequestURI, r.Host, string(body), r.Header.Get("Other"), r.Header.Get("Drop"), r.Header.Get("Key"), r.Header.Get("Server")}, "|"))
 		rw.Header().Set("Signature", "sig")
 		rw.WriteHeader(http.StatusTeapot)
 		_, _ = io.WriteString(rw, "answer")
 	})
-	w.start()
-	response, body, err := w.do("POST", "/p/%2F..//x?q=%20&q=+", "body", "Other", "o", "Connection", "Drop", "Drop", "d", "Key", "secret")
+	f.start()
+	response, body, err := f.do("POST", "/p/%2F..//x?q=%20&q=+", "body", "Other", "o", "Connection", "Drop", "Drop", "d", "Key", "secret")
 	c.Assert(err, qt.IsNil)
 	c.Assert(seen.all(), qt.DeepEquals, []string{"POST|/p/%2F..//x?q=%20&q=+|h|body|o|||s0"})
 	c.Assert(response.StatusCode, qt.Equals, http.StatusTeapot)
@@ -37,79 +37,79 @@
 	c.Assert(body, qt.Equals, "answer")
 }
 
-// Guards against a request that runs twice although it may not, when its first send
-// had no answer.
+// Guards against a non-idempotent request that is sent again when its first send had no
+// answer, and so may run twice.
 func TestNonIdempotentRequestsAreSentOnce(t *testing.T) {
 	c := qt.New(t)
-	w := newPlainFixture(c, route.NonIdempotent)
+	f := newPlainFixture(c, route.NonIdempotent)
 	var seen recorder
 	for range 2 {
-		w.addServer("x", func(rw http.ResponseWriter, r *http.Request) { seen.add(""); abortConnection(rw, r) })
+		f.addServer("x", func(rw http.ResponseWriter, r *http.Request) { seen.add(""); abortConnection(rw, r) })
 	}
-	w.start()
-	response, _, err := w.do("POST", "/p/", "b")
+	f.start()
+	response, _, err := f.do("POST", "/p/", "b")
 	c.Assert(err, qt.IsNil)
 	c.Assert(response.StatusCode, qt.Equals, http.StatusBadGateway)
 	c.Assert(seen.all(), qt.HasLen, 1)
 }
 
-// Guards against an idempotent request that fails with its first server.
-func TestIdempotentRequestsAreRepeatedAtAnotherServer(t *testing.T) {
+// Guards against an idempotent request that fails because its first server fails.
+func TestIdempotentRequestsAreRetriedOnAnotherServer(t *testing.T) {
 	c := qt.New(t)
-	w := newPlainFixture(c, route.Idempotent)
+	f := newPlainFixture(c, route.Idempotent)
 	var seen recorder
 	for range 2 {
-		w.addServer("x", func(rw http.ResponseWriter, r *http.Request) {
+		f.addServer("x", func(rw http.ResponseWriter, r *http.Request) {
 			if seen.add(r.Header.Get("Server")) == 1 {
 				abortConnection(rw, r)
 			}
 			_, _ = io.WriteString(rw, "second")
 		})
 	}
-	w.start()
-	_, body, err := w.do("GET", "/p/", "")
+	f.start()
+	_, body, err := f.do("GET", "/p/", "")
 	c.Assert(err, qt.IsNil)
 	c.Assert(body, qt.Equals, "second")
 	c.Assert(seen.all(), qt.HasLen, 2)
 	c.Assert(seen.all()[0], qt.Not(qt.Equals), seen.all()[1])
 }
 
-// Guards against more sends than the route allows, and against a refusal without a
-// time to come back.
-func TestRefusedRequestsAreToldWhenToComeBack(t *testing.T) {
+// Guards against more sends than the route allows, and against a refusal without
+// Retry-After.
+func TestRefusalsCarryRetryAfter(t *testing.T) {
 	c := qt.New(t)
-	w := newPlainFixture(c, route.NonIdempotent)
+	f := newPlainFixture(c, route.NonIdempotent)
 	var seen recorder
 	for range 4 {
-		w.addServer("x", func(rw http.ResponseWriter, _ *http.Request) {
+		f.addServer("x", func(rw http.ResponseWriter, _ *http.Request) {
 			seen.add("")
 			rw.Header().Set("Not-Run", "full")
 			rw.WriteHeader(http.StatusServiceUnavailable)
 		})
 	}
-	w.start()
-	response, _, err := w.do("POST", "/p/", "b")
+	f.start()
+	response, _, err := f.do("POST", "/p/", "b")
 	c.Assert(err, qt.IsNil)
 	c.Assert(response.StatusCode, qt.Equals, http.StatusServiceUnavailable)
 	c.Assert(response.Header.Get("Retry-After"), qt.Equals, "0.3")
 	c.Assert(seen.all(), qt.HasLen, 2)
 }
 
-// Guards against a promise that a request has not run when a server that may have
-// run it gives none.
-func TestUnpromisedRefusalsAreNotPassedOn(t *testing.T) {
+// Guards against a status that means to clients that the request has not run, when the
+// server that sent it may have run it and does not state otherwise.
+func TestRefusalsThatMayHaveRunBecomeBadGateway(t *testing.T) {
 	c := qt.New(t)
-	w := newPlainFixture(c, route.NonIdempotent)
-	w.addServer("x", func(rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(http.StatusServiceUnavailable) })
-	w.start()
-	response, _, err := w.do("POST", "/p/", "b")
+	f := newPlainFixture(c, route.NonIdempotent)
+	f.addServer("x", func(rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(http.StatusServiceUnavailable) })
+	f.start()
+	response, _, err := f.do("POST", "/p/", "b")
 	c.Assert(err, qt.IsNil)
 	c.Assert(response.StatusCode, qt.Equals, http.StatusBadGateway)
 }
 
-// Guards against a promise that a request has not run after a first send that may
-// have run it, when the second server refuses or is not reached.
-func TestRefusalsAfterASendThatMayHaveRunPromiseNothing(t *testing.T) {
+// Guards against an answer which states that a request has not run, when the first send
+// may have run it and the second server refuses or is not reached.
+func TestRequestsThatMayHaveRunAreNotRefused(t *testing.T) {
 	refuse := func(rw http.ResponseWriter, _ *http.Request) {
 		rw.Header().Set("Not-Run", "full")
 		rw.WriteHeader(http.StatusServiceUnavailable)
@@ -120,9 +120,9 @@
 		_, _ = io.WriteString(rw, "half")
 	}
 	for _, test := range []struct {
-		name  string
-		world func(*qt.C) *fixture
-		first http.HandlerFunc
+		name       string
+		newFixture func(*qt.C) *fixture
+		first      http.HandlerFunc
 	}{
 		{"plain, cut off", func(c *qt.C) *fixture { return newPlainFixture(c, route.Idempotent) }, abortConnection},
 		{"plain, failed", func(c *qt.C) *fixture { return newPlainFixture(c, route.Idempotent) }, failing},
@@ -137,7 +137,7 @@
 		}{{"refuses", refuse, 2}, {"is not there", nil, 1}} {
 			t.Run(test.name+", "+second.name, func(t *testing.T) {
 				c := qt.New(t)
-				w := test.world(c)
+				f := test.newFixture(c)
 				var seen recorder
 				handle := func(rw http.ResponseWriter, r *http.Request) {
 					if seen.add("") == 1 {
@@ -146,12 +146,12 @@
 					}
 					second.handle(rw, r)
 				}
-				w.addServer("x", handle)
+				f.addServer("x", handle)
 				if second.handle != nil {
-					w.addServer("x", handle)
+					f.addServer("x", handle)
 				}
-				w.start()
-				response, _, err := w.do("GET", "/p/", "")
+				f.start()
+				response, _, err := f.do("GET", "/p/", "")
 				c.Assert(err, qt.IsNil)
 				c.Assert(response.StatusCode, qt.Equals, http.StatusBadGateway)
 				c.Assert(response.Header.Get("Retry-After"), qt.Equals, "")
@@ -161,30 +161,30 @@
 	}
 }
 
-// Guards against refusals that no configuration calls for, and against requests
-// that are let through without a key.
-func TestAnswersOfTheGateway(t *testing.T) {
+// Guards against requests that are refused against the configuration, and against
+// requests that are served without a valid key.
+func TestLocalAnswers(t *testing.T) {
 	c := qt.New(t)
-	w := newPlainFixture(c, route.Idempotent)
-	w.config.Routes[0].Public = false
-	w.config.Organisations = []route.Organisation{{Name: "o", Keys: []string{"k"}}}
-	w.config.Limits = route.Limits{BodyBytes: 4, HeaderBytes: 8 << 10, HeaderTimeout: time.Second, IdleTimeout: time.Second}
-	w.addServer("x", func(rw http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(rw, r.Header.Get("Organisation")) })
-	w.start()
+	f := newPlainFixture(c, route.Idempotent)
+	f.config.Routes[0].Public = false
+	f.config.Organisations = []route.Organisation{{Name: "o", Keys: []string{"k"}}}
+	f.config.Limits = route.Limits{BodyBytes: 4, HeaderBytes: 8 << 10, HeaderTimeout: time.Second, IdleTimeout: time.Second}
+	f.addServer("x", func(rw http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(rw, r.Header.Get("Organisation")) })
+	f.start()
 	for _, test := range []struct {
 		target, key, body string
 		status            int
 	}{
 		{"/p/", "k", "1234", 200}, {"/p/", "k", "12345", 413}, {"/p/", "other", "", 401}, {"/p/", "", "", 401}, {"/none/", "k", "", 404},
 	} {
-		response, body, err := w.do("POST", test.target, test.body, "Key", test.key)
+		response, body, err := f.do("POST", test.target, test.body, "Key", test.key)
 		c.Assert(err, qt.IsNil)
 		c.Check(response.StatusCode, qt.Equals, test.status, qt.Commentf("%v", test))
 		if test.status == 200 {
 			c.Check(body, qt.Equals, "o")
 		}
 	}
-	response, _, err := w.do("GET", "/p/", "", "Long", strings.Repeat("x", 16<<10))
+	response, _, err := f.do("GET", "/p/", "", "Long", strings.Repeat("x", 16<<10))
 	c.Assert(err, qt.IsNil)
 	c.Assert(response.StatusCode, qt.Equals, http.StatusRequestHeaderFieldsTooLarge)
 	empty := &fixture{c: c}
@@ -198,43 +198,44 @@
 // Guards against a client that waits beyond its deadline or the route's timeout.
 func TestDeadlinesEndRequests(t *testing.T) {
 	c := qt.New(t)
-	w := newPlainFixture(c, route.Idempotent)
-	w.addServer("x", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-	w.start()
+	f := newPlainFixture(c, route.Idempotent)
+	f.addServer("x", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+	f.start()
 	started := time.Now()
-	response, _, err := w.do("GET", "/p/", "", "Wait", "100")
+	response, _, err := f.do("GET", "/p/", "", "Wait", "100")
 	c.Assert(err, qt.IsNil)
 	c.Assert(response.StatusCode, qt.Equals, http.StatusGatewayTimeout)
 	c.Assert(time.Since(started) >= 100*time.Millisecond, qt.IsTrue)
 }
 
-// Guards against an answer that was cut short but looks whole to the client.
-func TestShortAnswersAreNotPassedOnAsWhole(t *testing.T) {
+// Guards against a truncated answer that looks complete to the client.
+func TestTruncatedAnswersAreNotPassedOn(t *testing.T) {
 	c := qt.New(t)
-	w := newPlainFixture(c, route.NonIdempotent)
-	w.addServer("x", func(rw http.ResponseWriter, _ *http.Request) {
+	f := newPlainFixture(c, route.NonIdempotent)
+	f.addServer("x", func(rw http.ResponseWriter, _ *http.Request) {
 		rw.Header().Set("Content-Length", "10")
 		_, _ = io.WriteString(rw, "half")
 	})
-	w.start()
-	response, _, err := w.do("POST", "/p/", "")
+	f.start()
+	response, _, err := f.do("POST", "/p/", "")
 	c.Assert(err, qt.IsNil)
 	c.Assert(response.StatusCode, qt.Equals, http.StatusBadGateway)
 }
 
-// Guards against work that goes on at a server after its client has left.
-func TestLeavingClientsCancelTheirRequests(t *testing.T) {
+// Guards against a server that continues to work on a request whose client has
+// disconnected.
+func TestDisconnectedClientsCancelTheirRequests(t *testing.T) {
 	c := qt.New(t)
-	w := newPlainFixture(c, route.Idempotent)
+	f := newPlainFixture(c, route.Idempotent)
 	started, ended := make(chan struct{}), make(chan struct{})
-	w.addServer("x", func(_ http.ResponseWriter, r *http.Request) {
+	f.addServer("x", func(_ http.ResponseWriter, r *http.Request) {
 		close(started)
 		<-r.Context().Done()
 		close(ended)
 	})
-	w.start()
+	f.start()
 	ctx, leave := context.WithCancel(c.Context())
-	request, err := http.NewRequestWithContext(ctx, "GET", w.url+"/p/", nil)
+	request, err := http.NewRequestWithContext(ctx, "GET", f.url+"/p/", nil)
 	c.Assert(err, qt.IsNil)
 	request.Host = "h"
 	go func() {
@@ -247,22 +248,22 @@
 	<-ended
 }
 
-// Guards against kept connections that are cut by a shutdown without an answer that
-// says so.
+// Guards against keep-alive connections that a shutdown closes before an answer with
+// "Connection: close" was sent on them.
 func TestDrainingInstancesServeAndCloseTheirConnections(t *testing.T) {
 	c := qt.New(t)
-	w := newPlainFixture(c, route.Idempotent)
-	w.addServer("x", func(rw http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(rw, "served") })
-	w.start()
-	w.drain.Begin(time.Now())
-	response, body, err := w.do("GET", "/p/", "")
+	f := newPlainFixture(c, route.Idempotent)
+	f.addServer("x", func(rw http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(rw, "served") })
+	f.start()
+	f.drain.Begin(time.Now())
+	response, body, err := f.do("GET", "/p/", "")
 	c.Assert(err, qt.IsNil)
 	c.Assert(body, qt.Equals, "served")
 	c.Assert(response.Close, qt.IsTrue)
 }
 
-// Guards against a shutdown that ends too early, too late, or takes requests that
-// it would cut off.
+// Guards against a shutdown that ends too early or too late, or that admits requests
+// which it would then cut off.
 func TestDrainTimes(t *testing.T) {
 	c := qt.New(t)
 	now := time.Now()
@@ -281,39 +282,40 @@
 	c.Assert(d.done(began.Add(8*time.Second-exitMargin), 1), qt.IsTrue)
 }
 
-// Guards against bodies that together take more memory than the instance has, and
-// against memory that is not given back.
-func TestBodiesAreBounded(t *testing.T) {
+// Guards against request bodies that together take more memory than the instance has,
+// and against reserved memory that is not released.
+func TestBodyMemoryIsBounded(t *testing.T) {
 	c := qt.New(t)
-	w := newPlainFixture(c, route.Idempotent)
-	w.addServer("x", func(rw http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(rw, "served") })
-	w.start()
-	c.Assert(w.gateway.bodyMemory.available.TryAcquire(maxBodyMemoryBytes-3), qt.IsTrue)
-	response, _, err := w.do("POST", "/p/", "1234")
+	f := newPlainFixture(c, route.Idempotent)
+	f.addServer("x", func(rw http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(rw, "served") })
+	f.start()
+	c.Assert(f.gateway.bodyMemory.available.TryAcquire(maxBodyMemoryBytes-3), qt.IsTrue)
+	response, _, err := f.do("POST", "/p/", "1234")
 	c.Assert(err, qt.IsNil)
 	c.Assert(response.StatusCode, qt.Equals, http.StatusServiceUnavailable)
 	for range 3 {
-		_, body, err := w.do("POST", "/p/", "123")
+		_, body, err := f.do("POST", "/p/", "123")
 		c.Assert(err, qt.IsNil)
 		c.Assert(body, qt.Equals, "served")
 	}
-	eventually(c, func() bool { return w.gateway.bodyMemory.available.TryAcquire(3) })
+	eventually(c, func() bool { return f.gateway.bodyMemory.available.TryAcquire(3) })
 }
 
-// Guards against a second request that is hidden in the body of the first one, where
-// the length and the transfer encoding disagree, and against headers that never end.
-func TestHiddenRequestsAreNotRun(t *testing.T) {
+// Guards against request smuggling, where a second request is hidden in the body of the
+// first one because its Content-Length and Transfer-Encoding disagree, and against
+// headers that never end.
+func TestSmuggledRequestsAreNotRun(t *testing.T) {
 	c := qt.New(t)
-	w := newPlainFixture(c, route.Idempotent)
-	w.config.Limits = route.Limits{HeaderTimeout: 100 * time.Millisecond, IdleTimeout: time.Second, HeaderBytes: 16 << 10, BodyBytes: 1 << 20}
+	f := newPlainFixture(c, route.Idempotent)
+	f.config.Limits = route.Limits{HeaderTimeout: 100 * time.Millisecond, IdleTimeout: time.Second, HeaderBytes: 16 << 10, BodyBytes: 1 << 20}
 	var seen recorder
-	w.addServer("x", func(_ http.ResponseWriter, r *http.Request) {
+	f.addServer("x", func(_ http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		seen.add(r.RequestURI + " " + string(body))
 	})
-	w.start()
+	f.start()
 	send := func(text string) string {
-		conn, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
+		conn, err := net.Dial("tcp", strings.TrimPrefix(f.url, "http://"))
 		c.Assert(err, qt.IsNil)
 		defer conn.Close()
 		_, err = io.WriteString(conn, text)
@@ -330,8 +332,8 @@
 	c.Assert(seen.all(), qt.HasLen, 1)
 }
 
-// Guards against an organisation whose priority yields to that of a route.
-func TestOrganisationsRankBeforeRoutes(t *testing.T) {
+// Guards against a route priority that outweighs the priority of an organisation.
+func TestOrganisationPriorityPrecedesRoutePriority(t *testing.T) {
 	c := qt.New(t)
 	first, second := &route.Organisation{Priority: 0, Ranked: true}, &route.Organisation{Priority: 1, Ranked: true}
 	c.Assert(combinedPriority(first, &route.Route{Priority: 7}) < combinedPriority(second, &route.Route{Priority: 0}), qt.IsTrue)
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -40,15 +40,15 @@
 // Guards against events that are held back until the stream ends.
 func TestEventsArePassedOnAsTheyArrive(t *testing.T) {
 	c := qt.New(t)
-	w := newEngineFixture(c, false)
+	f := newEngineFixture(c, false)
 	goOn := make(chan struct{})
-	w.addServer("x", func(rw http.ResponseWriter, _ *http.Request) {
+	f.addServer("x", func(rw http.ResponseWriter, _ *http.Request) {
 		sendEvents(rw, 1, 1)
 		<-goOn
 		sendEvents(rw, 2, 2)
 	})
-	w.start()
-	request, err := http.NewRequest("POST", w.url+"/p/", nil)
+	f.start()
+	request, err := http.NewRequest("POST", f.url+"/p/", nil)
 	c.Assert(err, qt.IsNil)
 	request.Host = "h"
 	response, err := http.DefaultTransport.RoundTrip(request)
@@ -64,28 +64,28 @@
 	c.Assert(line+string(rest), qt.Equals, eventText(1, 2))
 }
 
-// Guards against a stream that broke off but looks complete, and against one that
-// is joined from two runs although its kind forbids it.
-func TestBrokenStreamsStayBroken(t *testing.T) {
+// Guards against a stream that broke off but looks complete to the client, and against
+// a stream that is resumed on another server although its route does not allow that.
+func TestNonResumableStreamsAreNotResumed(t *testing.T) {
 	c := qt.New(t)
-	w := newEngineFixture(c, false)
+	f := newEngineFixture(c, false)
 	var seen recorder
 	for range 2 {
-		w.addServer("x", func(rw http.ResponseWriter, r *http.Request) {
+		f.addServer("x", func(rw http.ResponseWriter, r *http.Request) {
 			seen.add("")
 			sendEvents(rw, 1, 2)
 			abortConnection(rw, r)
 		})
 	}
-	w.start()
-	_, body, err := w.do("POST", "/p/", "")
+	f.start()
+	_, body, err := f.do("POST", "/p/", "")
 	c.Assert(err, qt.Not(qt.IsNil))
 	c.Assert(body, qt.Equals, eventText(1, 2))
 	c.Assert(seen.all(), qt.HasLen, 1)
 }
 
-// failingWriter accepts a head and then fails each write, as the connection of a
-// client does that was reset.
+// failingWriter accepts the head of an answer and then fails each write, like a
+// connection that the client has reset.
 type failingWriter struct {
 	*httptest.ResponseRecorder
 	headsWritten int
@@ -94,29 +94,29 @@
 func (f *failingWriter) WriteHeader(int)           { f.headsWritten++ }
 func (f *failingWriter) Write([]byte) (int, error) { return 0, errors.New("connection reset") }
 
-// Guards against a second answer on a connection whose client is lost after the head
-// of a stream was written.
-func TestFailedWritesBreakStreams(t *testing.T) {
+// Guards against a second answer on a connection whose client disconnects after the
+// head of a stream was written.
+func TestFailedWritesAbortStreams(t *testing.T) {
 	c := qt.New(t)
-	w := newEngineFixture(c, true)
-	w.addServer("x", func(rw http.ResponseWriter, _ *http.Request) { sendEvents(rw, 1, 2) })
-	w.start()
+	f := newEngineFixture(c, true)
+	f.addServer("x", func(rw http.ResponseWriter, _ *http.Request) { sendEvents(rw, 1, 2) })
+	f.start()
 	request := httptest.NewRequest("POST", "/p/", nil)
 	request.Host = "h"
 	request.Header.Set("Id", "a1")
 	writer := &failingWriter{ResponseRecorder: httptest.NewRecorder()}
-	c.Assert(func() { w.gateway.ServeHTTP(writer, request) }, qt.PanicMatches, http.ErrAbortHandler.Error())
+	c.Assert(func() { f.gateway.ServeHTTP(writer, request) }, qt.PanicMatches, http.ErrAbortHandler.Error())
 	c.Assert(writer.headsWritten, qt.Equals, 1)
 }
 
-// Guards against a resumed stream with an event that is missing or comes twice, and
-// against half an event of the first run.
-func TestResumableStreamsGoOnAtAnotherServer(t *testing.T) {
+// Guards against a resumed stream in which an event is missing, duplicated or, from the
+// first server, incomplete.
+func TestResumableStreamsResumeOnAnotherServer(t *testing.T) {
 	c := qt.New(t)
-	w := newEngineFixture(c, true)
+	f := newEngineFixture(c, true)
 	var seen recorder
 	for range 2 {
-		w.addServer("x", func(rw http.ResponseWriter, r *http.Request) {
+		f.addServer("x", func(rw http.ResponseWriter, r *http.Request) {
 			if seen.add(r.Header.Get("Last")) == 1 {
 				sendEvents(rw, 1, 2)
 				_, _ = io.WriteString(rw, "id: 3\nda")
@@ -126,18 +126,19 @@
 			sendEvents(rw, 3, 4)
 		})
 	}
-	w.start()
-	_, body, err := w.do("POST", "/p/", "")
+	f.start()
+	_, body, err := f.do("POST", "/p/", "")
 	c.Assert(err, qt.IsNil)
 	c.Assert(body, qt.Equals, eventText(1, 4))
 	c.Assert(seen.all(), qt.DeepEquals, []string{"", "2"})
 }
 
-// addStageServer produces results and records calls and what is freed.
-func (w *fixture) addStageServer(calls, freed *recorder) {
+// addStageServer adds a stage server that produces results, and records the pieces of
+// its calls and the results that are freed.
+func (f *fixture) addStageServer(calls, freed *recorder) {
 	var address string
-	made := 0
-	address = w.addServer("stage", func(rw http.ResponseWriter, r *http.Request) {
+	produced := 0
+	address = f.addServer("stage", func(rw http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/free" {
 			var results []string
 			_ = json.NewDecoder(r.Body).Decode(&results)
@@ -150,15 +151,15 @@
 		_ = json.NewDecoder(r.Body).Decode(&pieces)
 		outcomes := make([]stagework.Outcome, len(pieces))
 		for i, p := range pieces {
-			made++
+			produced++
 			calls.add(fmt.Sprintf("%s %d.%d %s%d", p.RequestID, p.Stage, p.Number, p.Key, len(p.Inputs)))
-			outcomes[i].Result = fmt.Sprintf("%s/%d", address, made)
+			outcomes[i].Result = fmt.Sprintf("%s/%d", address, produced)
 		}
 		_ = json.NewEncoder(rw).Encode(outcomes)
 	})
 }
 
-// eventually waits for a condition that other goroutines bring about.
+// eventually waits up to 5 s until a condition is met.
 func eventually(c *qt.C, condition func() bool) {
 	for range 1000 {
 		if condition() {
@@ -169,19 +170,19 @@
 	c.Fatal("condition is not met")
 }
 
-// Guards against a model server that gets the results of another stage or only
-// some, and against results that are never freed.
+// Guards against a model server that gets the results of another stage or only some of
+// the results, and against results that are never freed.
 func TestStagesRunInOrderAndTheirResultsAreFreed(t *testing.T) {
 	c := qt.New(t)
-	w := newEngineFixture(c, false, route.Stage{Service: "stage", ResultBytes: 1}, route.Stage{Service: "stage", After: []int{0}}, route.Stage{Service: "stage"})
+	f := newEngineFixture(c, false, route.Stage{Service: "stage", ResultBytes: 1}, route.Stage{Service: "stage", After: []int{0}}, route.Stage{Service: "stage"})
 	var calls, freed, inputs recorder
-	w.addStageServer(&calls, &freed)
-	w.addServer("x", func(rw http.ResponseWriter, r *http.Request) {
+	f.addStageServer(&calls, &freed)
+	f.addServer("x", func(rw http.ResponseWriter, r *http.Request) {
 		inputs.add(r.Header.Get("Inputs"))
 		sendEvents(rw, 1, 1)
 	})
-	w.start()
-	_, _, err := w.do("POST", "/p/", "", "Counts", "2 1 1")
+	f.start()
+	_, _, err := f.do("POST", "/p/", "", "Counts", "2 1 1")
 	c.Assert(err, qt.IsNil)
 	seen := calls.all()
 	slices.Sort(seen)
@@ -190,15 +191,15 @@
 	eventually(c, func() bool { return len(freed.all()) == 4 })
 }
 
-// Guards against results that take memory at their server for as long as the model
-// server is busy, although it fetched them at once, and against a request that fails
-// when it did not.
+// Guards against results that take memory at their server while the model server runs
+// the request, although it fetched them at its start. Also guards against a request that
+// fails because the results were freed before the model server fetched them.
 func TestResultsAreFreedWhenFetched(t *testing.T) {
 	c := qt.New(t)
-	w := newEngineFixture(c, false, route.Stage{Service: "stage", ResultBytes: 1})
+	f := newEngineFixture(c, false, route.Stage{Service: "stage", ResultBytes: 1})
 	var calls, freed, inputs recorder
-	w.addStageServer(&calls, &freed)
-	w.addServer("x", func(rw http.ResponseWriter, r *http.Request) {
+	f.addStageServer(&calls, &freed)
+	f.addServer("x", func(rw http.ResponseWriter, r *http.Request) {
 		first := inputs.add(r.Header.Get("Inputs")) == 1
 		eventually(c, func() bool { return slices.Contains(freed.all(), r.Header.Get("Inputs")) })
 		if first {
@@ -208,26 +209,26 @@
 		}
 		sendEvents(rw, 1, 1)
 	})
-	w.start()
-	_, body, err := w.do("POST", "/p/", "", "Counts", "1")
+	f.start()
+	_, body, err := f.do("POST", "/p/", "", "Counts", "1")
 	c.Assert(err, qt.IsNil)
 	c.Assert(body, qt.Equals, eventText(1, 1))
 	c.Assert(inputs.all()[0], qt.Not(qt.Equals), inputs.all()[1])
 	c.Assert(freed.all(), qt.DeepEquals, inputs.all())
 }
 
-// Guards against results that take memory until the stage that fetched them ends,
-// while calls of other requests wait for that memory.
+// Guards against results that take memory until the stage that fetched them ends, while
+// calls for other requests wait for that memory.
 func TestInputsOfStagesAreFreedWhenFetched(t *testing.T) {
 	c := qt.New(t)
-	w := newEngineFixture(c, false, route.Stage{Service: "stage", ResultBytes: 1}, route.Stage{Service: "next", After: []int{0}})
-	w.config.Services[1].Work.RoomBytes = 3
-	w.config.Services[1].Work.CallTime = 200 * time.Millisecond
-	w.config.Routes[0].Target, w.config.Routes[0].Timeout = 5*time.Second, 10*time.Second
-	w.config.Services = append(w.config.Services, route.Service{Name: "next", Work: w.config.Services[1].Work})
+	f := newEngineFixture(c, false, route.Stage{Service: "stage", ResultBytes: 1}, route.Stage{Service: "next", After: []int{0}})
+	f.config.Services[1].Work.RoomBytes = 3
+	f.config.Services[1].Work.CallTime = 200 * time.Millisecond
+	f.config.Routes[0].Target, f.config.Routes[0].Timeout = 5*time.Second, 10*time.Second
+	f.config.Services = append(f.config.Services, route.Service{Name: "next", Work: f.config.Services[1].Work})
 	var calls, freed recorder
-	w.addStageServer(&calls, &freed)
-	w.addServer("next", func(rw http.ResponseWriter, r *http.Request) {
+	f.addStageServer(&calls, &freed)
+	f.addServer("next", func(rw http.ResponseWriter, r *http.Request) {
 		var pieces []Piece
 		_ = json.NewDecoder(r.Body).Decode(&pieces)
 		if r.URL.Path == "/run" {
@@ -235,42 +236,42 @@
 		}
 		_ = json.NewEncoder(rw).Encode([]stagework.Outcome{{Result: r.Host + "/1"}})
 	})
-	w.addServer("x", func(rw http.ResponseWriter, _ *http.Request) { sendEvents(rw, 1, 1) })
-	w.start()
-	// The result of another request leaves room for two, so that the stage tells of the
-	// lack.
-	results, err := w.caller.RunStage(c.Context(), &peerpb.RunStageRequest{Service: "stage", RequestId: "b", Pieces: []int32{0}, ResultBytes: 1, DueMs: 5000, DeadlineMs: 5000})
+	f.addServer("x", func(rw http.ResponseWriter, _ *http.Request) { sendEvents(rw, 1, 1) })
+	f.start()
+	// The result of another request leaves memory for two results, so that the scheduler
+	// reports a shortage.
+	results, err := f.scheduler.RunStage(c.Context(), &peerpb.RunStageRequest{Service: "stage", RequestId: "b", Pieces: []int32{0}, ResultBytes: 1, DueMs: 5000, DeadlineMs: 5000})
 	c.Assert(err, qt.IsNil)
 	go func() {
 		eventually(c, func() bool { return len(calls.all()) >= 3 })
-		w.caller.FreeResults(&peerpb.FreeResultsRequest{Service: "stage", Results: results.Results})
+		f.scheduler.FreeResults(&peerpb.FreeResultsRequest{Service: "stage", Results: results.Results})
 	}()
-	_, body, err := w.do("POST", "/p/", "", "Counts", "3 1")
+	_, body, err := f.do("POST", "/p/", "", "Counts", "3 1")
 	c.Assert(err, qt.IsNil)
 	c.Assert(body, qt.Equals, eventText(1, 1))
 }
 
-// Guards against calls that find no room because the results that should make it were
-// not given up yet.
-func TestMemoryIsCountedUntilResultsAreGivenUp(t *testing.T) {
+// Guards against calls that find no memory at their server because the results that were
+// counted as freed still take it.
+func TestMemoryIsCountedUntilResultsAreFreed(t *testing.T) {
 	c := qt.New(t)
-	w := newEngineFixture(c, false, route.Stage{Service: "stage", ResultBytes: 1})
-	w.config.Services[1].Work.RoomBytes = 1
+	f := newEngineFixture(c, false, route.Stage{Service: "stage", ResultBytes: 1})
+	f.config.Services[1].Work.RoomBytes = 1
 	release := make(chan struct{})
 	var runs recorder
-	w.addServer("stage", func(rw http.ResponseWriter, r *http.Request) {
+	f.addServer("stage", func(rw http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/free" {
 			<-release
 			return
 		}
 		_ = json.NewEncoder(rw).Encode([]stagework.Outcome{{Result: fmt.Sprintf("%s/%d", r.Host, runs.add(""))}})
 	})
-	w.start()
+	f.start()
 	run := &peerpb.RunStageRequest{Service: "stage", RequestId: "a", Pieces: []int32{0}, ResultBytes: 1, DueMs: 5000, DeadlineMs: 5000}
-	first, err := w.caller.RunStage(c.Context(), run)
+	first, err := f.scheduler.RunStage(c.Context(), run)
 	c.Assert(err, qt.IsNil)
-	w.caller.FreeResults(&peerpb.FreeResultsRequest{Service: "stage", Results: first.Results})
-	second, err := w.caller.RunStage(c.Context(), run)
+	f.scheduler.FreeResults(&peerpb.FreeResultsRequest{Service: "stage", Results: first.Results})
+	second, err := f.scheduler.RunStage(c.Context(), run)
 	c.Assert(err, qt.IsNil)
 	c.Assert(second.Pending, qt.Not(qt.Equals), uint64(0))
 	c.Assert(runs.all(), qt.HasLen, 1)
@@ -278,32 +279,32 @@
 	eventually(c, func() bool { return len(runs.all()) == 2 })
 }
 
-// Guards against large results that are made long before the end of the chain beside
-// them.
-func TestStagesBesideAChainAreAskedLate(t *testing.T) {
+// Guards against a stage with large results that runs long before a parallel sequence of
+// stages ends, so that its results take memory meanwhile.
+func TestStagesBesideALongerChainStartLate(t *testing.T) {
 	c := qt.New(t)
-	w := newEngineFixture(c, false, route.Stage{Service: "stage", ResultBytes: 1},
+	f := newEngineFixture(c, false, route.Stage{Service: "stage", ResultBytes: 1},
 		route.Stage{Service: "stage"}, route.Stage{Service: "stage", After: []int{1}}, route.Stage{Service: "stage", After: []int{2}})
-	w.config.Services[1].Work.CallTime = 300 * time.Millisecond
-	w.config.Routes[0].Target, w.config.Routes[0].Timeout = 5*time.Second, 10*time.Second
+	f.config.Services[1].Work.CallTime = 300 * time.Millisecond
+	f.config.Routes[0].Target, f.config.Routes[0].Timeout = 5*time.Second, 10*time.Second
 	var calls, freed recorder
-	w.addStageServer(&calls, &freed)
-	w.addServer("x", func(rw http.ResponseWriter, _ *http.Request) { sendEvents(rw, 1, 1) })
-	w.start()
-	_, _, err := w.do("POST", "/p/", "", "Counts", "1 1 1 1")
+	f.addStageServer(&calls, &freed)
+	f.addServer("x", func(rw http.ResponseWriter, _ *http.Request) { sendEvents(rw, 1, 1) })
+	f.start()
+	_, _, err := f.do("POST", "/p/", "", "Counts", "1 1 1 1")
 	c.Assert(err, qt.IsNil)
 	c.Assert(calls.all(), qt.HasLen, 4)
 	c.Assert(calls.all()[0], qt.Equals, "a1 1.0 pk0")
 }
 
-// Guards against a request that fails because its inputs were lost before the
-// model server had them.
-func TestLostInputsAreMadeAgain(t *testing.T) {
+// Guards against a request that fails because its inputs were lost before the model
+// server fetched them.
+func TestLostInputsAreProducedAgain(t *testing.T) {
 	c := qt.New(t)
-	w := newEngineFixture(c, false, route.Stage{Service: "stage"})
+	f := newEngineFixture(c, false, route.Stage{Service: "stage"})
 	var calls, freed, inputs recorder
-	w.addStageServer(&calls, &freed)
-	w.addServer("x", func(rw http.ResponseWriter, r *http.Request) {
+	f.addStageServer(&calls, &freed)
+	f.addServer("x", func(rw http.ResponseWriter, r *http.Request) {
 		if inputs.add(r.Header.Get("Inputs")) == 1 {
 			rw.Header().Set("Not-Run", "inputs")
 			rw.WriteHeader(http.StatusConflict)
@@ -311,86 +312,86 @@
 		}
 		sendEvents(rw, 1, 1)
 	})
-	w.start()
-	_, body, err := w.do("POST", "/p/", "", "Counts", "1")
+	f.start()
+	_, body, err := f.do("POST", "/p/", "", "Counts", "1")
 	c.Assert(err, qt.IsNil)
 	c.Assert(body, qt.Equals, eventText(1, 1))
 	c.Assert(inputs.all()[0], qt.Not(qt.Equals), inputs.all()[1])
 }
 
-// Guards against stage work for a request that can't be answered in time, and
-// against a client that waits for the refusal.
+// Guards against stage calls for a request that can't be answered in time, and against a
+// refusal that is sent late.
 func TestRequestsThatCannotEndInTimeAreRefusedAtOnce(t *testing.T) {
 	c := qt.New(t)
-	w := newEngineFixture(c, false, route.Stage{Service: "stage"})
-	w.config.Services[1].Work.CallTime = time.Minute
+	f := newEngineFixture(c, false, route.Stage{Service: "stage"})
+	f.config.Services[1].Work.CallTime = time.Minute
 	var calls, freed recorder
-	w.addStageServer(&calls, &freed)
-	w.addServer("x", func(rw http.ResponseWriter, _ *http.Request) { sendEvents(rw, 1, 1) })
-	w.start()
-	response, _, err := w.do("POST", "/p/", "", "Counts", "1")
+	f.addStageServer(&calls, &freed)
+	f.addServer("x", func(rw http.ResponseWriter, _ *http.Request) { sendEvents(rw, 1, 1) })
+	f.start()
+	response, _, err := f.do("POST", "/p/", "", "Counts", "1")
 	c.Assert(err, qt.IsNil)
 	c.Assert(response.StatusCode, qt.Equals, http.StatusServiceUnavailable)
 	c.Assert(response.Header.Get("Retry-After"), qt.Not(qt.Equals), "")
 	c.Assert(calls.all(), qt.HasLen, 0)
 }
 
-// Guards against an instance that forms calls being taken for dead while a stage
-// takes long, and against jobs of requesters that have gone.
+// Guards against an owner that is considered dead because a stage takes long, and
+// against jobs that are kept although their requester no longer polls them.
 func TestPendingStagesAreAwaitedAgainOrAbandoned(t *testing.T) {
 	c := qt.New(t)
-	w := newEngineFixture(c, false, route.Stage{Service: "stage"})
+	f := newEngineFixture(c, false, route.Stage{Service: "stage"})
 	release := make(chan struct{})
-	w.addServer("stage", func(rw http.ResponseWriter, _ *http.Request) {
+	f.addServer("stage", func(rw http.ResponseWriter, _ *http.Request) {
 		<-release
 		_ = json.NewEncoder(rw).Encode([]stagework.Outcome{{Result: "m/1"}})
 	})
-	w.start()
+	f.start()
 	run := &peerpb.RunStageRequest{Service: "stage", RequestId: "a", Pieces: []int32{0}, DueMs: 5000, DeadlineMs: 5000}
-	response, err := w.caller.RunStage(c.Context(), run)
+	response, err := f.scheduler.RunStage(c.Context(), run)
 	c.Assert(err, qt.IsNil)
 	c.Assert(response.Pending, qt.Not(qt.Equals), uint64(0))
 	close(release)
 	await := &peerpb.AwaitStageRequest{Service: "stage", Job: response.Pending}
-	response, err = w.caller.AwaitStage(c.Context(), await)
+	response, err = f.scheduler.AwaitStage(c.Context(), await)
 	c.Assert(err, qt.IsNil)
 	c.Assert(response.Results, qt.DeepEquals, []string{"m/1"})
-	_, err = w.caller.AwaitStage(c.Context(), await)
+	_, err = f.scheduler.AwaitStage(c.Context(), await)
 	c.Assert(errors.Is(err, errUnknownJob), qt.IsTrue)
 }
 
-// Guards against a stopping instance that goes on forming calls beside the one that
-// takes its place, and against a stage that no instance takes because all stop.
+// Guards against a stopping instance that schedules calls at the same time as its
+// successor, and against a stage that no instance runs because all are stopping.
 func TestStoppingInstancesHandStagesOver(t *testing.T) {
 	c := qt.New(t)
-	w := newEngineFixture(c, false, route.Stage{Service: "stage"})
-	w.config.Services[1].Work.Batch = 1
+	f := newEngineFixture(c, false, route.Stage{Service: "stage"})
+	f.config.Services[1].Work.Batch = 1
 	begun, release := make(chan struct{}, 4), make(chan struct{})
-	w.addServer("stage", func(rw http.ResponseWriter, _ *http.Request) {
+	f.addServer("stage", func(rw http.ResponseWriter, _ *http.Request) {
 		begun <- struct{}{}
 		<-release
 		_ = json.NewEncoder(rw).Encode([]stagework.Outcome{{Result: "m/1"}})
 	})
-	w.start()
+	f.start()
 	run := func(id string, forced bool) (*peerpb.RunStageResponse, error) {
-		return w.caller.RunStage(c.Context(), &peerpb.RunStageRequest{Service: "stage", RequestId: id, Pieces: []int32{0}, DueMs: 9000, DeadlineMs: 9000, Forced: forced})
+		return f.scheduler.RunStage(c.Context(), &peerpb.RunStageRequest{Service: "stage", RequestId: id, Pieces: []int32{0}, DueMs: 9000, DeadlineMs: 9000, Forced: forced})
 	}
 	answers := make(chan *peerpb.RunStageResponse, 2)
-	ask := func(id string) {
+	runAsync := func(id string) {
 		response, err := run(id, false)
 		c.Check(err, qt.IsNil)
 		answers <- response
 	}
-	go ask("first")
+	go runAsync("first")
 	<-begun
-	go ask("second")
+	go runAsync("second")
 	eventually(c, func() bool {
-		w := w.caller.serviceQueue("stage", false)
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		return len(w.jobs) == 2
+		queue := f.scheduler.serviceQueue("stage", false)
+		queue.mu.Lock()
+		defer queue.mu.Unlock()
+		return len(queue.jobs) == 2
 	})
-	w.caller.HandOver()
+	f.scheduler.HandOver()
 	c.Assert((<-answers).Refusal, qt.Equals, string(stagework.RefusedMoved))
 	response, err := run("third", false)
 	c.Assert(err, qt.IsNil)
@@ -402,7 +403,8 @@
 	c.Assert(response.Refusal, qt.Not(qt.Equals), string(stagework.RefusedMoved))
 }
 
-// Guards against bytes of an event that are changed, joined or lost.
+// Guards against bytes of an event that are changed or lost, and against events that are
+// joined.
 func TestEventReader(t *testing.T) {
 	c := qt.New(t)
 	reader := newEventReader(strings.NewReader("id:1\r\ndata: a\r\n\r\n: comment\n\nid: 2\ndata: b"))
@@ -418,7 +420,7 @@
 	c.Assert(string(third.data), qt.Equals, "id: 2\ndata: b")
 }
 
-// blockedWriter never finishes a write.
+// blockedWriter blocks each write until release is closed.
 type blockedWriter struct{ release chan struct{} }
 
 func (b blockedWriter) Write(p []byte) (int, error) {
@@ -426,73 +428,74 @@
 	return len(p), nil
 }
 
-// Guards against a request that waits for the log to be read.
+// Guards against a request that blocks because the reader of the log is slow.
 func TestLogLinesNeverBlock(t *testing.T) {
 	c := qt.New(t)
 	blocked := blockedWriter{make(chan struct{})}
-	w := NewLogWriter(blocked)
+	logWriter := NewLogWriter(blocked)
 	for range 3 * maxQueuedLines {
-		_, err := w.Write([]byte("line\n"))
+		_, err := logWriter.Write([]byte("line\n"))
 		c.Assert(err, qt.IsNil)
 	}
-	c.Assert(w.dropped.Load() > 0, qt.IsTrue)
+	c.Assert(logWriter.dropped.Load() > 0, qt.IsTrue)
 	close(blocked.release)
-	w.Close()
+	logWriter.Close()
 }
 
-// Guards against a shutdown that cuts off requests which wait for their stages
-// instead of telling their clients that they have not run.
+// Guards against a shutdown that cuts off requests which wait for their stages, instead
+// of refusing them so that their clients can retry.
 func TestWaitingRequestsAreRefusedBeforeTheProcessEnds(t *testing.T) {
 	c := qt.New(t)
-	w := newEngineFixture(c, false, route.Stage{Service: "stage"})
+	f := newEngineFixture(c, false, route.Stage{Service: "stage"})
 	asked := make(chan struct{}, 4)
-	w.addServer("stage", func(_ http.ResponseWriter, r *http.Request) {
+	f.addServer("stage", func(_ http.ResponseWriter, r *http.Request) {
 		asked <- struct{}{}
 		<-r.Context().Done()
 	})
-	w.addServer("x", func(rw http.ResponseWriter, _ *http.Request) { sendEvents(rw, 1, 1) })
-	w.config.Services[1].Work.CallTime = time.Second
-	w.start()
+	f.addServer("x", func(rw http.ResponseWriter, _ *http.Request) { sendEvents(rw, 1, 1) })
+	f.config.Services[1].Work.CallTime = time.Second
+	f.start()
 	go func() {
 		<-asked
-		w.drain.Begin(time.Now().Add(waitingMargin - 8*time.Second))
+		f.drain.Begin(time.Now().Add(waitingMargin - 8*time.Second))
 	}()
-	response, body, err := w.do("POST", "/p/", "", "Counts", "1")
+	response, body, err := f.do("POST", "/p/", "", "Counts", "1")
 	c.Assert(err, qt.IsNil)
 	c.Assert(response.StatusCode, qt.Equals, http.StatusServiceUnavailable)
 	c.Assert(body, qt.Equals, "draining\n")
 }
 
-// Guards against a model server that reads what one of another region keeps, and
-// against a message of that region which reaches an instance that places no prompts.
-func TestPartsThatAnotherRegionKeepsAreCopied(t *testing.T) {
+// Guards against a model server that computes prompt parts which a server of another
+// region has cached, and against a message from that region that is lost because it
+// reaches an instance which does not place the prompts.
+func TestPartsCachedInAnotherRegionAreCopied(t *testing.T) {
 	c := qt.New(t)
-	w := newEngineFixture(c, false)
-	w.config.Services[0].Engine = &route.EngineShape{TokenBytes: 1, LinkRate: 1e9}
+	f := newEngineFixture(c, false)
+	f.config.Services[0].Engine = &route.EngineShape{TokenBytes: 1, LinkRate: 1e9}
 	var seen recorder
-	w.addServer("x", func(rw http.ResponseWriter, r *http.Request) {
+	f.addServer("x", func(rw http.ResponseWriter, r *http.Request) {
 		seen.add(r.Header.Get("Copy-From"))
 		sendEvents(rw, 1, 1)
 	})
-	w.servers = append(w.servers, view.Server{ID: "far", Service: "x", Address: "192.0.2.1:80", FailureDomain: "elsewhere", Slots: 4})
-	w.start()
-	w.gateway.placer.SharePlacements(&peerpb.SharePlacementsRequest{Service: "x", Placements: []*peerpb.SharedPlacement{
+	f.servers = append(f.servers, view.Server{ID: "far", Service: "x", Address: "192.0.2.1:80", FailureDomain: "elsewhere", Slots: 4})
+	f.start()
+	f.gateway.placer.SharePlacements(&peerpb.SharePlacementsRequest{Service: "x", Placements: []*peerpb.SharedPlacement{
 		{Server: "far", Parts: []*peerpb.PromptPart{{Id: "system", Tokens: 1000}, {Id: "topic", Tokens: 1000}}},
 	}})
 	for _, own := range []string{"first", "second"} {
-		_, _, err := w.do("POST", "/p/", "", "Prompt", "system topic "+own)
+		_, _, err := f.do("POST", "/p/", "", "Prompt", "system topic "+own)
 		c.Assert(err, qt.IsNil)
 	}
 	c.Assert(seen.all(), qt.DeepEquals, []string{"192.0.2.1:80", ""})
 }
 
-// Guards against placements that the other regions are not told, or more than once.
+// Guards against placements that are sent to the other regions never or more than once.
 func TestPlacementsAreSharedOnce(t *testing.T) {
 	c := qt.New(t)
-	w := newEngineFixture(c, false)
-	w.addServer("x", func(rw http.ResponseWriter, _ *http.Request) { sendEvents(rw, 1, 1) })
-	w.start()
-	placer := w.gateway.placer
+	f := newEngineFixture(c, false)
+	f.addServer("x", func(rw http.ResponseWriter, _ *http.Request) { sendEvents(rw, 1, 1) })
+	f.start()
+	placer := f.gateway.placer
 	prompt := []engine.Part{{ID: "system", Tokens: 1000}, {ID: "own", Tokens: 10}}
 	for range 2 {
 		_, ok := placer.Place(c.Context(), "a", "x", engine.Query{Prompt: prompt})
@@ -505,30 +508,31 @@
 	c.Assert(placer.pendingShares["x"][0].Parts[0].Id, qt.Equals, "system")
 }
 
-// Guards against an instance that begins to place prompts without asking what the
-// model servers keep, and asks again and again.
-func TestPlacersAskOnceWhatServersKeep(t *testing.T) {
+// Guards against an instance that places prompts without reading the caches of the model
+// servers, and against one that reads them again and again.
+func TestPlacersReadServerCachesOnce(t *testing.T) {
 	c := qt.New(t)
-	w := newEngineFixture(c, false)
+	f := newEngineFixture(c, false)
 	var asked recorder
 	for range 2 {
-		w.addServer("x", func(rw http.ResponseWriter, r *http.Request) {
+		f.addServer("x", func(rw http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/cache" {
 				asked.add("")
 				_, _ = io.WriteString(rw, `[{"ID":"p","Tokens":9000}]`)
 			}
 		})
 	}
-	w.start()
+	f.start()
 	for range 3 {
-		w.gateway.placer.Restore(c.Context())
+		f.gateway.placer.Restore(c.Context())
 	}
 	c.Assert(asked.all(), qt.HasLen, 2)
 }
 
-// Guards against pieces that fetch their inputs from another failure domain although
-// these are larger than their results, and the other way round.
-func TestStagesRunWhereMostBytesAre(t *testing.T) {
+// Guards against pieces that fetch their inputs from another failure domain although the
+// inputs are larger than the results, and against results that cross failure domains
+// although they are larger.
+func TestStagesRunInTheDomainWithMostBytes(t *testing.T) {
 	c := qt.New(t)
 	domains := map[string]string{"1": "a", "2": "b", "3": "b", "4": ""}
 	r := &stageRun{StagePlan: StagePlan{FailureDomain: "c", DomainOf: func(result string) string { return domains[result] }}}
@@ -539,12 +543,12 @@
 	c.Assert(r.preferredDomain(&peerpb.RunStageRequest{ResultBytes: 1}), qt.Equals, "c")
 }
 
-// Guards against a stage that waits until its inputs are gone, which costs a call and
-// the work of the stages before.
-func TestStagesEndBeforeTheLifeOfTheirInputs(t *testing.T) {
+// Guards against a stage that waits until its inputs are gone, which wastes a call and
+// the work of the stages that produced them.
+func TestStageDeadlinesRespectInputLifetime(t *testing.T) {
 	c := qt.New(t)
-	w := newEngineFixture(c, false, route.Stage{Service: "stage"}, route.Stage{Service: "stage", After: []int{0}})
-	table := route.NewTable(w.config)
+	f := newEngineFixture(c, false, route.Stage{Service: "stage"}, route.Stage{Service: "stage", After: []int{0}})
+	table := route.NewTable(f.config)
 	chain := StagePlan{Table: table, Route: &table.Routes[0], Graph: table.Routes[0].NewGraph([]int{1, 1}), Deadline: time.Now().Add(time.Minute)}
 	r := &stageRun{StageRunner: NewStageRunner(nil, nil, nil, discardLogger()), StagePlan: chain, progress: stagework.NewProgress(chain.Graph.After, chain.Graph.Counts)}
 	r.progress.SetTypical(make([]time.Duration, 2))
