--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -85,7 +85,7 @@
 	return elapsed < d.grace-admitMargin
 }
 
-// done reports whether the process can exit while running requests are in flight.
+// done reports whether the process can exit, given the number of requests in flight.
 func (d *Drain) done(now time.Time, running int64) bool {
 	elapsed, _ := d.elapsed(now)
 	switch {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -30,7 +30,7 @@
 	metrics    requestMetrics
 	inFlight   atomic.Int64
 	bodyMemory *bodyMemory
-	// runTimes holds the mean duration of generate requests by route.
+	// runTimes holds the mean duration of runs at model servers by route.
 	runTimes       *movingAverages
 	fetchEstimates *fetchEstimates
 }
--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -20,7 +20,7 @@
 	ID string
 	// Key is the organisation's key.
 	Key string
-	// Timeout is how long the client waits; Bounded is false when it did not say.
+	// Timeout is how long the client waits; HasTimeout is false when no header says so.
 	Timeout    time.Duration
 	HasTimeout bool
 	// Prompt holds the parts of the prompt. The last one is specific to the request.
