--- a/internal/gateway/inputs.go
+++ b/internal/gateway/inputs.go
@@ -11,43 +11,45 @@
 	"github.com/coltsfootdrift/coltsfootdrift/stagework"
 )
 
-// chooseDomain returns the failure domain in which the inputs are made: that of the
-// model server for the prompt when they are large, otherwise one by the prompt's
-// shared part and the servers that make the largest inputs.
-func (g *generation) chooseDomain() string {
+// chooseInputDomain returns the failure domain in which the inputs should be produced.
+// For large inputs it is the one of the model server that the prompt would be placed
+// on. Otherwise it is chosen by the shared part of the prompt and the distribution of
+// the servers that produce the largest inputs.
+func (g *generateRequest) chooseInputDomain() string {
 	largest := g.largestInput()
 	if largest < 0 {
 		return ""
 	}
-	near, all := map[string]int{}, map[string]int{}
+	local, all := map[string]int{}, map[string]int{}
 	for _, s := range g.view.Servers[g.route.Stages[largest].Service] {
 		all[s.FailureDomain]++
-		if g.fleet.Near(s.FailureDomain) {
-			near[s.FailureDomain]++
+		if g.fleet.InRegion(s.FailureDomain) {
+			local[s.FailureDomain]++
 		}
 	}
-	if len(near) == 0 {
-		near = all
+	if len(local) == 0 {
+		local = all
 	}
-	domain := engine.Domain(g.demand.Prompt, near, g.fleet.Draw())
-	if g.inputBytes() < heavyInputs {
+	domain := engine.Domain(g.requestInfo.Prompt, local, g.fleet.RandomFloat64())
+	if g.inputBytes() < largeInputBytes {
 		return domain
 	}
-	placed, ok := g.placer.Place(g.ctx, g.demand.ID, g.service.Name, engine.Query{
-		Prompt: g.demand.Prompt, InputBytes: map[string]int64{domain: g.inputBytes()}, Excluded: g.tried, AskOnly: true,
+	placed, ok := g.placer.Place(g.ctx, g.requestInfo.ID, g.service.Name, engine.Query{
+		Prompt: g.requestInfo.Prompt, InputBytes: map[string]int64{domain: g.inputBytes()}, Excluded: g.tried, AskOnly: true,
 	})
-	if _, made := near[placed.FailureDomain]; ok && made {
+	if _, produces := local[placed.FailureDomain]; ok && produces {
 		return placed.FailureDomain
 	}
 	return domain
 }
 
-// heavyInputs is the size of inputs from which they are made where the model server
-// that keeps the prompt stands.
-const heavyInputs = 100 << 10
+// largeInputBytes is the total size from which inputs are produced in the failure
+// domain of the model server that caches the prompt.
+const largeInputBytes = 100 << 10
 
-// largestInput returns the final stage with the largest results, -1 without stages.
-func (g *generation) largestInput() int {
+// largestInput returns the index of the final stage with the largest results, -1 when
+// there is none.
+func (g *generateRequest) largestInput() int {
 	largest := -1
 	for _, i := range g.graph.Final {
 		if largest < 0 || g.route.Stages[i].ResultBytes > g.route.Stages[largest].ResultBytes {
@@ -57,118 +59,121 @@
 	return largest
 }
 
-// inputBytes returns the approximate size of all inputs.
-func (g *generation) inputBytes() (bytes int64) {
+// inputBytes returns the approximate total size of all inputs.
+func (g *generateRequest) inputBytes() (bytes int64) {
 	for _, i := range g.graph.Final {
 		bytes += int64(g.graph.Counts[i]) * g.route.Stages[i].ResultBytes
 	}
 	return bytes
 }
 
-// inputsByDomain returns the approximate size of the inputs that are held, by the
-// failure domain of their producers, which may not be the one that was chosen.
-func (g *generation) inputsByDomain() map[string]int64 {
+// inputsByDomain returns the approximate size in bytes of the produced inputs by the
+// failure domain of their producers, which may differ from inputDomain.
+func (g *generateRequest) inputsByDomain() map[string]int64 {
 	bytes := map[string]int64{}
-	for input, stage := range g.eachInput() {
+	for input, stage := range g.allInputs() {
 		bytes[g.domainOf(input)] += stage.ResultBytes
 	}
 	return bytes
 }
 
-// eachInput yields the inputs that are held with the stage that made each.
-func (g *generation) eachInput() iter.Seq2[string, *route.Stage] {
+// allInputs yields the handle of each produced input with the stage that produced it.
+func (g *generateRequest) allInputs() iter.Seq2[string, *route.Stage] {
 	return func(yield func(string, *route.Stage) bool) {
-		at := 0
+		next := 0
 		for _, i := range g.graph.Final {
 			for range g.graph.Counts[i] {
-				if !yield(g.inputs[at], &g.route.Stages[i]) {
+				if !yield(g.inputs[next], &g.route.Stages[i]) {
 					return
 				}
-				at++
+				next++
 			}
 		}
 	}
 }
 
-// domainOf returns the failure domain in which a result is held, or an empty string
-// when its producer is not registered any more.
-func (g *generation) domainOf(result string) string {
+// domainOf returns the failure domain of the server that holds a result, or an empty
+// string when that server is no longer registered.
+func (g *generateRequest) domainOf(result string) string {
 	return g.views.Current().ByAddress[g.protocol.Producer(result)].FailureDomain
 }
 
-// crossing returns the size of the inputs that are in other failure domains.
-func crossing(inputs map[string]int64, domain string) (bytes int64) {
-	for at, size := range inputs {
-		if at != domain {
+// crossDomainBytes returns the size of the inputs that are in other failure domains
+// than the given one.
+func crossDomainBytes(inputs map[string]int64, domain string) (bytes int64) {
+	for inputDomain, size := range inputs {
+		if inputDomain != domain {
 			bytes += size
 		}
 	}
 	return bytes
 }
 
-// prepare runs the stages unless their results are held. It returns false when the
-// request has its answer or must be tried again.
-func (g *generation) prepare() (ready, ended bool) {
+// prepareInputs runs the stages unless their results exist. When ready is false, the
+// try is over, and ended says whether the request is too.
+func (g *generateRequest) prepareInputs() (ready, ended bool) {
 	if g.graph.Empty() || g.inputs != nil {
 		return true, false
 	}
-	if g.domain == "" {
-		g.domain = g.chooseDomain()
+	if g.inputDomain == "" {
+		g.inputDomain = g.chooseInputDomain()
 	}
 	var typical time.Duration
-	g.fleet.Engines(g.service.Name, func(s *engine.Set) { typical = s.Typical() })
-	ctx, cancel := g.untilClosing()
+	g.fleet.WithEngines(g.service.Name, func(s *engine.Set) { typical = s.Typical() })
+	ctx, cancel := g.waitingContext()
 	defer cancel()
-	inputs, err := g.stages.Run(ctx, Chain{
-		RequestID: g.demand.ID, Key: g.demand.PieceKey, Table: g.view.Table, Route: g.route, Graph: g.graph, Priority: g.priority,
+	inputs, err := g.stages.Run(ctx, StagePlan{
+		RequestID: g.requestInfo.ID, Key: g.requestInfo.PieceKey, Table: g.view.Table, Route: g.route, Graph: g.graph, Priority: g.priority,
 		Due:           g.arrived.Add(g.route.Target - typical),
 		Deadline:      g.stagesDeadline(typical),
-		FailureDomain: g.domain, DomainOf: g.domainOf,
+		FailureDomain: g.inputDomain, DomainOf: g.domainOf,
 	})
 	if err == nil {
 		g.inputs = inputs
 		return true, false
 	}
-	if g.left() || g.late() {
-		return false, g.end()
+	if g.clientGone() || g.expired() {
+		return false, g.endIncomplete()
 	}
 	if ctx.Err() != nil {
-		return false, g.giveUp("draining", retrySoon, nil)
+		return false, g.giveUp("draining", shortRetryAfter, nil)
 	}
 	var refused *RefusedError
 	if !errors.As(err, &refused) {
-		return false, g.giveUp("stages failed", retrySoon, err)
+		return false, g.giveUp("stages failed", shortRetryAfter, err)
 	}
 	if refused.Reason == stagework.RefusedInputGone && time.Now().Before(g.arrived.Add(g.route.Target)) {
-		return false, g.remake("stages: inputs were lost")
+		return false, g.rerunStages("stages: inputs were lost")
 	}
 	return false, g.giveUp("stages: "+string(refused.Reason), refused.Wait, err)
 }
 
-// untilClosing returns the context of the request, which also ends when a shutdown
-// refuses the requests that were not sent yet.
-func (g *generation) untilClosing() (context.Context, context.CancelFunc) {
+// waitingContext returns a context of the request that also ends when a shutdown
+// refuses the requests that are not sent yet.
+func (g *generateRequest) waitingContext() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(g.ctx)
-	stop := context.AfterFunc(g.drain.closing, cancel)
+	stop := context.AfterFunc(g.drain.waitingCtx, cancel)
 	return ctx, func() {
 		stop()
 		cancel()
 	}
 }
 
-// stagesDeadline returns when the stages must end, so that a run of typical length
-// ends by the deadline and its first event comes while the client still waits.
-func (g *generation) stagesDeadline(firstEvent time.Duration) time.Time {
-	end := g.deadline.Add(-max(firstEvent, g.runs.of(g.route.Name)))
+// stagesDeadline returns when the stages must end, so that a run of typical length at
+// the model server ends by the deadline and its first event arrives within the
+// client's patience.
+func (g *generateRequest) stagesDeadline(firstEvent time.Duration) time.Time {
+	end := g.deadline.Add(-max(firstEvent, g.runTimes.mean(g.route.Name)))
 	if patience := g.arrived.Add(g.route.Patience - firstEvent); g.route.Patience > 0 && patience.Before(end) {
 		return patience
 	}
 	return end
 }
 
-// producersLive reports whether the servers that hold the inputs are still
-// registered. Results end with their producer, at any moment after it has left.
-func (g *generation) producersLive() bool {
+// producersLive reports whether the servers that hold the inputs are still registered.
+// Results are lost when their producer exits, which may be at any time after its
+// registration has ended.
+func (g *generateRequest) producersLive() bool {
 	current := g.views.Current()
 	for _, result := range g.inputs {
 		if _, ok := current.ByAddress[g.protocol.Producer(result)]; !ok {
@@ -178,18 +183,18 @@
 	return true
 }
 
-// remake gives up the inputs so that the next try makes them again, or ends the
-// request.
-func (g *generation) remake(reason string) bool {
+// rerunStages frees the inputs so that the next try runs the stages again. It ends the
+// request when no rerun is left or too little time.
+func (g *generateRequest) rerunStages(reason string) bool {
 	g.freeInputs()
-	if g.remade++; g.remade > maxRemade || g.remaining() < minRepeat {
-		return g.giveUp(reason, retrySoon, nil)
+	if g.stageReruns++; g.stageReruns > maxStageReruns || g.remaining() < minRetryTime {
+		return g.giveUp(reason, shortRetryAfter, nil)
 	}
 	return false
 }
 
-// freeInputs gives up the results that the request holds.
-func (g *generation) freeInputs() {
+// freeInputs frees the results that the request holds.
+func (g *generateRequest) freeInputs() {
 	if len(g.inputs) == 0 {
 		return
 	}
@@ -197,25 +202,25 @@
 	g.inputs = nil
 }
 
-// inputsByService returns the inputs by the service that made them, which counts the
-// room that they take.
-func (g *generation) inputsByService() map[string][]string {
+// inputsByService returns the handles of the inputs by the stage service that produced
+// them, as result memory is counted per service.
+func (g *generateRequest) inputsByService() map[string][]string {
 	results := map[string][]string{}
-	for input, stage := range g.eachInput() {
+	for input, stage := range g.allInputs() {
 		results[stage.Service] = append(results[stage.Service], input)
 	}
 	return results
 }
 
-// freeFetched gives up the inputs once the model server that the request is sent to
-// is expected to have fetched them. The returned function ends the wait and reports
-// whether they were given up.
-func (g *generation) freeFetched() (stop func() bool) {
+// freeInputsWhenFetched frees the inputs at the time by which the model server that the
+// request is sent to is expected to have fetched them. The returned function stops the
+// timer and reports whether the inputs were freed.
+func (g *generateRequest) freeInputsWhenFetched() (stop func() bool) {
 	if len(g.inputs) == 0 {
 		return func() bool { return false }
 	}
 	results := g.inputsByService()
-	timer := time.AfterFunc(g.fetches.time(g.service.Name, g.view.Table, results, g.inputBytes()), func() { g.stages.FreeAll(results) })
+	timer := time.AfterFunc(g.fetchEstimates.timeUntilFetched(g.service.Name, g.view.Table, results, g.inputBytes()), func() { g.stages.FreeAll(results) })
 	return func() bool {
 		if timer.Stop() {
 			return false
