--- a/internal/capacity/metrics.go
+++ b/internal/capacity/metrics.go
@@ -36,15 +36,15 @@
 type oneServer struct{ server backend.Server }
 
 // Pick implements entry.Picker.
-func (o oneServer) Pick(entry.Query) (entry.Picked, bool) { return o, true }
+func (o oneServer) Pick(entry.Query) (entry.PickedServer, bool) { return o, true }
 
-// Server implements entry.Picked.
+// Server implements entry.PickedServer.
 func (o oneServer) Server() backend.Server { return o.server }
 
-// FirstByte implements entry.Picked.
+// FirstByte implements entry.PickedServer.
 func (oneServer) FirstByte() {}
 
-// Done implements entry.Picked.
+// Done implements entry.PickedServer.
 func (oneServer) Done(error, int64) {}
 
 // Call implements backend.Caller.
--- a/internal/capacity/request.go
+++ b/internal/capacity/request.go
@@ -63,7 +63,7 @@
 	}}, set)
 	executor := entry.NewExecutor(backend.NewHTTPCaller(backend.NewTransport()), servers, time.Now)
 	executor.Hedges, executor.Budgets = servers, servers
-	control := entry.NewAdmissionControl(servers, entry.NewDecisionMetrics(tally.NoopScope), slog.New(slog.DiscardHandler), time.Now)
+	control := entry.NewAdmissionControl(servers, entry.NewAdmissionMetrics(tally.NoopScope), slog.New(slog.DiscardHandler), time.Now)
 	handler := &entry.Handler{Configuration: fixedConfiguration{set}, Executor: executor, Admission: control, Now: time.Now}
 	h.instance = httptest.NewServer(handler.Router())
 	h.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}
--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -24,7 +24,7 @@
 // part of its pool, since the other stages follow from it.
 type AdmissionControl struct {
 	servers *Servers
-	metrics *DecisionMetrics
+	metrics *AdmissionMetrics
 	logger  *slog.Logger
 	now     func() time.Time
 
@@ -47,7 +47,7 @@
 const stretchGain = 0.05
 
 // NewAdmissionControl returns an admission control for the pools of servers.
-func NewAdmissionControl(servers *Servers, metrics *DecisionMetrics, logger *slog.Logger, now func() time.Time) *AdmissionControl {
+func NewAdmissionControl(servers *Servers, metrics *AdmissionMetrics, logger *slog.Logger, now func() time.Time) *AdmissionControl {
 	return &AdmissionControl{
 		servers: servers, metrics: metrics, logger: logger, now: now,
 		rates: quota.NewShare(), queues: map[string]*poolQueue{},
--- a/internal/entry/admission_test.go
+++ b/internal/entry/admission_test.go
@@ -26,7 +26,7 @@
 	discard := slog.New(slog.NewTextHandler(io.Discard, nil))
 	servers := NewServers("i", routing.Location{}, 1, discard, time.Now)
 	servers.Update([]platform.Member{{ID: "s", Role: platform.RoleBackend, Pool: "shelf", State: platform.StateLive}}, set)
-	control := NewAdmissionControl(servers, NewDecisionMetrics(tally.NoopScope), discard, time.Now)
+	control := NewAdmissionControl(servers, NewAdmissionMetrics(tally.NoopScope), discard, time.Now)
 	request := &Request{
 		Pipeline: &pipeline.Pipeline{Stages: []pipeline.Stage{{Name: "fetch", Pool: "shelf"}}},
 		Kind:     pipeline.Kind{Class: pipeline.ClassNormal},
@@ -71,7 +71,7 @@
 		{ID: "s", Role: platform.RoleBackend, Region: "near", FailureDomain: "near-a", Pool: "shelf", State: platform.StateLive},
 		{ID: "f", Role: platform.RoleBackend, Region: "far", FailureDomain: "far-a", Pool: "shelf", State: platform.StateLive},
 	}, set)
-	control := NewAdmissionControl(servers, NewDecisionMetrics(tally.NoopScope), discard, time.Now)
+	control := NewAdmissionControl(servers, NewAdmissionMetrics(tally.NoopScope), discard, time.Now)
 	admit := func(linkBytes int64) (*Request, *Problem) {
 		request := &Request{
 			Pipeline: &pipeline.Pipeline{Stages: []pipeline.Stage{{Name: "fetch", Pool: "shelf"}}},
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -29,7 +29,7 @@
 }
 
 // receive calls the server and reads its answer to the end mark.
-func (a *answer) receive(ctx context.Context, picked Picked) error {
+func (a *answer) receive(ctx context.Context, picked PickedServer) error {
 	for resumes := 0; ; resumes++ {
 		err := a.exchange(ctx, picked)
 		if err == nil || resumes == maxResumes || !a.mayResume(ctx, err) {
@@ -48,7 +48,7 @@
 }
 
 // exchange sends one attempt and reads what it answers.
-func (a *answer) exchange(ctx context.Context, picked Picked) error {
+func (a *answer) exchange(ctx context.Context, picked PickedServer) error {
 	c := a.call
 	c.countAttempt(1)
 	stream, err := c.Caller.Call(ctx, picked.Server(), c.stageRequest(uuid.NewString(), a.bytes))
@@ -66,7 +66,7 @@
 	return err
 }
 
-func (a *answer) read(stream backend.StageStream, picked Picked) error {
+func (a *answer) read(stream backend.StageStream, picked PickedServer) error {
 	for {
 		piece, err := stream.Next()
 		if errors.Is(err, io.EOF) {
--- a/internal/entry/decisions.go
+++ b/internal/entry/decisions.go
@@ -28,19 +28,19 @@
 	loadTimeout  = time.Second
 )
 
-// DecisionMetrics reports the decisions under load.
-type DecisionMetrics struct {
+// AdmissionMetrics reports the decisions under load.
+type AdmissionMetrics struct {
 	scope  tally.Scope
 	tagged sync.Map
 }
 
-// NewDecisionMetrics returns metrics that report to a scope.
-func NewDecisionMetrics(scope tally.Scope) *DecisionMetrics {
-	return &DecisionMetrics{scope: scope}
+// NewAdmissionMetrics returns metrics that report to a scope.
+func NewAdmissionMetrics(scope tally.Scope) *AdmissionMetrics {
+	return &AdmissionMetrics{scope: scope}
 }
 
 // refused counts a refused request by the type of its problem.
-func (m *DecisionMetrics) refused(problem string) {
+func (m *AdmissionMetrics) refused(problem string) {
 	kept, ok := m.tagged.Load(problem)
 	if !ok {
 		tags := map[string]string{"reason": problem}
@@ -52,7 +52,7 @@
 // queueGauges are the gauges of one pool's queue.
 type queueGauges struct{ running, waiting, limit tally.Gauge }
 
-func (m *DecisionMetrics) queue(pool string, running, waiting, limit int) {
+func (m *AdmissionMetrics) queue(pool string, running, waiting, limit int) {
 	type key struct{ pool string }
 	kept, ok := m.tagged.Load(key{pool})
 	if !ok {
@@ -66,14 +66,14 @@
 	gauges.limit.Update(float64(limit))
 }
 
-func newDecisionMetrics(m *metrics.Metrics) *DecisionMetrics { return NewDecisionMetrics(m.Scope) }
+func newDecisionMetrics(m *metrics.Metrics) *AdmissionMetrics { return NewAdmissionMetrics(m.Scope) }
 
 func newServers(entry settings.Entry, logger *slog.Logger) *Servers {
 	location := routing.Location{Region: entry.Region, FailureDomain: entry.FailureDomain}
 	return NewServers(entry.Instance, location, entry.LinkSharers(), logger, time.Now)
 }
 
-func newAdmissionControl(servers *Servers, m *DecisionMetrics, logger *slog.Logger) *AdmissionControl {
+func newAdmissionControl(servers *Servers, m *AdmissionMetrics, logger *slog.Logger) *AdmissionControl {
 	return NewAdmissionControl(servers, m, logger, time.Now)
 }
 
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -47,7 +47,7 @@
 	c.Assert(response.StatusCode, qt.Equals, http.StatusOK)
 
 	var answer strings.Builder
-	var end End
+	var end StreamEnd
 	for event, err := range sse.Read(response.Body, &sse.ReadConfig{MaxEventSize: largeAnswerBytes}) {
 		c.Assert(err, qt.IsNil)
 		if event.Type == EventEnd {
--- a/internal/entry/eventwriter.go
+++ b/internal/entry/eventwriter.go
@@ -17,8 +17,8 @@
 	EventError = "error"
 )
 
-// End is the data of an EventEnd: the mark of a whole answer.
-type End struct {
+// StreamEnd is the data of an EventEnd: the mark of a whole answer.
+type StreamEnd struct {
 	Outcome Outcome `json:"outcome"`
 	Bytes   int64   `json:"bytes"`
 	SHA256  string  `json:"sha256"`
@@ -49,7 +49,7 @@
 func (s *eventWriter) finish(result Result) error {
 	switch {
 	case result.Problem == nil:
-		end := End{Outcome: OutcomeCompleted, Bytes: s.bytes, SHA256: hex.EncodeToString(s.sum.Sum(nil))}
+		end := StreamEnd{Outcome: OutcomeCompleted, Bytes: s.bytes, SHA256: hex.EncodeToString(s.sum.Sum(nil))}
 		return s.event(EventEnd, end)
 	case s.started:
 		return s.event(EventError, result.Problem)
--- a/internal/entry/fakes_test.go
+++ b/internal/entry/fakes_test.go
@@ -69,7 +69,7 @@
 // fakePicker offers servers s1 to s3 of every pool in this order.
 type fakePicker struct{}
 
-func (fakePicker) Pick(query Query) (Picked, bool) {
+func (fakePicker) Pick(query Query) (PickedServer, bool) {
 	for _, id := range []string{"s1", "s2", "s3"} {
 		if !slices.Contains(query.Excluded, id) {
 			return fakePicked{id}, true
--- a/internal/entry/gossip.go
+++ b/internal/entry/gossip.go
@@ -249,7 +249,7 @@
 }
 
 // Pick chooses a server and counts a call in flight there.
-func (r drainReporter) Pick(query Query) (Picked, bool) {
+func (r drainReporter) Pick(query Query) (PickedServer, bool) {
 	picked, ok := r.Picker.Pick(query)
 	if !ok || r.members.Node == nil {
 		return picked, ok
@@ -258,13 +258,13 @@
 }
 
 type reportedPick struct {
-	Picked
+	PickedServer
 	members *Members
 }
 
 // Done ends the call and reports a server that leaves.
 func (p reportedPick) Done(err error, bytes int64) {
-	p.Picked.Done(err, bytes)
+	p.PickedServer.Done(err, bytes)
 	if errors.Is(err, backend.ErrDraining) {
 		server := p.Server()
 		p.members.MarkDraining(server.ID, server.Incarnation, drainLifetime)
--- a/internal/entry/hedge.go
+++ b/internal/entry/hedge.go
@@ -27,7 +27,7 @@
 
 // hedged calls a server, and a second one when no answer came within the delay.
 // The first answer wins and the other call is cancelled.
-func (c *stageCall) hedged(ctx context.Context, first Picked, delay time.Duration) (json.RawMessage, error) {
+func (c *stageCall) hedged(ctx context.Context, first PickedServer, delay time.Duration) (json.RawMessage, error) {
 	h := &hedge{call: c, second: make(chan hedgedResult, 1)}
 	firstCtx, cancelFirst := context.WithCancel(ctx)
 	secondCtx, cancelSecond := context.WithCancel(ctx)
@@ -80,7 +80,7 @@
 }
 
 // pickHedge chooses the second server when a hedge is allowed.
-func (c *stageCall) pickHedge(ctx context.Context) (Picked, bool) {
+func (c *stageCall) pickHedge(ctx context.Context) (PickedServer, bool) {
 	query := c.query()
 	if ctx.Err() != nil || !c.Hedges.Allow(query) {
 		return nil, false
--- a/internal/entry/ports.go
+++ b/internal/entry/ports.go
@@ -74,11 +74,11 @@
 // Picker chooses backend servers.
 type Picker interface {
 	// Pick chooses a server and counts a call in flight there.
-	Pick(query Query) (Picked, bool)
+	Pick(query Query) (PickedServer, bool)
 }
 
-// Picked is a chosen server with a call in flight.
-type Picked interface {
+// PickedServer is a chosen server with a call in flight.
+type PickedServer interface {
 	Server() backend.Server
 	// FirstByte reports that the answer began.
 	FirstByte()
--- a/internal/entry/servers.go
+++ b/internal/entry/servers.go
@@ -136,7 +136,7 @@
 }
 
 // Pick chooses a server and counts a call in flight there.
-func (s *Servers) Pick(query Query) (Picked, bool) {
+func (s *Servers) Pick(query Query) (PickedServer, bool) {
 	p := s.find(query.Pool)
 	if p == nil {
 		return nil, false
--- a/internal/entry/stagecall.go
+++ b/internal/entry/stagecall.go
@@ -102,7 +102,7 @@
 }
 
 // pick chooses a server and excludes it from further attempts.
-func (c *stageCall) pick(query Query) (Picked, bool) {
+func (c *stageCall) pick(query Query) (PickedServer, bool) {
 	picked, ok := c.Picker.Pick(query)
 	if ok {
 		c.excluded = append(c.excluded, picked.Server().ID)
@@ -147,7 +147,7 @@
 }
 
 // send calls a picked server and ends the call's accounting.
-func (c *stageCall) send(ctx context.Context, picked Picked) (json.RawMessage, error) {
+func (c *stageCall) send(ctx context.Context, picked PickedServer) (json.RawMessage, error) {
 	if c.stage.Once {
 		if err := c.beginOnce(); err != nil {
 			picked.Done(err, 0)
--- a/internal/experiment/baselines.go
+++ b/internal/experiment/baselines.go
@@ -46,7 +46,7 @@
 }
 
 // Pick chooses a server by the policy.
-func (b *baseline) Pick(query entry.Query) (entry.Picked, bool) {
+func (b *baseline) Pick(query entry.Query) (entry.PickedServer, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var candidates []int
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -178,7 +178,7 @@
 	location := routing.Location{Region: regionName(region), FailureDomain: regionName(region)}
 	servers := entry.NewServers(id, location, f.instances, logger, time.Now)
 	servers.Update(f.members(), f.set())
-	control := entry.NewAdmissionControl(servers, entry.NewDecisionMetrics(tally.NoopScope), logger, time.Now)
+	control := entry.NewAdmissionControl(servers, entry.NewAdmissionMetrics(tally.NoopScope), logger, time.Now)
 	executor := entry.NewExecutor(f.caller(region), servers, time.Now)
 	executor.Hedges, executor.Budgets = servers, servers
 	f.serve(region, executor, control)
--- a/internal/traffic/client.go
+++ b/internal/traffic/client.go
@@ -209,7 +209,7 @@
 }
 
 func endOfStream(data string, text []byte) Answer {
-	var end entry.End
+	var end entry.StreamEnd
 	if err := json.Unmarshal([]byte(data), &end); err != nil {
 		return lost(err)
 	}
