--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -28,23 +28,23 @@
 	logger  *slog.Logger
 	now     func() time.Time
 
-	mu     sync.Mutex
-	rates  *quota.Share
-	queues map[string]*poolQueue
-	lastID uint64
+	mu           sync.Mutex
+	rates        *quota.Share
+	queues       map[string]*poolQueue
+	lastTicketID uint64
 }
 
 // poolQueue is the queue of one pool with the callers that wait in it.
 type poolQueue struct {
 	queue   *admission.Queue
-	waiting map[uint64]chan admission.Decision
+	waiters map[uint64]chan admission.Decision
 	// stretch is the mean duration of whole requests as a multiple of that of
 	// their stage at this pool.
-	stretch float64
+	durationRatio float64
 }
 
 // stretchGain is the weight of one request in the mean of poolQueue.stretch.
-const stretchGain = 0.05
+const durationRatioGain = 0.05
 
 // NewAdmissionControl returns an admission control for the pools of servers.
 func NewAdmissionControl(servers *Servers, metrics *AdmissionMetrics, logger *slog.Logger, now func() time.Time) *AdmissionControl {
@@ -58,7 +58,7 @@
 func (a *AdmissionControl) Admit(ctx context.Context, request *Request) (func(Outcome), *Problem) {
 	release, problem := a.admit(ctx, request)
 	if problem != nil {
-		a.metrics.refused(problem.Type)
+		a.metrics.countRefused(problem.Type)
 		events.RequestRefused.Log(ctx, a.logger, slog.String("reason", problem.Type),
 			slog.String("organisation", request.Organisation.Name), slog.String("kind", request.Kind.Name))
 	}
@@ -72,49 +72,49 @@
 	}
 	plan := a.servers.plan(request)
 	if !plan.Feasible(0, request.Deadline.Sub(now)) {
-		return nil, notRun(http.StatusGatewayTimeout, ProblemDeadline, "deadline cannot be met",
+		return nil, notRunProblem(http.StatusGatewayTimeout, ProblemDeadline, "deadline cannot be met",
 			"the stages take longer than the time that is left")
 	}
-	pool, stretch := a.bottleneck(request)
+	pool, durationRatio := a.bottleneck(request)
 	a.mu.Lock()
 	q := a.queue(pool)
-	q.stretch += stretchGain * (stretch - q.stretch)
-	a.lastID++
-	ticket := newTicket(a.lastID, request)
+	q.durationRatio += durationRatioGain * (durationRatio - q.durationRatio)
+	a.lastTicketID++
+	ticket := newTicket(a.lastTicketID, request)
 	decision := q.queue.Offer(now, ticket)
 	var decided chan admission.Decision
 	if decision.Verdict == admission.Waiting {
 		decided = make(chan admission.Decision, 1)
-		q.waiting[ticket.ID] = decided
+		q.waiters[ticket.ID] = decided
 	}
 	a.mu.Unlock()
 	if decided != nil {
 		decision = a.await(ctx, q, ticket, decided)
 	}
 	if decision.Verdict == admission.Refused {
-		if a.leave(request, pool) {
+		if a.tryOtherRegion(request, pool) {
 			return func(Outcome) {}, nil
 		}
-		return nil, refusal(decision)
+		return nil, admissionProblem(decision)
 	}
-	return a.releaser(q, ticket), nil
+	return a.releaseFunc(q, ticket), nil
 }
 
 // leave sends a request to another region when its own cannot answer in time:
 // while the deadline can still be met there and the link has room. Only
 // pipelines of one stage leave, since each stage of others would cross the link.
-func (a *AdmissionControl) leave(request *Request, pool string) bool {
+func (a *AdmissionControl) tryOtherRegion(request *Request, pool string) bool {
 	remaining := request.Deadline.Sub(a.now())
-	fits := a.servers.plan(request).Feasible(0, remaining-linkAllowance)
-	if len(request.Pipeline.Stages) > 1 || !fits || !a.servers.remoteRoom(pool, request.Kind.Cost.LinkBytes) {
+	feasible := a.servers.plan(request).Feasible(0, remaining-crossRegionLatency)
+	if len(request.Pipeline.Stages) > 1 || !feasible || !a.servers.hasRemoteCapacity(pool, request.Kind.Cost.LinkBytes) {
 		return false
 	}
-	request.leave = true
+	request.crossRegion = true
 	return true
 }
 
 // linkAllowance is the time that a call to another region takes in addition.
-const linkAllowance = 50 * time.Millisecond
+const crossRegionLatency = 50 * time.Millisecond
 
 func newTicket(id uint64, request *Request) admission.Ticket {
 	return admission.Ticket{
@@ -137,7 +137,7 @@
 	if ok {
 		return nil
 	}
-	problem := notRun(http.StatusTooManyRequests, ProblemRate, "organisation rate exceeded",
+	problem := notRunProblem(http.StatusTooManyRequests, ProblemRate, "organisation rate exceeded",
 		"the organisation sends more requests than it may")
 	// Callers that were refused together must not come back together.
 	problem.RetryAfterMS = max(1, int64(float64(retryAfter.Milliseconds())*(1+rand.Float64()/2)))
@@ -146,21 +146,21 @@
 
 // bottleneck returns the pool where the request waits, and the duration of the
 // whole request as a multiple of that stage's.
-func (a *AdmissionControl) bottleneck(request *Request) (pool string, stretch float64) {
+func (a *AdmissionControl) bottleneck(request *Request) (pool string, durationRatio float64) {
 	plan := a.servers.plan(request)
 	total, known := plan.Typical()
-	best := len(plan) - 1
+	busiest := len(plan) - 1
 	if !known || total == 0 {
-		return request.Pipeline.Stages[best].Pool, 1
+		return request.Pipeline.Stages[busiest].Pool, 1
 	}
-	most := 0.0
+	highestUse := 0.0
 	for i, times := range plan {
-		use := float64(times.Typical) / max(1, a.servers.share(request.Pipeline.Stages[i].Pool))
-		if use > most {
-			best, most = i, use
+		use := float64(times.Typical) / max(1, a.servers.slotShare(request.Pipeline.Stages[i].Pool))
+		if use > highestUse {
+			busiest, highestUse = i, use
 		}
 	}
-	return request.Pipeline.Stages[best].Pool, float64(total) / float64(max(1, plan[best].Typical))
+	return request.Pipeline.Stages[busiest].Pool, float64(total) / float64(max(1, plan[busiest].Typical))
 }
 
 // queue returns the queue of a pool.
@@ -169,9 +169,9 @@
 	if q == nil {
 		random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 		q = &poolQueue{
-			queue:   admission.NewQueue(a.servers.share(pool), random),
-			waiting: map[uint64]chan admission.Decision{},
-			stretch: 1,
+			queue:         admission.NewQueue(a.servers.slotShare(pool), random),
+			waiters:       map[uint64]chan admission.Decision{},
+			durationRatio: 1,
 		}
 		a.queues[pool] = q
 	}
@@ -188,7 +188,7 @@
 	}
 	a.mu.Lock()
 	if q.queue.Cancel(ticket) {
-		delete(q.waiting, ticket.ID)
+		delete(q.waiters, ticket.ID)
 		a.mu.Unlock()
 		return admission.Decision{Ticket: ticket.ID, Verdict: admission.Refused, Reason: admission.ReasonDeadline}
 	}
@@ -197,7 +197,7 @@
 }
 
 // releaser returns the function that ends an admitted request.
-func (a *AdmissionControl) releaser(q *poolQueue, ticket admission.Ticket) func(Outcome) {
+func (a *AdmissionControl) releaseFunc(q *poolQueue, ticket admission.Ticket) func(Outcome) {
 	started := a.now()
 	return func(outcome Outcome) {
 		now := a.now()
@@ -211,8 +211,8 @@
 // deliver hands decisions to the callers that wait for them.
 func (q *poolQueue) deliver(decisions []admission.Decision) {
 	for _, decision := range decisions {
-		q.waiting[decision.Ticket] <- decision
-		delete(q.waiting, decision.Ticket)
+		q.waiters[decision.Ticket] <- decision
+		delete(q.waiters, decision.Ticket)
 	}
 }
 
@@ -222,11 +222,11 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for pool, q := range a.queues {
-		q.queue.SetShare(a.servers.share(pool) * q.stretch)
+		q.queue.SetShare(a.servers.slotShare(pool) * q.durationRatio)
 		q.deliver(q.queue.Expire(now))
 		q.deliver(q.queue.Tick(now))
 		running, waiting := q.queue.Load()
-		a.metrics.queue(pool, running, waiting, q.queue.Limit())
+		a.metrics.updateQueue(pool, running, waiting, q.queue.Limit())
 	}
 }
 
@@ -245,8 +245,8 @@
 }
 
 // refusal turns a decision into the answer for the caller.
-func refusal(decision admission.Decision) *Problem {
-	problem := notRun(http.StatusServiceUnavailable, ProblemOverload, "overloaded", string(decision.Reason))
+func admissionProblem(decision admission.Decision) *Problem {
+	problem := notRunProblem(http.StatusServiceUnavailable, ProblemOverload, "overloaded", string(decision.Reason))
 	problem.RetryAfterMS = decision.RetryAfter.Milliseconds()
 	return problem
 }
--- a/internal/entry/admission_test.go
+++ b/internal/entry/admission_test.go
@@ -56,13 +56,13 @@
 	callers.Wait()
 	control.Tick()
 	left, waiting := control.queues["shelf"].queue.Load()
-	c.Assert([]int{int(over.Load()), left, waiting, len(control.queues["shelf"].waiting)}, qt.DeepEquals, []int{0, 0, 0, 0})
+	c.Assert([]int{int(over.Load()), left, waiting, len(control.queues["shelf"].waiters)}, qt.DeepEquals, []int{0, 0, 0, 0})
 }
 
 // Guards against requests that are refused by a region above its capacity while
 // the other region and the link have room, and against ones that leave without a
 // budget for the link.
-func TestRefusedRequestLeavesTheRegion(t *testing.T) {
+func TestRefusedRequestRunsInOtherRegion(t *testing.T) {
 	c := qt.New(t)
 	set := &pipeline.Set{Deployment: pipeline.Deployment{LinkMbits: 30, Pools: []pipeline.Pool{{Name: "shelf", Slots: 1}}}}
 	discard := slog.New(slog.DiscardHandler)
@@ -89,9 +89,9 @@
 	c.Assert(problem == nil, qt.IsFalse)
 	request, problem := admit(1000)
 	c.Assert(problem == nil, qt.IsTrue)
-	picked, ok := servers.Pick(Query{Pool: "shelf", LinkBytes: 1000, Leave: request.leave, Remaining: time.Second})
+	picked, ok := servers.Pick(Query{Pool: "shelf", LinkBytes: 1000, CrossRegion: request.crossRegion, Remaining: time.Second})
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(picked.Server().ID, qt.Equals, "f")
 	picked.Done(nil, 600)
-	c.Assert(servers.LinkUsed(), qt.DeepEquals, map[quota.LinkUse]int64{{}: 600})
+	c.Assert(servers.LinkUsage(), qt.DeepEquals, map[quota.LinkUse]int64{{}: 600})
 }
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -22,8 +22,8 @@
 	call *stageCall
 	emit func([]byte) error
 	// whole is true when the answer is kept.
-	whole  bool
-	buffer bytes.Buffer
+	keepAnswer bool
+	buffer     bytes.Buffer
 	// bytes is the length of the answer so far.
 	bytes int64
 }
@@ -31,7 +31,7 @@
 // receive calls the server and reads its answer to the end mark.
 func (a *answer) receive(ctx context.Context, picked PickedServer) error {
 	for resumes := 0; ; resumes++ {
-		err := a.exchange(ctx, picked)
+		err := a.sendAttempt(ctx, picked)
 		if err == nil || resumes == maxResumes || !a.mayResume(ctx, err) {
 			return err
 		}
@@ -48,7 +48,7 @@
 }
 
 // exchange sends one attempt and reads what it answers.
-func (a *answer) exchange(ctx context.Context, picked PickedServer) error {
+func (a *answer) sendAttempt(ctx context.Context, picked PickedServer) error {
 	c := a.call
 	c.countAttempt(1)
 	stream, err := c.Caller.Call(ctx, picked.Server(), c.stageRequest(uuid.NewString(), a.bytes))
@@ -56,11 +56,11 @@
 		if backend.DefinitelyNotRun(err) {
 			c.countAttempt(-1)
 		}
-		c.countCrossed(err)
+		c.countMismatched(err)
 		return err
 	}
 	err = a.read(stream, picked)
-	c.countCrossed(err)
+	c.countMismatched(err)
 	// The end mark was verified, so that an error of Close loses nothing.
 	_ = stream.Close()
 	return err
@@ -68,7 +68,7 @@
 
 func (a *answer) read(stream backend.StageStream, picked PickedServer) error {
 	for {
-		piece, err := stream.Next()
+		chunk, err := stream.Next()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
@@ -78,7 +78,7 @@
 		if a.bytes == 0 {
 			picked.FirstByte()
 		}
-		if err := a.add(piece); err != nil {
+		if err := a.addChunk(chunk); err != nil {
 			return err
 		}
 	}
@@ -86,16 +86,16 @@
 
 // add hands a piece on. When the caller has gone but a once call was sent, the
 // rest is read for the record only.
-func (a *answer) add(piece []byte) error {
-	a.bytes += int64(len(piece))
-	if a.whole {
-		a.buffer.Write(piece)
+func (a *answer) addChunk(chunk []byte) error {
+	a.bytes += int64(len(chunk))
+	if a.keepAnswer {
+		a.buffer.Write(chunk)
 	}
 	if a.emit == nil {
 		return nil
 	}
 	a.call.emitted = true
-	err := a.emit(piece)
+	err := a.emit(chunk)
 	if err != nil && a.call.isDetached() {
 		a.emit = nil
 		return nil
@@ -107,7 +107,7 @@
 // something else than JSON; the other stage types answer a JSON value.
 func (a *answer) output() json.RawMessage {
 	switch {
-	case !a.whole:
+	case !a.keepAnswer:
 		return nil
 	case a.call.stage.Type == pipeline.StageGenerate:
 		return asJSON(a.buffer.Bytes())
@@ -152,7 +152,7 @@
 }
 
 // countCrossed counts an answer that belongs to another attempt.
-func (c *stageCall) countCrossed(err error) {
+func (c *stageCall) countMismatched(err error) {
 	if errors.Is(err, backend.ErrCrossedAnswer) {
 		c.Metrics.dropped.Inc(1)
 	}
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -36,7 +36,7 @@
 	case reply.Answer != nil:
 		return nil, recordedAnswer(reply.Answer), nil
 	default:
-		return nil, nil, claimRefusal(reply.Refusal)
+		return nil, nil, claimProblem(reply.Refusal)
 	}
 }
 
@@ -55,15 +55,15 @@
 }
 
 // claimRefusal is the answer to a caller whose key is neither granted nor recorded.
-func claimRefusal(reason claims.Refusal) *Problem {
+func claimProblem(reason claims.Refusal) *Problem {
 	switch reason {
 	case claims.RefusedBody:
-		return notRun(http.StatusConflict, ProblemInvalid, "key used with another body",
+		return notRunProblem(http.StatusConflict, ProblemInvalid, "key used with another body",
 			"the idempotency key belongs to a request with another body")
 	case claims.RefusedStore:
-		return retryLater("the store cannot be reached", storeRetryAfter)
+		return claimUnavailable("the store cannot be reached", storeRetryAfter)
 	case claims.RefusedReleasing:
-		return retryLater("an earlier attempt had no effect and its key is being freed", releaseRetryAfter)
+		return claimUnavailable("an earlier attempt had no effect and its key is being freed", releaseRetryAfter)
 	case claims.RefusedUnread:
 		return &Problem{
 			Type: ProblemUnavailable, Title: "the recorded answer cannot be read now", Status: http.StatusServiceUnavailable,
@@ -82,8 +82,8 @@
 	}
 }
 
-func retryLater(detail string, after time.Duration) *Problem {
-	problem := notRun(http.StatusServiceUnavailable, ProblemUnavailable, "keys cannot be claimed now", detail)
+func claimUnavailable(detail string, after time.Duration) *Problem {
+	problem := notRunProblem(http.StatusServiceUnavailable, ProblemUnavailable, "keys cannot be claimed now", detail)
 	problem.RetryAfterMS = after.Milliseconds()
 	return problem
 }
--- a/internal/entry/claimwait_test.go
+++ b/internal/entry/claimwait_test.go
@@ -15,7 +15,7 @@
 
 func (waitingClaims) Claim(ctx context.Context, _ *Request) (Claim, *RecordedAnswer, *Problem) {
 	<-ctx.Done()
-	return nil, nil, claimRefusal(claims.RefusedWaiting)
+	return nil, nil, claimProblem(claims.RefusedWaiting)
 }
 
 // Guards against a repeated key that waits for a paused holder beyond the deadline
@@ -23,7 +23,7 @@
 func TestClaimWaitsUntilDeadline(t *testing.T) {
 	c := qt.New(t)
 	h := newTestHandler(&fakeCaller{}, waitingClaims{})
-	recorder := do(h, "order", "{}", http.Header{"Idempotency-Key": {"k"}, "Grpc-Timeout": {"50m"}})
+	recorder := postRequest(h, "order", "{}", http.Header{"Idempotency-Key": {"k"}, "Grpc-Timeout": {"50m"}})
 	c.Assert(recorder.Code, qt.Equals, http.StatusGatewayTimeout)
 	c.Assert(recorder.Header().Get(HeaderOutcome), qt.Equals, string(OutcomeUnknown))
 }
--- a/internal/entry/configuration.go
+++ b/internal/entry/configuration.go
@@ -21,10 +21,10 @@
 
 // firstWait is how long the start waits for a configuration. Without one the
 // daemon still starts, and is not ready.
-const firstWait = time.Second
+const firstConfigurationTimeout = time.Second
 
 // control provides configuration, membership and the status.
-var control = fx.Options(
+var controlOptions = fx.Options(
 	fx.Provide(
 		func() *Status { return &Status{} },
 		newStoreAccess,
@@ -100,7 +100,7 @@
 	lc.Append(fx.Hook{
 		OnStart: func(start context.Context) error {
 			running.Go(func() { loader.Run(ctx) })
-			waitForFirst(start, loader)
+			waitForConfiguration(start, loader)
 			return nil
 		},
 		OnStop: func(context.Context) error {
@@ -112,8 +112,8 @@
 }
 
 // waitForFirst waits a moment for a configuration.
-func waitForFirst(ctx context.Context, loader *configuration.Loader) {
-	ctx, cancel := context.WithTimeout(ctx, firstWait)
+func waitForConfiguration(ctx context.Context, loader *configuration.Loader) {
+	ctx, cancel := context.WithTimeout(ctx, firstConfigurationTimeout)
 	defer cancel()
 	select {
 	case <-loader.Loaded():
--- a/internal/entry/control_test.go
+++ b/internal/entry/configuration_test.go
@@ -34,8 +34,8 @@
 // later changes, from the first one.
 func TestConfigurationReachesInstanceCutOffFromStore(t *testing.T) {
 	c := qt.New(t)
-	storeAddress := serve(c, standin.NewStore().Handler())
-	list := serve(c, (&standin.Platform{}).Handler())
+	storeAddress := startServer(c, standin.NewStore().Handler())
+	list := startServer(c, (&standin.Platform{}).Handler())
 	first := controlSettings(c, list, "a")
 	first.StoreAddress = storeAddress
 	second := controlSettings(c, list, "b")
@@ -60,12 +60,12 @@
 
 // Guards against a refusal that only the instance knows that got it: the others
 // would send new work to the leaving server.
-func TestRefusalReachesOtherInstances(t *testing.T) {
+func TestDrainRefusalReachesOtherInstances(t *testing.T) {
 	c := qt.New(t)
 	list := &standin.Platform{}
 	list.Set([]platform.Member{{ID: "e1", Role: platform.RoleBackend, Address: "127.0.0.1:1", Pool: "p", Region: "r",
 		FailureDomain: "a", State: platform.StateLive, Incarnation: 3}})
-	address := serve(c, list.Handler())
+	address := startServer(c, list.Handler())
 	first, second := controlSettings(c, address, "a"), controlSettings(c, address, "a")
 	second.Instance, second.Peers = "entry-2", []string{first.PeerAddress}
 	var picker, other Picker
--- a/internal/entry/daemon.go
+++ b/internal/entry/daemon.go
@@ -40,12 +40,12 @@
 		fx.Provide(
 			metrics.New,
 			newLister,
-			newListFeed,
+			newInstanceListPoller,
 			newCaller,
 			newExecutor,
 			newHandler,
 			newServers,
-			newDecisionMetrics,
+			newAdmissionMetrics,
 			newAdmissionControl,
 			newLoadReader,
 			func(logger *slog.Logger) *readiness.Readiness {
@@ -53,26 +53,26 @@
 			},
 			func() *StopSteps { return &StopSteps{} },
 			newPicker,
-			func(s *Servers) (Hedges, StageBudgets) { return s, s },
+			func(s *Servers) (HedgePolicy, StageBudgets) { return s, s },
 			func(a *AdmissionControl) Admission { return a },
 		),
-		fx.Invoke(serveAdmin, runListFeed),
-		control,
-		state,
+		fx.Invoke(serveAdmin, runInstanceListPoller),
+		controlOptions,
+		stateOptions,
 		fx.Options(options...),
-		fx.Invoke(observeServers, driveDecisions, runOrders, addStatus, serveCallers),
+		fx.Invoke(updateServersFromList, runAdmissionAndLoadPolling, runOrders, addStatusSections, serveCallers),
 	)
 }
 
 // executionPolicies are the parts of an execution that other packages fill. A
 // missing one has the default that NewExecutor documents.
-type executionPolicies struct {
+type executorParams struct {
 	fx.In
 	Budgets StageBudgets `optional:"true"`
-	Hedges  Hedges       `optional:"true"`
+	Hedges  HedgePolicy  `optional:"true"`
 }
 
-func newExecutor(entry settings.Entry, caller backend.Caller, picker Picker, p executionPolicies, m *metrics.Metrics, logger *slog.Logger) *Executor {
+func newExecutor(entry settings.Entry, caller backend.Caller, picker Picker, p executorParams, m *metrics.Metrics, logger *slog.Logger) *Executor {
 	e := NewExecutor(caller, picker, time.Now)
 	e.Metrics = NewRequestMetrics(m.Scope, entry.Region)
 	e.Logger = logger
@@ -87,14 +87,14 @@
 
 // requestPolicies are the parts of the handler that other packages fill. A
 // missing one has the default that Handler documents.
-type requestPolicies struct {
+type handlerParams struct {
 	fx.In
 	Admission Admission `optional:"true"`
 	Claims    Claims    `optional:"true"`
 	Jobs      Jobs      `optional:"true"`
 }
 
-func newHandler(c ConfigurationSource, e *Executor, p requestPolicies) *Handler {
+func newHandler(c ConfigurationSource, e *Executor, p handlerParams) *Handler {
 	return &Handler{Configuration: c, Executor: e, Admission: p.Admission, Claims: p.Claims, Jobs: p.Jobs, Now: time.Now}
 }
 
@@ -107,12 +107,12 @@
 }
 
 // observeServers keeps the backend servers those of the list.
-func observeServers(feed *ListFeed, servers *Servers, configuration ConfigurationSource) {
-	feed.Observe(func(members []platform.Member) { servers.Update(members, configuration.Current()) })
+func updateServersFromList(poller *InstanceListPoller, servers *Servers, configuration ConfigurationSource) {
+	poller.Observe(func(members []platform.Member) { servers.Update(members, configuration.Current()) })
 }
 
 // callerService is what serveCallers starts and stops.
-type callerService struct {
+type callerServerParams struct {
 	fx.In
 	Entry     settings.Entry
 	Handler   *Handler
@@ -124,7 +124,7 @@
 // serveCallers listens for callers after everything else has started. Since fx
 // stops hooks in reverse order, its stop hook runs the steps of the shutdown
 // before any other part is stopped.
-func serveCallers(lc fx.Lifecycle, s callerService) {
+func serveCallers(lc fx.Lifecycle, s callerServerParams) {
 	server := &http.Server{Handler: s.Handler.Router(), ReadHeaderTimeout: headerTimeout}
 	var listening atomic.Bool
 	s.Readiness.Require("start", listening.Load)
--- a/internal/entry/entry_test.go
+++ b/internal/entry/daemon_test.go
@@ -77,8 +77,8 @@
 
 // entrySettings serves two pools of stand-ins and returns settings that use them.
 func entrySettings(c *qt.C) settings.Entry {
-	encoder := serve(c, standin.NewBackend(standin.BackendConfig{ID: "e1", Slots: 4}).Handler())
-	engine := serve(c, standin.NewBackend(standin.BackendConfig{
+	encoder := startServer(c, standin.NewBackend(standin.BackendConfig{ID: "e1", Slots: 4}).Handler())
+	engine := startServer(c, standin.NewBackend(standin.BackendConfig{
 		ID: "g1", Slots: 4, AnswerBytes: largeAnswerBytes, ChunkBytes: 4096, ServiceTime: 10 * time.Millisecond,
 	}).Handler())
 	list := &standin.Platform{}
@@ -91,11 +91,11 @@
 	c.Assert(os.WriteFile(filepath.Join(files, "notes.pipeline.jsonc"), []byte(pipelineFile), 0o600), qt.IsNil)
 	return settings.Entry{
 		Instance: "entry-1", CallerAddress: freeAddress(c), AdminAddress: freeAddress(c), DrainGraceMS: 1,
-		PlatformAddress: serve(c, list.Handler()), PipelineFiles: files,
+		PlatformAddress: startServer(c, list.Handler()), PipelineFiles: files,
 	}
 }
 
-func serve(c *qt.C, handler http.Handler) string {
+func startServer(c *qt.C, handler http.Handler) string {
 	server := httptest.NewServer(handler)
 	c.Cleanup(server.Close)
 	return server.Listener.Addr().String()
--- a/internal/entry/deadline.go
+++ b/internal/entry/deadline.go
@@ -14,19 +14,19 @@
 
 // parseTimeout reads the deadline from Grpc-Timeout or from the wait preference
 // of RFC 7240, bounded by the longest wait of the kind.
-func parseTimeout(header http.Header, longest time.Duration) (time.Duration, error) {
+func parseTimeout(header http.Header, maxWait time.Duration) (time.Duration, error) {
 	if value := header.Get("Grpc-Timeout"); value != "" {
 		timeout, err := parseGRPCTimeout(value)
-		return min(timeout, longest), err
+		return min(timeout, maxWait), err
 	}
 	for name, value := range preferences(header) {
 		if name != "wait" {
 			continue
 		}
 		timeout, err := parseWait(value)
-		return min(timeout, longest), err
+		return min(timeout, maxWait), err
 	}
-	return longest, nil
+	return maxWait, nil
 }
 
 func prefersAsync(header http.Header) bool {
@@ -75,7 +75,7 @@
 }
 
 // longestTimeout bounds a deadline; 99,999,999 hours do not fit a Duration.
-const longestTimeout = 1000 * time.Hour
+const maxTimeout = 1000 * time.Hour
 
 func parseGRPCTimeout(value string) (time.Duration, error) {
 	if value == "" {
@@ -89,8 +89,8 @@
 	if err != nil {
 		return 0, fmt.Errorf("Grpc-Timeout %q: %w", value, err)
 	}
-	if number > int64(longestTimeout/unit) {
-		return longestTimeout, nil
+	if number > int64(maxTimeout/unit) {
+		return maxTimeout, nil
 	}
 	return time.Duration(number) * unit, nil
 }
--- a/internal/entry/eventwriter.go
+++ b/internal/entry/eventwriter.go
@@ -27,21 +27,21 @@
 // eventWriter writes an answer as server-sent events. Each piece is written
 // before the next one is read, so that a slow caller slows the backend server.
 type eventWriter struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
-	sum     hash.Hash
-	bytes   int64
-	started bool
+	w          http.ResponseWriter
+	controller *http.ResponseController
+	digest     hash.Hash
+	bytes      int64
+	started    bool
 }
 
 func newEventWriter(w http.ResponseWriter) *eventWriter {
-	return &eventWriter{w: w, control: http.NewResponseController(w), sum: sha256.New()}
+	return &eventWriter{w: w, controller: http.NewResponseController(w), digest: sha256.New()}
 }
 
-func (s *eventWriter) piece(data []byte) error {
-	s.sum.Write(data)
+func (s *eventWriter) writeChunk(data []byte) error {
+	s.digest.Write(data)
 	s.bytes += int64(len(data))
-	return s.event(EventData, string(data))
+	return s.writeEvent(EventData, string(data))
 }
 
 // finish writes the last event: the end mark, or the problem. A problem before
@@ -49,10 +49,10 @@
 func (s *eventWriter) finish(result Result) error {
 	switch {
 	case result.Problem == nil:
-		end := StreamEnd{Outcome: OutcomeCompleted, Bytes: s.bytes, SHA256: hex.EncodeToString(s.sum.Sum(nil))}
-		return s.event(EventEnd, end)
+		end := StreamEnd{Outcome: OutcomeCompleted, Bytes: s.bytes, SHA256: hex.EncodeToString(s.digest.Sum(nil))}
+		return s.writeEvent(EventEnd, end)
 	case s.started:
-		return s.event(EventError, result.Problem)
+		return s.writeEvent(EventError, result.Problem)
 	default:
 		result.Problem.write(s.w)
 		return nil
@@ -60,7 +60,7 @@
 }
 
 // event writes one event with a JSON document as its data and sends it on.
-func (s *eventWriter) event(name string, data any) error {
+func (s *eventWriter) writeEvent(name string, data any) error {
 	if !s.started {
 		s.started = true
 		s.w.Header().Set("Content-Type", "text/event-stream")
@@ -74,5 +74,5 @@
 	if _, err := message.WriteTo(s.w); err != nil {
 		return err
 	}
-	return s.control.Flush()
+	return s.controller.Flush()
 }
--- a/internal/entry/execute.go
+++ b/internal/entry/execute.go
@@ -21,8 +21,8 @@
 	Caller  backend.Caller
 	Picker  Picker
 	Budgets StageBudgets
-	Hedges  Hedges
-	Retries Retries
+	Hedges  HedgePolicy
+	Retries RetryBudget
 	Metrics *RequestMetrics
 	Logger  *slog.Logger
 	Now     func() time.Time
@@ -35,8 +35,8 @@
 		Caller:  caller,
 		Picker:  picker,
 		Budgets: weightedBudgets{},
-		Hedges:  noHedges{},
-		Retries: newRetries(now),
+		Hedges:  neverHedge{},
+		Retries: newRetryBudget(now),
 		Metrics: discardMetrics(),
 		Logger:  slog.New(slog.DiscardHandler),
 		Now:     now,
@@ -44,7 +44,7 @@
 }
 
 // Options are the parts of an execution that differ between callers.
-type Options struct {
+type ExecutionOptions struct {
 	// Claim is the right to run the request once; nil for an idempotent kind.
 	Claim Claim
 	// Emit receives the pieces of the last stage's answer as they arrive; nil when
@@ -71,7 +71,7 @@
 type execution struct {
 	*Executor
 	request *Request
-	options Options
+	options ExecutionOptions
 	// last is the index of the stage whose result is the answer.
 	last int
 	// maybeRan counts attempts that may have run, onceMaybeRan those of once stages.
@@ -86,15 +86,15 @@
 	detached bool
 	// stopWatching ends the watch for the caller's departure; it returns false
 	// when the caller has gone.
-	stopWatching func() bool
+	stopParentCancel func() bool
 }
 
 // Execute runs all stages until the deadline. The end of parent cancels the
 // execution unless a once call was sent: its outcome must be recorded.
-func (e *Executor) Execute(parent context.Context, request *Request, options Options) Result {
+func (e *Executor) Execute(parent context.Context, request *Request, options ExecutionOptions) Result {
 	order, err := request.Pipeline.Order()
 	if err != nil {
-		return failedResult(notRun(500, ProblemInvalid, "invalid pipeline", err.Error()))
+		return failedResult(notRunProblem(500, ProblemInvalid, "invalid pipeline", err.Error()))
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(parent), request.Deadline.Sub(e.Now()))
 	defer cancel()
@@ -103,9 +103,9 @@
 		last:    order[len(order)-1],
 		results: make(map[string]json.RawMessage, len(order)),
 	}
-	x.stopWatching = context.AfterFunc(parent, cancel)
-	defer x.stopWatching()
-	if err := x.runAll(ctx, order); err != nil {
+	x.stopParentCancel = context.AfterFunc(parent, cancel)
+	defer x.stopParentCancel()
+	if err := x.runStages(ctx, order); err != nil {
 		return failedResult(x.problem(ctx, err))
 	}
 	return Result{Outcome: OutcomeCompleted, Answer: x.results[request.Pipeline.Stages[x.last].Name]}
@@ -117,12 +117,12 @@
 
 // runAll runs a chain of stages in this goroutine, and other pipelines with one
 // goroutine per stage.
-func (x *execution) runAll(ctx context.Context, order []int) error {
+func (x *execution) runStages(ctx context.Context, order []int) error {
 	if !isChain(x.request.Pipeline, order) {
 		return x.runGraph(ctx, order)
 	}
 	for _, index := range order {
-		if err := x.stage(ctx, index); err != nil {
+		if err := x.runStage(ctx, index); err != nil {
 			return err
 		}
 	}
@@ -156,7 +156,7 @@
 					return context.Cause(ctx)
 				}
 			}
-			if err := x.stage(ctx, index); err != nil {
+			if err := x.runStage(ctx, index); err != nil {
 				return err
 			}
 			close(done[x.request.Pipeline.Stages[index].Name])
@@ -167,10 +167,10 @@
 }
 
 // stage runs one stage, or takes its result from an earlier execution.
-func (x *execution) stage(ctx context.Context, index int) error {
+func (x *execution) runStage(ctx context.Context, index int) error {
 	stage := &x.request.Pipeline.Stages[index]
 	if result, ok := x.options.Results[stage.Name]; ok {
-		return x.reuse(ctx, index, result)
+		return x.reuseResult(ctx, index, result)
 	}
 	input, err := x.input(index)
 	if err != nil {
@@ -182,30 +182,30 @@
 	}
 	started := x.Now()
 	result, err := call.run(ctx)
-	x.Metrics.stage(stage, x.Now().Sub(started), err)
+	x.Metrics.recordStage(stage, x.Now().Sub(started), err)
 	if err != nil {
 		return &stageError{stage: stage.Name, err: err}
 	}
-	x.keep(stage.Name, result)
+	x.storeResult(stage.Name, result)
 	if x.options.StageDone == nil {
 		return nil
 	}
 	return x.options.StageDone(ctx, stage.Name, result)
 }
 
-func (x *execution) reuse(ctx context.Context, index int, result json.RawMessage) error {
+func (x *execution) reuseResult(ctx context.Context, index int, result json.RawMessage) error {
 	x.maybeRan.Add(1)
 	if x.request.Pipeline.Stages[index].Once {
 		x.onceMaybeRan.Add(1)
 	}
-	x.keep(x.request.Pipeline.Stages[index].Name, result)
+	x.storeResult(x.request.Pipeline.Stages[index].Name, result)
 	if index != x.last || x.options.Emit == nil {
 		return nil
 	}
 	return x.options.Emit(asText(result))
 }
 
-func (x *execution) keep(stage string, result json.RawMessage) {
+func (x *execution) storeResult(stage string, result json.RawMessage) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.results[stage] = result
@@ -234,7 +234,7 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if !x.detached {
-		x.detached = x.stopWatching()
+		x.detached = x.stopParentCancel()
 	}
 	return x.detached
 }
--- a/internal/entry/execute_test.go
+++ b/internal/entry/execute_test.go
@@ -22,7 +22,7 @@
 
 // Guards against a caller that is told not_run or failed although a
 // non-idempotent call may have run, and against a second such call.
-func TestOutcomeMatchesWhatRan(t *testing.T) {
+func TestOutcomeMatchesCallsThatRan(t *testing.T) {
 	faults := []error{nil, nil, nil, backend.ErrNotSent, backend.ErrRefused, backend.ErrDraining, backend.ErrInvalid, backend.ErrMayHaveRun, backend.ErrBadAnswer}
 	rapid.Check(t, func(t *rapid.T) {
 		var mu sync.Mutex
@@ -38,15 +38,15 @@
 			if err != nil {
 				return nil, err
 			}
-			return whole(`1`), nil
+			return completeStream(`1`), nil
 		}}
 		names := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "once-b", "c", "once-d"}), 1, 4, rapid.ID).Draw(t, "stages")
-		request := newRequestOf(stages(names...))
+		request := newPipelineRequest(stages(names...))
 		for i := range request.Pipeline.Stages {
 			request.Pipeline.Stages[i].Model = request.Pipeline.Stages[i].Name
 		}
 		budget := rapid.IntRange(0, 5).Draw(t, "budget")
-		result := newTestExecutor(caller, budget).Execute(context.Background(), request, Options{})
+		result := newTestExecutor(caller, budget).Execute(context.Background(), request, ExecutionOptions{})
 
 		once := onceRan["once-b"] + onceRan["once-d"]
 		if onceRan["once-b"] > 1 || onceRan["once-d"] > 1 {
@@ -89,7 +89,7 @@
 		caller := &fakeCaller{answer: func(context.Context, string, backend.StageRequest) (backend.StageStream, error) {
 			return nil, fmt.Errorf("%w: at 10.0.0.1", test.err)
 		}}
-		result := newTestExecutor(caller, test.budget).Execute(c.Context(), newRequestOf(stages(test.stage)), Options{})
+		result := newTestExecutor(caller, test.budget).Execute(c.Context(), newPipelineRequest(stages(test.stage)), ExecutionOptions{})
 		note := qt.Commentf("%s %v", test.stage, test.err)
 		c.Check(caller.servers(), qt.DeepEquals, test.servers, note)
 		c.Check(result.Problem.Status, qt.Equals, test.status, note)
@@ -111,25 +111,25 @@
 				case <-cancelled:
 				case <-ctx.Done():
 				}
-				return whole(string(request.Input)), ctx.Err()
+				return completeStream(string(request.Input)), ctx.Err()
 			}
 			if server == "s2" {
 				close(hedged)
 			}
 			if server == winner {
 				<-hedged
-				return whole(`"` + server + `"`), nil
+				return completeStream(`"` + server + `"`), nil
 			}
 			<-ctx.Done()
 			close(cancelled)
-			return whole(`"late"`), nil
+			return completeStream(`"late"`), nil
 		}}
 		e := newTestExecutor(caller, 0)
-		e.Hedges = always{}
+		e.Hedges = alwaysHedge{}
 		e.Metrics = NewRequestMetrics(scope, "")
-		request := newRequestOf(stages("a", "b"))
+		request := newPipelineRequest(stages("a", "b"))
 		request.Deadline = time.Now().Add(10 * time.Second)
-		result := e.Execute(c.Context(), request, Options{})
+		result := e.Execute(c.Context(), request, ExecutionOptions{})
 		c.Assert(result.Outcome, qt.Equals, OutcomeCompleted)
 		c.Assert(string(result.Answer), qt.Contains, `"a":"`+winner+`"`)
 		for scope.Snapshot().Counters()["dropped_answers+"].Value() == 0 {
@@ -140,7 +140,7 @@
 }
 
 // Guards against a hedge of a call that must not run twice or is streamed.
-func TestNoHedge(t *testing.T) {
+func TestOnceAndStreamedCallsAreNotHedged(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
 		stages []string
@@ -151,11 +151,11 @@
 		{[]string{"a"}, func([]byte) error { return nil }},
 	} {
 		caller := &fakeCaller{answer: func(context.Context, string, backend.StageRequest) (backend.StageStream, error) {
-			return whole(`1`), nil
+			return completeStream(`1`), nil
 		}}
 		e := newTestExecutor(caller, 0)
-		e.Hedges = always{}
-		result := e.Execute(c.Context(), newRequestOf(stages(test.stages...)), Options{Emit: test.emit})
+		e.Hedges = alwaysHedge{}
+		result := e.Execute(c.Context(), newPipelineRequest(stages(test.stages...)), ExecutionOptions{Emit: test.emit})
 		c.Assert(result.Outcome, qt.Equals, OutcomeCompleted)
 		c.Assert(caller.servers(), qt.HasLen, len(test.stages))
 	}
@@ -163,32 +163,32 @@
 
 // Guards against a resumed stream with a gap, a repeat or an old attempt ID, and
 // against a resume of an at-most-once request.
-func TestResume(t *testing.T) {
+func TestResumedStreamContinuesAtOffset(t *testing.T) {
 	c := qt.New(t)
 	const text = "0123456789"
 	caller := &fakeCaller{answer: func(_ context.Context, _ string, request backend.StageRequest) (backend.StageStream, error) {
 		end := min(request.ResumeOffset+4, int64(len(text)))
-		stream := &pieces{[]string{text[request.ResumeOffset:end]}, backend.ErrBrokenStream}
+		stream := &fakeStream{[]string{text[request.ResumeOffset:end]}, backend.ErrBrokenStream}
 		if end == int64(len(text)) {
 			stream.end = io.EOF
 		}
 		return stream, nil
 	}}
-	request := newRequestOf(stages("a"))
+	request := newPipelineRequest(stages("a"))
 	request.Pipeline.Stages[0].Type = pipeline.StageGenerate
 	var got string
-	emit := func(piece []byte) error {
-		got += string(piece)
+	emit := func(chunk []byte) error {
+		got += string(chunk)
 		return nil
 	}
-	result := newTestExecutor(caller, 9).Execute(c.Context(), request, Options{Emit: emit})
+	result := newTestExecutor(caller, 9).Execute(c.Context(), request, ExecutionOptions{Emit: emit})
 	c.Assert(result.Outcome, qt.Equals, OutcomeCompleted)
 	c.Assert(got, qt.Equals, text)
 	c.Assert(caller.servers(), qt.DeepEquals, []string{"s1", "s1", "s1"})
 	c.Assert(caller.calls[0].request.Attempt, qt.Not(qt.Equals), caller.calls[1].request.Attempt)
 
 	request.Kind.Repeat = pipeline.RepeatAtMostOnce
-	result = newTestExecutor(caller, 9).Execute(c.Context(), request, Options{Emit: emit})
+	result = newTestExecutor(caller, 9).Execute(c.Context(), request, ExecutionOptions{Emit: emit})
 	c.Assert(result.Outcome, qt.Equals, OutcomeFailed)
 	c.Assert(caller.servers(), qt.HasLen, 4)
 }
@@ -200,23 +200,23 @@
 	meet := make(chan struct{})
 	caller := &fakeCaller{answer: func(ctx context.Context, _ string, request backend.StageRequest) (backend.StageStream, error) {
 		if request.Model == "join" {
-			return whole(string(request.Input)), nil
+			return completeStream(string(request.Input)), nil
 		}
 		select {
 		case meet <- struct{}{}:
 		case <-meet:
 		case <-ctx.Done():
 		}
-		return whole(`1`), ctx.Err()
+		return completeStream(`1`), ctx.Err()
 	}}
 	all := stages("left", "right", "join")
 	all[1].After = []string{"left"}
 	all = append(stages("root"), all...)
 	all[1].After, all[2].After, all[3].After = []string{"root"}, []string{"root"}, []string{"left", "right"}
 	all[3].Model = "join"
-	request := newRequestOf(all)
+	request := newPipelineRequest(all)
 	request.Deadline = time.Now().Add(10 * time.Second)
-	result := newTestExecutor(caller, 0).Execute(c.Context(), request, Options{Results: map[string]json.RawMessage{"root": json.RawMessage(`0`)}})
+	result := newTestExecutor(caller, 0).Execute(c.Context(), request, ExecutionOptions{Results: map[string]json.RawMessage{"root": json.RawMessage(`0`)}})
 	c.Assert(string(result.Answer), qt.JSONEquals, map[string]any{"request": map[string]any{}, "left": 1, "right": 1})
 }
 
@@ -235,13 +235,13 @@
 		case <-ctx.Done():
 		case <-time.After(20 * time.Millisecond): // a cancellation arrives well before
 		}
-		return whole(`1`), ctx.Err()
+		return completeStream(`1`), ctx.Err()
 	}}
 	all := stages("once", "fails")
 	all[0].After, all[1].After = []string{"root"}, []string{"root"}
 	all[1].Model = "fails"
-	request := newRequestOf(append(stages("root"), all...))
-	result := newTestExecutor(caller, 0).Execute(c.Context(), request, Options{Results: map[string]json.RawMessage{"root": json.RawMessage(`0`)}})
+	request := newPipelineRequest(append(stages("root"), all...))
+	result := newTestExecutor(caller, 0).Execute(c.Context(), request, ExecutionOptions{Results: map[string]json.RawMessage{"root": json.RawMessage(`0`)}})
 	c.Assert(result.Outcome, qt.Equals, OutcomeUnknown)
 	c.Assert(caller.calls, qt.HasLen, 2)
 	for _, call := range caller.calls {
@@ -251,7 +251,7 @@
 
 // Guards against a departed caller that cancels a once call, and one that does
 // not cancel idempotent work.
-func TestCallerGone(t *testing.T) {
+func TestCallerDisconnect(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
 		stages []string
@@ -264,14 +264,14 @@
 		caller := &fakeCaller{answer: func(ctx context.Context, _ string, _ backend.StageRequest) (backend.StageStream, error) {
 			cancel()
 			if test.want == OutcomeCompleted {
-				return whole(`1`), ctx.Err()
+				return completeStream(`1`), ctx.Err()
 			}
 			<-ctx.Done()
 			return nil, errors.Join(backend.ErrMayHaveRun, ctx.Err())
 		}}
-		request := newRequestOf(stages(test.stages...))
+		request := newPipelineRequest(stages(test.stages...))
 		gone := func([]byte) error { return errors.New("connection reset") }
-		result := newTestExecutor(caller, 9).Execute(ctx, request, Options{Emit: gone, Claim: &fakeClaim{}})
+		result := newTestExecutor(caller, 9).Execute(ctx, request, ExecutionOptions{Emit: gone, Claim: &fakeClaim{}})
 		c.Check(result.Outcome, qt.Equals, test.want)
 	}
 }
--- a/internal/entry/fakes_test.go
+++ b/internal/entry/fakes_test.go
@@ -48,23 +48,23 @@
 }
 
 // pieces is a stream of pieces that ends with an error, io.EOF for a whole one.
-type pieces struct {
-	data []string
-	end  error
+type fakeStream struct {
+	chunks []string
+	end    error
 }
 
-func whole(data ...string) *pieces { return &pieces{data, io.EOF} }
+func completeStream(data ...string) *fakeStream { return &fakeStream{data, io.EOF} }
 
-func (p *pieces) Next() ([]byte, error) {
-	if len(p.data) == 0 {
+func (p *fakeStream) Next() ([]byte, error) {
+	if len(p.chunks) == 0 {
 		return nil, p.end
 	}
-	piece := p.data[0]
-	p.data = p.data[1:]
-	return []byte(piece), nil
+	chunk := p.chunks[0]
+	p.chunks = p.chunks[1:]
+	return []byte(chunk), nil
 }
 
-func (p *pieces) Close() error { return nil }
+func (p *fakeStream) Close() error { return nil }
 
 // fakePicker offers servers s1 to s3 of every pool in this order.
 type fakePicker struct{}
@@ -86,19 +86,19 @@
 func (p fakePicked) Done(error, int64)      {}
 
 // retries is a retry budget of a fixed number.
-type retries struct{ left int }
+type fixedRetryBudget struct{ remaining int }
 
-func (r *retries) Request() {}
-func (r *retries) Allow() bool {
-	r.left--
-	return r.left >= 0
+func (r *fixedRetryBudget) CountRequest() {}
+func (r *fixedRetryBudget) Allow() bool {
+	r.remaining--
+	return r.remaining >= 0
 }
 
 // always hedges at once.
-type always struct{}
+type alwaysHedge struct{}
 
-func (always) Delay(Query) (time.Duration, bool) { return 0, true }
-func (always) Allow(Query) bool                  { return true }
+func (alwaysHedge) Delay(Query) (time.Duration, bool) { return 0, true }
+func (alwaysHedge) Allow(Query) bool                  { return true }
 
 // fakeClaim records how it was settled.
 type fakeClaim struct {
@@ -147,7 +147,7 @@
 }
 
 // newRequestOf returns a request of a pipeline, at-most-once when it has a once stage.
-func newRequestOf(all []pipeline.Stage) *Request {
+func newPipelineRequest(all []pipeline.Stage) *Request {
 	kind := pipeline.Kind{Name: "k", Repeat: pipeline.RepeatIdempotent, MaxWaitMS: 60000}
 	if slices.ContainsFunc(all, func(s pipeline.Stage) bool { return s.Once }) {
 		kind.Repeat = pipeline.RepeatAtMostOnce
@@ -160,6 +160,6 @@
 
 func newTestExecutor(caller *fakeCaller, retryBudget int) *Executor {
 	e := NewExecutor(caller, fakePicker{}, time.Now)
-	e.Retries = &retries{left: retryBudget}
+	e.Retries = &fixedRetryBudget{remaining: retryBudget}
 	return e
 }
--- a/internal/entry/gossip.go
+++ b/internal/entry/gossip.go
@@ -19,7 +19,7 @@
 const (
 	// drainLifetime is how long a refusal is believed without another one. A server
 	// that comes back has a new incarnation, which ends the marker.
-	drainLifetime = 5 * time.Minute
+	drainMarkerLifetime = 5 * time.Minute
 	// countLifetime is how long the count of a peer is believed. Heartbeats carry
 	// only counts above 0.
 	countLifetime = 5 * time.Second
@@ -31,7 +31,7 @@
 
 // stragglerLifetime is how long a straggler marker of a peer is believed. Each
 // peer of a failure domain of 22 is heard every 11 s.
-const stragglerLifetime = 30 * time.Second
+const stragglerMarkerLifetime = 30 * time.Second
 
 // gossip passes on between membership and the decisions: drain and straggler
 // markers, requests in flight and the demand of organisations.
@@ -42,12 +42,12 @@
 
 	mu sync.Mutex
 	// counts holds what each peer last reported, by server.
-	counts map[string]map[string]heardCount
+	counts map[string]map[string]reportedCount
 	// incarnations are those of the instance list, by server.
 	incarnations map[string]int64
 }
 
-type heardCount struct {
+type reportedCount struct {
 	count routing.ServerCount
 	at    time.Time
 }
@@ -55,17 +55,17 @@
 func newGossip(members *Members, servers *Servers, control *AdmissionControl) *gossip {
 	return &gossip{
 		members: members, servers: servers, admission: control,
-		counts: map[string]map[string]heardCount{}, incarnations: map[string]int64{},
+		counts: map[string]map[string]reportedCount{}, incarnations: map[string]int64{},
 	}
 }
 
 // runGossip starts the exchange.
-func runGossip(lc fx.Lifecycle, g *gossip, feed *ListFeed) {
+func runGossip(lc fx.Lifecycle, g *gossip, poller *InstanceListPoller) {
 	if g.members.Node == nil {
 		return
 	}
-	g.members.Node.Observe(g.observe)
-	feed.Observe(g.listed)
+	g.members.Node.Observe(g.handleOutput)
+	poller.Observe(g.applyInstanceList)
 	ctx, cancel := context.WithCancel(context.Background())
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
@@ -81,21 +81,21 @@
 }
 
 // observe takes what other instances report.
-func (g *gossip) observe(output membership.Output) {
+func (g *gossip) handleOutput(output membership.Output) {
 	switch out := output.(type) {
 	case membership.DrainLearned:
-		g.drain(out.Marker)
+		g.applyDrainMarker(out.Marker)
 	case membership.CountsHeard:
-		g.heard(out)
+		g.mergeCounts(out)
 	case membership.Changed:
 		if out.Record.State >= membership.Removed {
-			g.forget(out.Record.ID)
+			g.removeInstance(out.Record.ID)
 		}
 	}
 }
 
 // drain applies a marker unless the list already shows a later incarnation.
-func (g *gossip) drain(marker membership.DrainMarker) {
+func (g *gossip) applyDrainMarker(marker membership.DrainMarker) {
 	g.mu.Lock()
 	listed := g.incarnations[marker.Server]
 	g.mu.Unlock()
@@ -106,16 +106,16 @@
 
 // heard merges the counts of a peer, of which a heartbeat may hold a part, and
 // passes them on.
-func (g *gossip) heard(out membership.CountsHeard) {
+func (g *gossip) mergeCounts(out membership.CountsHeard) {
 	now := time.Now()
 	g.mu.Lock()
 	known := g.counts[out.Instance]
 	if known == nil {
-		known = map[string]heardCount{}
+		known = map[string]reportedCount{}
 		g.counts[out.Instance] = known
 	}
 	for _, count := range out.Counts {
-		known[count.Server] = heardCount{routing.ServerCount{ID: count.Server, InFlight: count.InFlight, Long: count.Long}, now}
+		known[count.Server] = reportedCount{routing.ServerCount{ID: count.Server, InFlight: count.InFlight, Long: count.Long}, now}
 	}
 	var merged []routing.ServerCount
 	for server, count := range known {
@@ -131,7 +131,7 @@
 	}
 }
 
-func (g *gossip) forget(instance string) {
+func (g *gossip) removeInstance(instance string) {
 	g.mu.Lock()
 	delete(g.counts, instance)
 	g.mu.Unlock()
@@ -139,18 +139,18 @@
 
 // exchange reports to the other instances and takes what they reported.
 func (g *gossip) exchange() {
-	g.report()
+	g.reportInFlight()
 	g.exchangeDemand()
 }
 
 // exchangeDemand divides the rates of organisations among the instances.
 func (g *gossip) exchangeDemand() {
-	own := demandOf(g.admission.Demand())
+	own := membershipDemand(g.admission.Demand())
 	var peers []quota.Summary
 	g.members.Do(func(s *membership.State) []membership.Output {
 		s.SetDemand(own)
 		for _, report := range s.PeerDemand(time.Now()) {
-			peers = append(peers, summaryOf(report))
+			peers = append(peers, quotaSummary(report))
 		}
 		return nil
 	})
@@ -158,30 +158,30 @@
 }
 
 // demandOf drops demand below a thousandth of a request per second.
-func demandOf(summary quota.Summary) (demand []membership.Demand) {
+func membershipDemand(summary quota.Summary) (demand []membership.Demand) {
 	for _, d := range summary.Largest {
-		if rate := int64(d.PerSecond * milli); rate > 0 {
+		if rate := int64(d.PerSecond * milliPerUnit); rate > 0 {
 			demand = append(demand, membership.Demand{Organisation: d.Organisation, MilliPerSecond: rate})
 		}
 	}
 	return demand
 }
 
-func summaryOf(report membership.DemandReport) quota.Summary {
+func quotaSummary(report membership.DemandReport) quota.Summary {
 	summary := quota.Summary{Instances: report.Instances, Incomplete: !report.Complete}
 	for _, d := range report.Demand {
-		summary.Largest = append(summary.Largest, quota.Demand{Organisation: d.Organisation, PerSecond: float64(d.MilliPerSecond) / milli})
+		summary.Largest = append(summary.Largest, quota.Demand{Organisation: d.Organisation, PerSecond: float64(d.MilliPerSecond) / milliPerUnit})
 	}
 	return summary
 }
 
-const milli = 1000
+const milliPerUnit = 1000
 
 // exchangeStragglers passes on the servers that look slow.
 func (g *gossip) exchangeStragglers() {
 	var own []membership.Straggler
 	for _, id := range g.servers.Stragglers() {
-		own = append(own, membership.Straggler{Server: id, Remaining: stragglerLifetime})
+		own = append(own, membership.Straggler{Server: id, Remaining: stragglerMarkerLifetime})
 	}
 	var seen map[string]int
 	g.members.Do(func(s *membership.State) []membership.Output {
@@ -192,7 +192,7 @@
 }
 
 // report gives the own requests in flight to membership.
-func (g *gossip) report() {
+func (g *gossip) reportInFlight() {
 	var counts []membership.Count
 	load := 0
 	for _, pool := range g.servers.Counts() {
@@ -211,7 +211,7 @@
 // listed marks the servers that the list shows as leaving, for instances that
 // can't read it, clears the markers of servers with a new incarnation and applies
 // the others to servers that are new in the list.
-func (g *gossip) listed(members []platform.Member) {
+func (g *gossip) applyInstanceList(members []platform.Member) {
 	incarnations := map[string]int64{}
 	for _, member := range members {
 		if member.Role != platform.RoleBackend {
@@ -219,7 +219,7 @@
 		}
 		incarnations[member.ID] = member.Incarnation
 		if member.State == platform.StateLeaving {
-			g.members.MarkDraining(member.ID, member.Incarnation, drainLifetime)
+			g.members.MarkDraining(member.ID, member.Incarnation, drainMarkerLifetime)
 		}
 	}
 	g.mu.Lock()
@@ -233,40 +233,40 @@
 	var markers []membership.DrainMarker
 	g.members.View(func(s *membership.State) { markers = s.Draining(time.Now()) })
 	for _, marker := range markers {
-		g.drain(marker)
+		g.applyDrainMarker(marker)
 	}
 }
 
 // drainReporter tells the other instances of servers that refuse because they leave.
-type drainReporter struct {
+type drainReportingPicker struct {
 	Picker
 	members *Members
 }
 
 // newPicker returns the choice of servers, with reports of refusals.
 func newPicker(servers *Servers, members *Members) Picker {
-	return drainReporter{servers, members}
+	return drainReportingPicker{servers, members}
 }
 
 // Pick chooses a server and counts a call in flight there.
-func (r drainReporter) Pick(query Query) (PickedServer, bool) {
+func (r drainReportingPicker) Pick(query Query) (PickedServer, bool) {
 	picked, ok := r.Picker.Pick(query)
 	if !ok || r.members.Node == nil {
 		return picked, ok
 	}
-	return reportedPick{picked, r.members}, true
+	return drainReportingServer{picked, r.members}, true
 }
 
-type reportedPick struct {
+type drainReportingServer struct {
 	PickedServer
 	members *Members
 }
 
 // Done ends the call and reports a server that leaves.
-func (p reportedPick) Done(err error, bytes int64) {
+func (p drainReportingServer) Done(err error, bytes int64) {
 	p.PickedServer.Done(err, bytes)
 	if errors.Is(err, backend.ErrDraining) {
 		server := p.Server()
-		p.members.MarkDraining(server.ID, server.Incarnation, drainLifetime)
+		p.members.MarkDraining(server.ID, server.Incarnation, drainMarkerLifetime)
 	}
 }
--- a/internal/entry/gossip_test.go
+++ b/internal/entry/gossip_test.go
@@ -25,10 +25,10 @@
 	cases := map[string][]int{"through one": {200, 0, 0}, "through all": {70, 70, 70}, "uneven": {150, 30, 6}}
 	for name, offered := range cases {
 		t.Run(name, func(t *testing.T) {
-			fleet := newShareFleet(len(offered))
+			fleet := newSimulatedFleet(len(offered))
 			granted := 0
 			for second := range warmUp + seconds {
-				n := fleet.second(offered, rate, burst)
+				n := fleet.simulateSecond(offered, rate, burst)
 				if second >= warmUp {
 					granted += n
 				}
@@ -39,23 +39,23 @@
 			last := make([]int, len(offered))
 			last[len(last)-1] = 2 * rate
 			for range warmUp {
-				fleet.second(last, rate, burst)
+				fleet.simulateSecond(last, rate, burst)
 			}
-			moved := fleet.second(last, rate, burst)
+			moved := fleet.simulateSecond(last, rate, burst)
 			qt.Check(t, moved >= rate-2 && moved <= 2*rate, qt.IsTrue, qt.Commentf("granted %d", moved))
 		})
 	}
 }
 
 // shareFleet is instances of one failure domain without sockets.
-type shareFleet struct {
+type simulatedFleet struct {
 	now    time.Time
 	shares []*quota.Share
 	states []*membership.State
 }
 
-func newShareFleet(n int) *shareFleet {
-	f := &shareFleet{now: time.Unix(1000, 0)}
+func newSimulatedFleet(n int) *simulatedFleet {
+	f := &simulatedFleet{now: time.Unix(1000, 0)}
 	for i := range n {
 		id := string(rune('a' + i))
 		f.shares = append(f.shares, quota.NewShare())
@@ -66,7 +66,7 @@
 }
 
 // second offers requests evenly, exchanges heartbeats and returns the grants.
-func (f *shareFleet) second(offered []int, rate float64, burst int) (granted int) {
+func (f *simulatedFleet) simulateSecond(offered []int, rate float64, burst int) (granted int) {
 	for i, share := range f.shares {
 		for k := range offered[i] {
 			at := f.now.Add(time.Duration(k) * time.Second / time.Duration(offered[i]))
@@ -78,21 +78,21 @@
 	}
 	f.now = f.now.Add(time.Second)
 	for i, state := range f.states {
-		state.SetDemand(demandOf(f.shares[i].Summary(f.now)))
-		f.carry(state.Tick(f.now))
+		state.SetDemand(membershipDemand(f.shares[i].Summary(f.now)))
+		f.deliver(state.Tick(f.now))
 		var peers []quota.Summary
 		for _, report := range state.PeerDemand(f.now) {
-			peers = append(peers, summaryOf(report))
+			peers = append(peers, quotaSummary(report))
 		}
 		f.shares[i].SetPeers(peers)
 	}
 	return granted
 }
 
-func (f *shareFleet) carry(outputs []membership.Output) {
+func (f *simulatedFleet) deliver(outputs []membership.Output) {
 	for _, output := range outputs {
 		if send, ok := output.(membership.Send); ok {
-			f.carry(f.states[send.Address[0]-'a'].Receive(f.now, send.Message))
+			f.deliver(f.states[send.Address[0]-'a'].Receive(f.now, send.Message))
 		}
 	}
 }
@@ -106,27 +106,27 @@
 	for _, id := range []string{"e1", "e2", "e3", "e4"} {
 		list.Put(platform.Member{ID: id, Role: platform.RoleBackend, Address: "127.0.0.1:1", Pool: "p", Region: "r", FailureDomain: "a", State: platform.StateLive})
 	}
-	address := serve(c, list.Handler())
+	address := startServer(c, list.Handler())
 	first, second := controlSettings(c, address, "a"), controlSettings(c, address, "a")
 	second.Instance, second.Peers = "entry-2", []string{first.PeerAddress}
 	var busy, other *AdmissionControl
 	var servers, others *Servers
 	startControl(c, first, fx.Populate(&busy, &servers))
 	startControl(c, second, fx.Populate(&other, &others))
-	waitForStatus(c, first, func(s controlStatus) bool { return len(s.Peers.Members) == 2 && servers.find("p") != nil })
+	waitForStatus(c, first, func(s controlStatus) bool { return len(s.Peers.Members) == 2 && servers.findPool("p") != nil })
 	request := &Request{Organisation: pipeline.Organisation{Name: "acme", RequestsPerSecond: 0.001, Burst: 2}}
 	waitForStatus(c, second, func(controlStatus) bool {
 		busy.checkRate(request, time.Now())
 		servers.unreachable("p", "e1")
 		shares := other.status().Organisations
-		return len(shares) == 1 && shares[0].Share < 1 && slices.ContainsFunc(others.find("p").status(), func(s serverStatus) bool {
+		return len(shares) == 1 && shares[0].Share < 1 && slices.ContainsFunc(others.findPool("p").status(), func(s serverStatus) bool {
 			return s.ID == "e1" && s.Reported
 		})
 	})
 }
 
 func (s *Servers) unreachable(pool, id string) {
-	p := s.find(pool)
+	p := s.findPool(pool)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	index, _ := p.pool.Index(id)
--- a/internal/entry/handler.go
+++ b/internal/entry/handler.go
@@ -52,7 +52,7 @@
 	}
 	router.NotFoundHandler = problemHandler(http.StatusNotFound, "unknown path")
 	router.MethodNotAllowedHandler = problemHandler(http.StatusMethodNotAllowed, "method not allowed")
-	return h.track(router)
+	return h.trackRequests(router)
 }
 
 // Running returns the number of requests being served.
@@ -67,7 +67,7 @@
 }
 
 // track counts running requests.
-func (h *Handler) track(next http.Handler) http.Handler {
+func (h *Handler) trackRequests(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h.running.Add(1)
 		defer h.running.Add(-1)
@@ -80,20 +80,20 @@
 
 func problemHandler(status int, title string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		notRun(status, ProblemNotFound, title, fmt.Sprintf("%s %s", r.Method, r.URL.Path)).write(w)
+		notRunProblem(status, ProblemNotFound, title, fmt.Sprintf("%s %s", r.Method, r.URL.Path)).write(w)
 	})
 }
 
 func (h *Handler) serveRequest(w http.ResponseWriter, r *http.Request) {
 	request, problem := parseRequest(w, r, h.Configuration.Current(), h.Now())
 	if problem != nil {
-		h.Executor.Metrics.rejected(problem.Status)
+		h.Executor.Metrics.countRejected(problem.Status)
 		problem.write(w)
 		return
 	}
 	switch {
 	case request.Kind.Durable && h.Jobs == nil:
-		notRun(http.StatusServiceUnavailable, ProblemUnavailable, "durable work is unavailable",
+		notRunProblem(http.StatusServiceUnavailable, ProblemUnavailable, "durable work is unavailable",
 			"this instance cannot record jobs").write(w)
 	case request.Async:
 		h.serveAsync(w, r, request)
@@ -145,9 +145,9 @@
 func (h *Handler) serveStream(w http.ResponseWriter, r *http.Request, request *Request) {
 	stream := newEventWriter(w)
 	// A writer that knows no deadlines, as in tests, does not block.
-	_ = stream.control.SetWriteDeadline(time.Now().Add(request.Deadline.Sub(h.Now()) + writeMargin))
-	result := h.serve(r.Context(), request, stream.piece)
+	_ = stream.controller.SetWriteDeadline(time.Now().Add(request.Deadline.Sub(h.Now()) + writeMargin))
+	result := h.serve(r.Context(), request, stream.writeChunk)
 	if stream.finish(result) == nil {
-		_ = stream.control.SetWriteDeadline(time.Time{})
+		_ = stream.controller.SetWriteDeadline(time.Time{})
 	}
 }
--- a/internal/entry/handler_test.go
+++ b/internal/entry/handler_test.go
@@ -31,7 +31,7 @@
 	return &Handler{Configuration: fixedConfiguration{set}, Executor: newTestExecutor(caller, 0), Claims: claims, Now: time.Now}
 }
 
-func do(h *Handler, pipeline, body string, header http.Header) *httptest.ResponseRecorder {
+func postRequest(h *Handler, pipeline, body string, header http.Header) *httptest.ResponseRecorder {
 	request := httptest.NewRequest(http.MethodPost, "/v1/organisations/acme/pipelines/"+pipeline+"/kinds/k", strings.NewReader(body))
 	request.Header = header
 	recorder := httptest.NewRecorder()
@@ -72,7 +72,7 @@
 		{"order", "{}", header("Idempotency-Key", "k"), http.StatusServiceUnavailable}, // no claims
 	} {
 		caller := &fakeCaller{}
-		answer := do(newTestHandler(caller, nil), test.pipeline, test.body, test.header)
+		answer := postRequest(newTestHandler(caller, nil), test.pipeline, test.body, test.header)
 		note := qt.Commentf("%s %.20q %v", test.pipeline, test.body, test.header)
 		var problem Problem
 		c.Check(json.Unmarshal(answer.Body.Bytes(), &problem), qt.IsNil, note)
@@ -84,32 +84,32 @@
 	}
 	starting := newTestHandler(nil, nil)
 	starting.Configuration = fixedConfiguration{}
-	answer := do(starting, "read", "{}", nil)
+	answer := postRequest(starting, "read", "{}", nil)
 	c.Assert(answer.Code, qt.Equals, http.StatusServiceUnavailable)
 	c.Assert(answer.Header().Get("Retry-After"), qt.Equals, "1")
 }
 
 // Guards against a deadline header that panics, overflows to a negative time, or
 // exceeds the longest wait of the kind.
-func TestTimeoutHeaders(t *testing.T) {
-	const longest = time.Minute
+func TestDeadlineHeaders(t *testing.T) {
+	const maxWait = time.Minute
 	rapid.Check(t, func(t *rapid.T) {
 		value := rapid.StringMatching(`-?[0-9]{0,9}[HMSmunx]?|.{0,4}`).Draw(t, "value")
 		for _, header := range []http.Header{{"Grpc-Timeout": {value}}, {"Prefer": {"wait=" + value}}, {"Prefer": {value, ""}}} {
-			timeout, err := parseTimeout(header, longest)
-			if err == nil && (timeout < 0 || timeout > longest) {
+			timeout, err := parseTimeout(header, maxWait)
+			if err == nil && (timeout < 0 || timeout > maxWait) {
 				t.Fatalf("%v: %v", header, timeout)
 			}
 		}
 	})
-	if timeout, err := parseTimeout(http.Header{"Grpc-Timeout": {"99999999H"}}, longest); err != nil || timeout != longest {
+	if timeout, err := parseTimeout(http.Header{"Grpc-Timeout": {"99999999H"}}, maxWait); err != nil || timeout != maxWait {
 		t.Fatalf("99999999H: %v, %v", timeout, err)
 	}
 }
 
 // Guards against a claim that is settled against the outcome rules: a key that
 // stays locked after not_run or failed, or runs again after completed or unknown.
-func TestClaimIsSettled(t *testing.T) {
+func TestClaimIsSettledByOutcome(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
 		first, once error
@@ -126,14 +126,14 @@
 	} {
 		caller := &fakeCaller{answer: func(_ context.Context, _ string, request backend.StageRequest) (backend.StageStream, error) {
 			if strings.Contains(string(request.Input), "request") {
-				return whole(`1`), test.once
+				return completeStream(`1`), test.once
 			}
-			return whole(`0`), test.first
+			return completeStream(`0`), test.first
 		}}
 		claim := &fakeClaim{expired: test.expired}
 		for _, accept := range []string{"application/json", "text/event-stream"} {
 			claim.settled = ""
-			answer := do(newTestHandler(caller, fakeClaims{claim: claim}), "order", "{}", http.Header{"Idempotency-Key": {"k"}, "Accept": {accept}})
+			answer := postRequest(newTestHandler(caller, fakeClaims{claim: claim}), "order", "{}", http.Header{"Idempotency-Key": {"k"}, "Accept": {accept}})
 			note := qt.Commentf("%+v %s", test, accept)
 			c.Check(answer.Code, qt.Equals, test.status, note)
 			c.Check(answer.Header().Get(HeaderOutcome)+answer.Body.String(), qt.Contains, string(test.outcome), note)
@@ -144,7 +144,7 @@
 
 // Guards against a repeated key that runs again or gets another answer than the
 // recorded one.
-func TestRecordedAnswer(t *testing.T) {
+func TestRepeatedKeyGetsRecordedAnswer(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
 		recorded RecordedAnswer
@@ -156,7 +156,7 @@
 		{RecordedAnswer{Outcome: OutcomeUnknown}, http.StatusConflict, `"outcome":"unknown"`},
 	} {
 		caller := &fakeCaller{}
-		answer := do(newTestHandler(caller, fakeClaims{recorded: &test.recorded}), "order", "{}", http.Header{"Idempotency-Key": {"k"}})
+		answer := postRequest(newTestHandler(caller, fakeClaims{recorded: &test.recorded}), "order", "{}", http.Header{"Idempotency-Key": {"k"}})
 		c.Check(answer.Code, qt.Equals, test.status)
 		c.Check(answer.Body.String(), qt.Contains, test.body)
 		c.Check(caller.calls, qt.HasLen, 0)
@@ -165,7 +165,7 @@
 
 // Guards against a refused request that runs or loses its retry time, and
 // against a granted one that holds its place for ever.
-func TestAdmission(t *testing.T) {
+func TestAdmissionRefusalAndRelease(t *testing.T) {
 	c := qt.New(t)
 	caller := &fakeCaller{answer: func(context.Context, string, backend.StageRequest) (backend.StageStream, error) {
 		return nil, backend.ErrMayHaveRun
@@ -173,12 +173,12 @@
 	h := newTestHandler(caller, nil)
 	admission := &fakeAdmission{}
 	h.Admission = admission
-	c.Assert(do(h, "read", "{}", nil).Code, qt.Equals, http.StatusBadGateway)
+	c.Assert(postRequest(h, "read", "{}", nil).Code, qt.Equals, http.StatusBadGateway)
 	c.Assert(admission.released, qt.Equals, OutcomeFailed)
 
-	admission.problem = notRun(http.StatusTooManyRequests, ProblemUnavailable, "busy", "")
+	admission.problem = notRunProblem(http.StatusTooManyRequests, ProblemUnavailable, "busy", "")
 	admission.problem.RetryAfterMS = 1001
-	answer := do(h, "read", "{}", nil)
+	answer := postRequest(h, "read", "{}", nil)
 	c.Assert(answer.Code, qt.Equals, http.StatusTooManyRequests)
 	c.Assert(answer.Header().Get("Retry-After"), qt.Equals, "2")
 	c.Assert(caller.calls, qt.HasLen, 1)
@@ -186,25 +186,25 @@
 
 // Guards against pieces that are read ahead of a slow caller, and against an
 // error after the first piece that looks like a whole answer.
-func TestStreamBackPressureAndError(t *testing.T) {
+func TestStreamBackpressureAndError(t *testing.T) {
 	c := qt.New(t)
-	stream := &pieces{strings.Split("abcdefgh", ""), backend.ErrBadAnswer}
+	stream := &fakeStream{strings.Split("abcdefgh", ""), backend.ErrBadAnswer}
 	caller := &fakeCaller{answer: func(context.Context, string, backend.StageRequest) (backend.StageStream, error) {
 		return stream, nil
 	}}
 	written := 0
 	emit := func([]byte) error {
 		written++
-		c.Assert(len(stream.data), qt.Equals, 8-written)
+		c.Assert(len(stream.chunks), qt.Equals, 8-written)
 		return nil
 	}
-	result := newTestExecutor(caller, 9).Execute(c.Context(), newRequestOf(stages("a")), Options{Emit: emit})
+	result := newTestExecutor(caller, 9).Execute(c.Context(), newPipelineRequest(stages("a")), ExecutionOptions{Emit: emit})
 	c.Assert(result.Outcome, qt.Equals, OutcomeFailed)
 	c.Assert(caller.servers(), qt.DeepEquals, []string{"s1"})
 	c.Assert(result.Answer, qt.IsNil)
 
-	stream = &pieces{strings.Split("abcdefgh", ""), backend.ErrBadAnswer}
-	answer := do(newTestHandler(caller, nil), "read", "{}", http.Header{"Accept": {"text/event-stream"}}).Body.String()
+	stream = &fakeStream{strings.Split("abcdefgh", ""), backend.ErrBadAnswer}
+	answer := postRequest(newTestHandler(caller, nil), "read", "{}", http.Header{"Accept": {"text/event-stream"}}).Body.String()
 	c.Assert(answer, qt.Contains, "event: "+EventError)
 	c.Assert(answer, qt.Not(qt.Contains), "event: "+EventEnd)
 }
@@ -217,8 +217,8 @@
 		c.Check(string(asText(asJSON([]byte(text)))), qt.Equals, text)
 	}
 	var streamed []byte
-	replay(&RecordedAnswer{Outcome: OutcomeCompleted, Answer: asJSON([]byte("a note"))}, func(piece []byte) error {
-		streamed = append(streamed, piece...)
+	replay(&RecordedAnswer{Outcome: OutcomeCompleted, Answer: asJSON([]byte("a note"))}, func(chunk []byte) error {
+		streamed = append(streamed, chunk...)
 		return nil
 	})
 	c.Assert(string(streamed), qt.Equals, "a note")
--- a/internal/entry/hedge.go
+++ b/internal/entry/hedge.go
@@ -27,7 +27,7 @@
 
 // hedged calls a server, and a second one when no answer came within the delay.
 // The first answer wins and the other call is cancelled.
-func (c *stageCall) hedged(ctx context.Context, first PickedServer, delay time.Duration) (json.RawMessage, error) {
+func (c *stageCall) sendHedged(ctx context.Context, first PickedServer, delay time.Duration) (json.RawMessage, error) {
 	h := &hedge{call: c, second: make(chan hedgedResult, 1)}
 	firstCtx, cancelFirst := context.WithCancel(ctx)
 	secondCtx, cancelSecond := context.WithCancel(ctx)
@@ -39,7 +39,7 @@
 		cancelSecond()
 		return output, err
 	}
-	return h.settle(output, err)
+	return h.resolve(output, err)
 }
 
 // runSecond sends the second call when it is allowed.
@@ -51,7 +51,7 @@
 		return
 	}
 	output, err := h.call.send(ctx, picked)
-	won := err == nil && h.win()
+	won := err == nil && h.setWinner()
 	if won {
 		h.cancelFirst()
 	}
@@ -59,7 +59,7 @@
 }
 
 // win reports whether an answer is the first one, and counts a late one.
-func (h *hedge) win() bool {
+func (h *hedge) setWinner() bool {
 	if h.won.CompareAndSwap(false, true) {
 		return true
 	}
@@ -68,8 +68,8 @@
 }
 
 // settle decides between the result of the first call and that of the second.
-func (h *hedge) settle(output json.RawMessage, err error) (json.RawMessage, error) {
-	if err == nil && h.win() {
+func (h *hedge) resolve(output json.RawMessage, err error) (json.RawMessage, error) {
+	if err == nil && h.setWinner() {
 		h.cancelSecond()
 		return output, nil
 	}
--- a/internal/entry/listing.go
+++ b/internal/entry/instancelist.go
@@ -14,7 +14,7 @@
 
 // ListFeed reads the platform's list and passes it on. The last list stays in
 // use while the platform can't be reached.
-type ListFeed struct {
+type InstanceListPoller struct {
 	lister platform.Lister
 	logger *slog.Logger
 
@@ -22,20 +22,20 @@
 	observers []func([]platform.Member)
 }
 
-func newListFeed(lister platform.Lister, logger *slog.Logger) *ListFeed {
-	return &ListFeed{lister: lister, logger: logger}
+func newInstanceListPoller(lister platform.Lister, logger *slog.Logger) *InstanceListPoller {
+	return &InstanceListPoller{lister: lister, logger: logger}
 }
 
 // Observe registers a function that gets each list. It is called before the
 // feed starts; the list must not be changed.
-func (f *ListFeed) Observe(observer func([]platform.Member)) {
+func (f *InstanceListPoller) Observe(observer func([]platform.Member)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.observers = append(f.observers, observer)
 }
 
 // refresh reads the list once.
-func (f *ListFeed) refresh(ctx context.Context) {
+func (f *InstanceListPoller) refresh(ctx context.Context) {
 	members, err := f.lister.List(ctx)
 	if err != nil {
 		events.ListUnavailable.Log(ctx, f.logger, slog.Any("error", err))
@@ -49,7 +49,7 @@
 }
 
 // runListFeed reads the list at the start and then at each interval.
-func runListFeed(lc fx.Lifecycle, f *ListFeed) {
+func runInstanceListPoller(lc fx.Lifecycle, f *InstanceListPoller) {
 	ctx, cancel := context.WithCancel(context.Background())
 	lc.Append(fx.Hook{
 		OnStart: func(start context.Context) error {
--- a/internal/entry/ports.go
+++ b/internal/entry/interfaces.go
@@ -64,7 +64,7 @@
 	LinkBytes int64
 	// Leave is true when the request was admitted for another region, because its
 	// own could not answer in time.
-	Leave bool
+	CrossRegion bool
 	// Remaining is the time left for the stage.
 	Remaining time.Duration
 	// Excluded lists the IDs of servers that were already tried.
--- a/internal/entry/jobs.go
+++ b/internal/entry/jobs.go
@@ -42,7 +42,7 @@
 		return s.submit(ctx, request)
 	}
 	if s.Claims == nil {
-		return "", notRun(http.StatusServiceUnavailable, ProblemUnavailable, "claims are unavailable", "the key cannot be claimed")
+		return "", notRunProblem(http.StatusServiceUnavailable, ProblemUnavailable, "claims are unavailable", "the key cannot be claimed")
 	}
 	claim, recorded, problem := s.Claims.Claim(ctx, request)
 	if problem != nil {
@@ -91,7 +91,7 @@
 	case err == nil:
 		return PathJobs + id, nil
 	case errors.Is(err, jobs.ErrNotAccepted):
-		problem := notRun(http.StatusServiceUnavailable, ProblemUnavailable, "job was not accepted", err.Error())
+		problem := notRunProblem(http.StatusServiceUnavailable, ProblemUnavailable, "job was not accepted", err.Error())
 		problem.RetryAfterMS = storeRetryAfter.Milliseconds()
 		return "", problem
 	}
@@ -182,7 +182,7 @@
 		return
 	}
 	stream := newEventWriter(w)
-	if result.Problem == nil && stream.piece(asText(result.Answer)) != nil {
+	if result.Problem == nil && stream.writeChunk(asText(result.Answer)) != nil {
 		return
 	}
 	_ = stream.finish(result)
@@ -202,7 +202,7 @@
 	if set == nil {
 		return jobs.Result{Outcome: job.OutcomeNotRun, Detail: "this instance holds no configuration yet"}
 	}
-	request, problem := lookUp(map[string]string{
+	request, problem := resolveRequest(map[string]string{
 		"organisation": durable.Organisation, "pipeline": durable.Pipeline, "kind": durable.Kind,
 	}, set)
 	if problem != nil {
@@ -210,15 +210,15 @@
 	}
 	request.Body = durable.Body
 	request.Deadline = j.Now().Add(request.Kind.MaxWait())
-	result := j.admitted(ctx, request, progress)
+	result := j.runWithAdmission(ctx, request, progress)
 	if result.Problem != nil {
 		return jobs.Result{Outcome: string(result.Outcome), Detail: result.Problem.Error()}
 	}
 	return jobs.Result{Outcome: string(result.Outcome), Answer: result.Answer}
 }
 
-func (j JobRunner) admitted(ctx context.Context, request *Request, progress jobs.Progress) Result {
-	options := Options{Results: progress.Results, StageDone: progress.StageDone}
+func (j JobRunner) runWithAdmission(ctx context.Context, request *Request, progress jobs.Progress) Result {
+	options := ExecutionOptions{Results: progress.Results, StageDone: progress.StageDone}
 	if request.Kind.AtMostOnce() {
 		options.Claim = jobClaim{allowed: progress.OnceAllowed}
 	}
--- a/internal/entry/jobs_test.go
+++ b/internal/entry/jobs_test.go
@@ -24,10 +24,10 @@
 )
 
 // alone is a failure domain of one instance.
-type alone struct{}
+type singleInstance struct{}
 
-func (alone) Domain() []string                       { return []string{"a"} }
-func (alone) JobsReleased(context.Context, []string) {}
+func (singleInstance) Domain() []string                       { return []string{"a"} }
+func (singleInstance) JobsReleased(context.Context, []string) {}
 
 // newDurableHandler serves the durable kind k of pipeline read from a store.
 func newDurableHandler(c *qt.C, caller *fakeCaller) *Handler {
@@ -40,7 +40,7 @@
 		Scope: tally.NoopScope, Log: log, SettleInterval: time.Millisecond,
 	})}
 	durable := jobs.New(jobs.Config{
-		Instance: "a", Store: fake, Members: alone{}, Boot: time.Now, Wall: time.Now, Scope: tally.NoopScope, Log: log,
+		Instance: "a", Store: fake, Members: singleInstance{}, Boot: time.Now, Wall: time.Now, Scope: tally.NoopScope, Log: log,
 		Runner: JobRunner{Configuration: h.Configuration, Executor: h.Executor, Now: time.Now},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -65,22 +65,22 @@
 	caller := &fakeCaller{answer: func(context.Context, string, backend.StageRequest) (backend.StageStream, error) {
 		calls.Add(1)
 		<-release
-		return whole(`{"x":1}`), nil
+		return completeStream(`{"x":1}`), nil
 	}}
 	h := newDurableHandler(c, caller)
 	async := http.Header{"Prefer": {"respond-async"}, "Idempotency-Key": {"key"}}
 	var locations []string
 	for range 2 {
-		answer := do(h, "read", "{}", async)
+		answer := postRequest(h, "read", "{}", async)
 		c.Assert(answer.Code, qt.Equals, http.StatusAccepted)
 		locations = append(locations, answer.Header().Get("Location"))
 	}
 	c.Assert(locations[1], qt.Equals, locations[0])
-	expired := do(h, "read", "{}", http.Header{"Grpc-Timeout": {"50m"}})
+	expired := postRequest(h, "read", "{}", http.Header{"Grpc-Timeout": {"50m"}})
 	c.Assert(expired.Code, qt.Equals, http.StatusAccepted)
 	c.Assert(strings.HasPrefix(expired.Header().Get("Location"), PathJobs), qt.IsTrue)
 	close(release)
-	waited := do(h, "read", "{}", nil)
+	waited := postRequest(h, "read", "{}", nil)
 	c.Assert(waited.Code, qt.Equals, http.StatusOK)
 	c.Assert(waited.Body.String(), qt.Equals, `{"x":1}`)
 	for _, location := range []string{locations[0], expired.Header().Get("Location")} {
@@ -103,17 +103,17 @@
 
 func (blockedJobs) Submit(ctx context.Context, _ *Request) (string, *Problem) {
 	<-ctx.Done()
-	return "", retryLater("not accepted", storeRetryAfter)
+	return "", claimUnavailable("not accepted", storeRetryAfter)
 }
 
 // Guards against a caller of durable work that waits past its deadline for the
 // acceptance, for example while its key is held by a paused instance.
-func TestAcceptanceIsBoundedByTheDeadline(t *testing.T) {
+func TestJobAcceptanceIsBoundedByDeadline(t *testing.T) {
 	c := qt.New(t)
 	h := newTestHandler(&fakeCaller{}, nil)
 	h.Jobs = blockedJobs{}
 	set := h.Configuration.Current()
 	set.Pipelines[0].Kinds[0].Durable = true
-	response := do(h, "read", "{}", http.Header{"Prefer": {"respond-async"}, "Grpc-Timeout": {"20m"}})
+	response := postRequest(h, "read", "{}", http.Header{"Prefer": {"respond-async"}, "Grpc-Timeout": {"20m"}})
 	c.Assert(response.Code, qt.Equals, http.StatusServiceUnavailable)
 }
--- a/internal/entry/link.go
+++ b/internal/entry/link.go
@@ -10,21 +10,21 @@
 
 // linkBudget guards the instance's part of the link between regions.
 type linkBudget struct {
-	mu      sync.Mutex
-	link    *quota.Link
-	least   int
-	sharers int
+	mu           sync.Mutex
+	link         *quota.Link
+	minInstances int
+	instances    int
 }
 
-func newLinkBudget(least int) *linkBudget {
-	return &linkBudget{link: quota.NewLink(0), least: least, sharers: least}
+func newLinkBudget(minInstances int) *linkBudget {
+	return &linkBudget{link: quota.NewLink(0), minInstances: minInstances, instances: minInstances}
 }
 
 // update takes the capacity of the link and the listed instances of the region.
 func (l *linkBudget) update(set *pipeline.Set, instances int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.sharers = max(l.least, instances)
+	l.instances = max(l.minInstances, instances)
 	if set != nil {
 		l.link.SetCapacity(quota.BytesPerSecond(set.Deployment.LinkMbits))
 	}
@@ -32,11 +32,11 @@
 
 // share is the instance's part of the link, an equal part among the sharers.
 func (l *linkBudget) share() float64 {
-	return 1 / float64(l.sharers)
+	return 1 / float64(l.instances)
 }
 
 // room reports whether a call may use the link; 0 bytes stay in the region.
-func (l *linkBudget) room(bytes int64, now time.Time) bool {
+func (l *linkBudget) hasCapacity(bytes int64, now time.Time) bool {
 	if bytes == 0 {
 		return false
 	}
@@ -60,12 +60,12 @@
 }
 
 // LinkUsed returns the bytes that crossed the link by kind, stage and organisation.
-func (s *Servers) LinkUsed() map[quota.LinkUse]int64 {
+func (s *Servers) LinkUsage() map[quota.LinkUse]int64 {
 	s.link.mu.Lock()
 	defer s.link.mu.Unlock()
-	used := make(map[quota.LinkUse]int64, len(s.link.link.Used()))
+	usage := make(map[quota.LinkUse]int64, len(s.link.link.Used()))
 	for use, bytes := range s.link.link.Used() {
-		used[use] = bytes
+		usage[use] = bytes
 	}
-	return used
+	return usage
 }
--- a/internal/entry/decisions.go
+++ b/internal/entry/loadcontrol.go
@@ -24,14 +24,14 @@
 	admissionInterval = 20 * time.Millisecond
 	// loadInterval is the mean time between two load reports that an instance
 	// reads, whatever the number of servers: about 1 KB/s of control traffic.
-	loadInterval = 400 * time.Millisecond
-	loadTimeout  = time.Second
+	loadReportInterval = 400 * time.Millisecond
+	loadReportTimeout  = time.Second
 )
 
 // AdmissionMetrics reports the decisions under load.
 type AdmissionMetrics struct {
-	scope  tally.Scope
-	tagged sync.Map
+	scope         tally.Scope
+	taggedMetrics sync.Map
 }
 
 // NewAdmissionMetrics returns metrics that report to a scope.
@@ -40,33 +40,33 @@
 }
 
 // refused counts a refused request by the type of its problem.
-func (m *AdmissionMetrics) refused(problem string) {
-	kept, ok := m.tagged.Load(problem)
+func (m *AdmissionMetrics) countRefused(problemType string) {
+	metric, ok := m.taggedMetrics.Load(problemType)
 	if !ok {
-		tags := map[string]string{"reason": problem}
-		kept, _ = m.tagged.LoadOrStore(problem, m.scope.Tagged(tags).Counter("refused_requests"))
+		tags := map[string]string{"reason": problemType}
+		metric, _ = m.taggedMetrics.LoadOrStore(problemType, m.scope.Tagged(tags).Counter("refused_requests"))
 	}
-	kept.(tally.Counter).Inc(1)
+	metric.(tally.Counter).Inc(1)
 }
 
 // queueGauges are the gauges of one pool's queue.
 type queueGauges struct{ running, waiting, limit tally.Gauge }
 
-func (m *AdmissionMetrics) queue(pool string, running, waiting, limit int) {
+func (m *AdmissionMetrics) updateQueue(pool string, running, waiting, limit int) {
 	type key struct{ pool string }
-	kept, ok := m.tagged.Load(key{pool})
+	metric, ok := m.taggedMetrics.Load(key{pool})
 	if !ok {
 		scope := m.scope.Tagged(map[string]string{"pool": pool})
 		gauges := queueGauges{scope.Gauge("admission_running"), scope.Gauge("admission_waiting"), scope.Gauge("admission_limit")}
-		kept, _ = m.tagged.LoadOrStore(key{pool}, gauges)
+		metric, _ = m.taggedMetrics.LoadOrStore(key{pool}, gauges)
 	}
-	gauges := kept.(queueGauges)
+	gauges := metric.(queueGauges)
 	gauges.running.Update(float64(running))
 	gauges.waiting.Update(float64(waiting))
 	gauges.limit.Update(float64(limit))
 }
 
-func newDecisionMetrics(m *metrics.Metrics) *AdmissionMetrics { return NewAdmissionMetrics(m.Scope) }
+func newAdmissionMetrics(m *metrics.Metrics) *AdmissionMetrics { return NewAdmissionMetrics(m.Scope) }
 
 func newServers(entry settings.Entry, logger *slog.Logger) *Servers {
 	location := routing.Location{Region: entry.Region, FailureDomain: entry.FailureDomain}
@@ -78,11 +78,11 @@
 }
 
 func newLoadReader() backend.LoadReader {
-	return &backend.HTTPLoadReader{Client: &http.Client{Timeout: loadTimeout}}
+	return &backend.HTTPLoadReader{Client: &http.Client{Timeout: loadReportTimeout}}
 }
 
 // driveDecisions runs the timers of the decisions until the daemon stops.
-func driveDecisions(lc fx.Lifecycle, servers *Servers, control *AdmissionControl, reader backend.LoadReader) {
+func runAdmissionAndLoadPolling(lc fx.Lifecycle, servers *Servers, control *AdmissionControl, reader backend.LoadReader) {
 	ctx, cancel := context.WithCancel(context.Background())
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
@@ -101,27 +101,27 @@
 // Each instance reads at its own random times.
 func (s *Servers) PollLoad(ctx context.Context, reader backend.LoadReader) {
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, loadInterval/2+rand.N(loadInterval))
-		s.pollOne(ctx, reader)
+		clock.Sleep(ctx, loadReportInterval/2+rand.N(loadReportInterval))
+		s.pollRandomServer(ctx, reader)
 	}
 }
 
-func (s *Servers) pollOne(ctx context.Context, reader backend.LoadReader) {
+func (s *Servers) pollRandomServer(ctx context.Context, reader backend.LoadReader) {
 	pools := s.snapshot()
 	if len(pools) == 0 {
 		return
 	}
-	skip := rand.IntN(len(pools))
+	remaining := rand.IntN(len(pools))
 	for _, p := range pools {
-		if skip == 0 {
-			p.poll(ctx, reader, s.logger, s.now)
+		if remaining == 0 {
+			p.pollLoad(ctx, reader, s.logger, s.now)
 			return
 		}
-		skip--
+		remaining--
 	}
 }
 
-func (p *serverPool) poll(ctx context.Context, reader backend.LoadReader, logger *slog.Logger, now func() time.Time) {
+func (p *serverPool) pollLoad(ctx context.Context, reader backend.LoadReader, logger *slog.Logger, now func() time.Time) {
 	p.mu.Lock()
 	index, ok := p.pool.Random(p.random)
 	server := p.servers[index]
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -68,7 +68,7 @@
 }
 
 // others returns the peer addresses of the other live members of the failure domain.
-func (m *Members) others() (addresses []string) {
+func (m *Members) peerAddresses() (addresses []string) {
 	m.View(func(s *membership.State) {
 		for _, record := range s.Live() {
 			if record.ID != m.entry.Instance && record.State == membership.Alive {
@@ -119,12 +119,12 @@
 }
 
 // hint passes on the candidates of the settings and of the instance list.
-func (m *Members) hint(listed []platform.Member) {
+func (m *Members) addCandidates(instanceList []platform.Member) {
 	var candidates []membership.Candidate
 	for _, address := range m.entry.Peers {
 		candidates = append(candidates, membership.Candidate{Address: address})
 	}
-	for _, member := range listed {
+	for _, member := range instanceList {
 		if member.Role == platform.RoleEntry {
 			candidates = append(candidates, membership.Candidate{FailureDomain: member.FailureDomain, Address: member.Address})
 		}
@@ -136,27 +136,27 @@
 }
 
 // peerService is what servePeers starts and stops.
-type peerService struct {
+type peerServerParams struct {
 	fx.In
-	Entry   settings.Entry
-	Members *Members
-	Server  *peer.Server
-	Client  *peer.Client
-	Feed    *ListFeed
-	Steps   *StopSteps
-	Status  *Status
-	Logger  *slog.Logger
+	Entry      settings.Entry
+	Members    *Members
+	Server     *peer.Server
+	Client     *peer.Client
+	ListPoller *InstanceListPoller
+	Steps      *StopSteps
+	Status     *Status
+	Logger     *slog.Logger
 }
 
 // servePeers runs membership and the service for other instances.
-func servePeers(lc fx.Lifecycle, p peerService) {
+func servePeers(lc fx.Lifecycle, p peerServerParams) {
 	p.Status.Add("peers", p.Members.status)
 	if p.Members.Node == nil {
 		return
 	}
 	// The settings' peers are known even when the list can't be read.
-	p.Members.hint(nil)
-	p.Feed.Observe(p.Members.hint)
+	p.Members.addCandidates(nil)
+	p.ListPoller.Observe(p.Members.addCandidates)
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	server := &http.Server{Handler: p.Server.Handler(), ReadHeaderTimeout: headerTimeout}
--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -94,7 +94,7 @@
 		return nil
 	}
 	var wanted []order.Wanted
-	for _, server := range s.Servers.InDomain(s.Entry.FailureDomain) {
+	for _, server := range s.Servers.InFailureDomain(s.Entry.FailureDomain) {
 		pool, ok := set.Pool(server.Pool)
 		// Engines of a pool that names no models keep what they have.
 		if !ok || pool.Type != pipeline.StageGenerate || len(pool.Models) == 0 {
--- a/internal/entry/orders_test.go
+++ b/internal/entry/orders_test.go
@@ -19,14 +19,14 @@
 // joined: the engine must get the configured version from exactly one leader.
 func TestConfiguredModelIsLoaded(t *testing.T) {
 	c := qt.New(t)
-	engine := serve(c, standin.NewBackend(standin.BackendConfig{
+	engine := startServer(c, standin.NewBackend(standin.BackendConfig{
 		ID: "g1", Slots: 1, Engine: standin.EngineConfig{FencesOrders: true, Models: []string{"m@1"}},
 	}).Handler())
 	list := &standin.Platform{}
 	list.Set([]platform.Member{{ID: "g1", Role: platform.RoleBackend, Address: engine, Pool: "engines",
 		Region: "r", FailureDomain: "a", State: platform.StateLive}})
-	entry := controlSettings(c, serve(c, list.Handler()), "a")
-	entry.StoreAddress = serve(c, standin.NewStore().Handler())
+	entry := controlSettings(c, startServer(c, list.Handler()), "a")
+	entry.StoreAddress = startServer(c, standin.NewStore().Handler())
 	set := &pipeline.Set{Deployment: pipeline.Deployment{
 		Regions: []pipeline.Region{{Name: "r", FailureDomains: []string{"a"}}},
 		Pools:   []pipeline.Pool{{Name: "engines", Type: pipeline.StageGenerate, Slots: 1, Models: []string{"m@2"}, FencesOrders: true}},
--- a/internal/entry/outcome.go
+++ b/internal/entry/outcome.go
@@ -49,7 +49,7 @@
 	var failed *stageError
 	if errors.As(err, &failed) {
 		p.Title = fmt.Sprintf("stage %q failed", failed.stage)
-		p.Detail = reason(err)
+		p.Detail = problemDetail(err)
 	}
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded), errors.Is(err, context.DeadlineExceeded):
@@ -65,9 +65,9 @@
 }
 
 // reason returns the kind of a stage's error without its details.
-func reason(err error) string {
+func problemDetail(err error) string {
 	for _, known := range []error{
-		errNoServer, errClaimExpired, errCallerGone, backend.ErrDraining, backend.ErrInvalid,
+		errNoServer, errClaimExpired, errCallerDisconnected, backend.ErrDraining, backend.ErrInvalid,
 		backend.ErrRefused, backend.ErrNotSent, backend.ErrBadAnswer, backend.ErrMayHaveRun,
 	} {
 		if errors.Is(err, known) {
--- a/internal/entry/policies.go
+++ b/internal/entry/policies.go
@@ -16,7 +16,7 @@
 }
 
 // Hedges decides on second calls for idempotent requests.
-type Hedges interface {
+type HedgePolicy interface {
 	// Delay returns how long to wait for an answer before a hedge, or false when
 	// the call is not hedged.
 	Delay(query Query) (time.Duration, bool)
@@ -25,9 +25,9 @@
 }
 
 // Retries is the retry budget of the instance.
-type Retries interface {
+type RetryBudget interface {
 	// Request counts the first attempt of a stage.
-	Request()
+	CountRequest()
 	// Allow takes one retry or resume from the budget.
 	Allow() bool
 }
@@ -43,13 +43,13 @@
 func (weightedBudgets) StageBudget(request *Request, stage int, remaining time.Duration) time.Duration {
 	var total time.Duration
 	for _, later := range request.Pipeline.Stages[stage:] {
-		total += weight(later)
+		total += stageWeight(later)
 	}
 	// Dividing first cannot overflow.
-	return remaining / total * weight(request.Pipeline.Stages[stage])
+	return remaining / total * stageWeight(request.Pipeline.Stages[stage])
 }
 
-func weight(stage pipeline.Stage) time.Duration {
+func stageWeight(stage pipeline.Stage) time.Duration {
 	if stage.Type == pipeline.StageGenerate {
 		return generateWeight
 	}
@@ -57,30 +57,30 @@
 }
 
 // noHedges is the default of Hedges.
-type noHedges struct{}
+type neverHedge struct{}
 
-func (noHedges) Delay(Query) (time.Duration, bool) { return 0, false }
-func (noHedges) Allow(Query) bool                  { return false }
+func (neverHedge) Delay(Query) (time.Duration, bool) { return 0, false }
+func (neverHedge) Allow(Query) bool                  { return false }
 
 // lockedRetries guards a retry budget by a mutex and gives it the time.
-type lockedRetries struct {
+type lockedRetryBudget struct {
 	mu     sync.Mutex
 	budget *routing.RetryBudget
 	now    func() time.Time
 }
 
-func newRetries(now func() time.Time) *lockedRetries {
-	return &lockedRetries{budget: routing.NewRetryBudget(routing.DefaultRetryBudget, now()), now: now}
+func newRetryBudget(now func() time.Time) *lockedRetryBudget {
+	return &lockedRetryBudget{budget: routing.NewRetryBudget(routing.DefaultRetryBudget, now()), now: now}
 }
 
-func (r *lockedRetries) Request() {
+func (r *lockedRetryBudget) CountRequest() {
 	now := r.now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.budget.Request(now)
 }
 
-func (r *lockedRetries) Allow() bool {
+func (r *lockedRetryBudget) Allow() bool {
 	now := r.now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/entry/problem.go
+++ b/internal/entry/problem.go
@@ -55,8 +55,8 @@
 }
 
 // notRun returns the problem of a request that was refused before any stage ran.
-func notRun(status int, kind, title, detail string) *Problem {
-	return &Problem{Type: kind, Title: title, Status: status, Detail: detail, Outcome: OutcomeNotRun}
+func notRunProblem(status int, problemType, title, detail string) *Problem {
+	return &Problem{Type: problemType, Title: title, Status: status, Detail: detail, Outcome: OutcomeNotRun}
 }
 
 // write sends the problem as the whole answer.
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -37,7 +37,7 @@
 	Stream bool
 
 	// leave is set by admission control when the own region cannot answer in time.
-	leave bool
+	crossRegion bool
 	// Async is true when the caller wants durable work that it fetches later.
 	Async bool
 }
@@ -46,20 +46,20 @@
 // read last, so that a bad header is answered without waiting for it.
 func parseRequest(w http.ResponseWriter, r *http.Request, set *pipeline.Set, now time.Time) (*Request, *Problem) {
 	if set == nil {
-		problem := notRun(http.StatusServiceUnavailable, ProblemUnavailable, "no configuration", "this instance holds no configuration yet")
+		problem := notRunProblem(http.StatusServiceUnavailable, ProblemUnavailable, "no configuration", "this instance holds no configuration yet")
 		problem.RetryAfterMS = refusedRetryAfter.Milliseconds()
 		return nil, problem
 	}
-	request, problem := lookUp(mux.Vars(r), set)
+	request, problem := resolveRequest(mux.Vars(r), set)
 	if problem != nil {
 		return nil, problem
 	}
 	timeout, err := parseTimeout(r.Header, request.Kind.MaxWait())
 	if err != nil {
-		return nil, notRun(http.StatusBadRequest, ProblemInvalid, "invalid deadline", err.Error())
+		return nil, notRunProblem(http.StatusBadRequest, ProblemInvalid, "invalid deadline", err.Error())
 	}
 	if timeout <= 0 {
-		return nil, notRun(http.StatusGatewayTimeout, ProblemDeadline, "deadline expired", "no time is left for the request")
+		return nil, notRunProblem(http.StatusGatewayTimeout, ProblemDeadline, "deadline expired", "no time is left for the request")
 	}
 	request.Deadline = now.Add(timeout)
 	if request.Key, problem = parseKey(r.Header, request.Kind); problem != nil {
@@ -76,15 +76,15 @@
 	keys := header.Values("Idempotency-Key")
 	switch {
 	case len(keys) > 1:
-		return "", notRun(http.StatusBadRequest, ProblemInvalid, "ambiguous idempotency key",
+		return "", notRunProblem(http.StatusBadRequest, ProblemInvalid, "ambiguous idempotency key",
 			"the Idempotency-Key header was sent more than once")
 	case len(keys) == 1 && len(keys[0]) > maxKeyBytes:
-		return "", notRun(http.StatusBadRequest, ProblemInvalid, "idempotency key too long",
+		return "", notRunProblem(http.StatusBadRequest, ProblemInvalid, "idempotency key too long",
 			fmt.Sprintf("the key exceeds %d bytes", maxKeyBytes))
 	case len(keys) == 1 && keys[0] != "":
 		return keys[0], nil
 	case kind.AtMostOnce():
-		return "", notRun(http.StatusBadRequest, ProblemInvalid, "missing idempotency key",
+		return "", notRunProblem(http.StatusBadRequest, ProblemInvalid, "missing idempotency key",
 			fmt.Sprintf("kind %q is at-most-once and needs the Idempotency-Key header", kind.Name))
 	default:
 		return "", nil
@@ -92,7 +92,7 @@
 }
 
 // lookUp finds the organisation, pipeline and kind that the path names.
-func lookUp(vars map[string]string, set *pipeline.Set) (*Request, *Problem) {
+func resolveRequest(vars map[string]string, set *pipeline.Set) (*Request, *Problem) {
 	organisation, ok := set.Organisation(vars["organisation"])
 	if !ok {
 		return nil, unknownName("organisation", vars["organisation"])
@@ -109,7 +109,7 @@
 }
 
 func unknownName(what, name string) *Problem {
-	return notRun(http.StatusNotFound, ProblemNotFound, "unknown "+what, fmt.Sprintf("%s %q is not configured", what, name))
+	return notRunProblem(http.StatusNotFound, ProblemNotFound, "unknown "+what, fmt.Sprintf("%s %q is not configured", what, name))
 }
 
 // readBody reads a bounded JSON document within the time of the request.
@@ -126,11 +126,11 @@
 	case errors.As(err, &tooLarge):
 		return nil, bodyTooLarge()
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return nil, notRun(http.StatusGatewayTimeout, ProblemDeadline, "deadline expired", "the body did not arrive in time")
+		return nil, notRunProblem(http.StatusGatewayTimeout, ProblemDeadline, "deadline expired", "the body did not arrive in time")
 	case err != nil:
-		return nil, notRun(http.StatusBadRequest, ProblemInvalid, "unreadable body", err.Error())
+		return nil, notRunProblem(http.StatusBadRequest, ProblemInvalid, "unreadable body", err.Error())
 	case !json.Valid(body):
-		return nil, notRun(http.StatusBadRequest, ProblemInvalid, "malformed body", "the body is not a JSON document")
+		return nil, notRunProblem(http.StatusBadRequest, ProblemInvalid, "malformed body", "the body is not a JSON document")
 	}
 	// Without this, the deadline would end the server's watch for the caller's
 	// departure and cancel the request.
@@ -154,6 +154,6 @@
 }
 
 func bodyTooLarge() *Problem {
-	return notRun(http.StatusRequestEntityTooLarge, ProblemInvalid, "body too large",
+	return notRunProblem(http.StatusRequestEntityTooLarge, ProblemInvalid, "body too large",
 		fmt.Sprintf("the body exceeds %d bytes", maxBodyBytes))
 }
--- a/internal/entry/requestmetrics.go
+++ b/internal/entry/requestmetrics.go
@@ -29,7 +29,7 @@
 	scope                             tally.Scope
 	region                            string
 	retries, resumes, hedges, dropped tally.Counter
-	tagged                            sync.Map
+	taggedMetrics                     sync.Map
 	linkCounters                      atomic.Int64
 }
 
@@ -63,56 +63,56 @@
 }
 
 // request counts a finished request.
-func (m *RequestMetrics) request(request *Request, outcome Outcome) {
+func (m *RequestMetrics) countRequest(request *Request, outcome Outcome) {
 	key := requestKey{request.Pipeline.Name, request.Kind.Name, outcome}
-	kept, ok := m.tagged.Load(key)
+	metric, ok := m.taggedMetrics.Load(key)
 	if !ok {
 		tags := map[string]string{"pipeline": key.pipeline, "kind": key.kind, "outcome": string(outcome)}
-		kept, _ = m.tagged.LoadOrStore(key, m.scope.Tagged(tags).Counter("requests"))
+		metric, _ = m.taggedMetrics.LoadOrStore(key, m.scope.Tagged(tags).Counter("requests"))
 	}
-	kept.(tally.Counter).Inc(1)
+	metric.(tally.Counter).Inc(1)
 }
 
 // rejected counts a request that was refused before it had a kind or a body.
-func (m *RequestMetrics) rejected(status int) {
-	kept, ok := m.tagged.Load(status)
+func (m *RequestMetrics) countRejected(status int) {
+	metric, ok := m.taggedMetrics.Load(status)
 	if !ok {
 		tags := map[string]string{"status": strconv.Itoa(status)}
-		kept, _ = m.tagged.LoadOrStore(status, m.scope.Tagged(tags).Counter("rejected_requests"))
+		metric, _ = m.taggedMetrics.LoadOrStore(status, m.scope.Tagged(tags).Counter("rejected_requests"))
 	}
-	kept.(tally.Counter).Inc(1)
+	metric.(tally.Counter).Inc(1)
 }
 
 // stage records the duration of a stage with all its attempts.
-func (m *RequestMetrics) stage(stage *pipeline.Stage, took time.Duration, err error) {
+func (m *RequestMetrics) recordStage(stage *pipeline.Stage, took time.Duration, err error) {
 	key := stageKey{stage.Pool, stage.Name, err != nil}
-	kept, ok := m.tagged.Load(key)
+	metric, ok := m.taggedMetrics.Load(key)
 	if !ok {
 		result := "completed"
 		if key.failed {
 			result = "failed"
 		}
 		tags := map[string]string{"pool": key.pool, "stage": key.stage, "result": result}
-		kept, _ = m.tagged.LoadOrStore(key, m.scope.Tagged(tags).Histogram("stage_seconds", stageBuckets))
+		metric, _ = m.taggedMetrics.LoadOrStore(key, m.scope.Tagged(tags).Histogram("stage_seconds", stageBuckets))
 	}
-	kept.(tally.Histogram).RecordDuration(took)
+	metric.(tally.Histogram).RecordDuration(took)
 }
 
 // moved counts the bytes of a call that crossed the link between regions.
-func (m *RequestMetrics) moved(server backend.Server, stage, organisation string, bytes int64) {
+func (m *RequestMetrics) countLinkBytes(server backend.Server, stage, organisation string, bytes int64) {
 	if server.Region == m.region {
 		return
 	}
 	key := linkKey{stage, organisation}
-	kept, ok := m.tagged.Load(key)
+	metric, ok := m.taggedMetrics.Load(key)
 	if !ok && m.linkCounters.Load() >= maxLinkCounters {
 		key.organisation = otherOrganisations
-		kept, ok = m.tagged.Load(key)
+		metric, ok = m.taggedMetrics.Load(key)
 	}
 	if !ok {
 		m.linkCounters.Add(1)
 		tags := map[string]string{"stage": stage, "organisation": organisation}
-		kept, _ = m.tagged.LoadOrStore(key, m.scope.Tagged(tags).Counter("link_bytes"))
+		metric, _ = m.taggedMetrics.LoadOrStore(key, m.scope.Tagged(tags).Counter("link_bytes"))
 	}
-	kept.(tally.Counter).Inc(bytes)
+	metric.(tally.Counter).Inc(bytes)
 }
--- a/internal/entry/requestmetrics_test.go
+++ b/internal/entry/requestmetrics_test.go
@@ -17,7 +17,7 @@
 	scope := tally.NewTestScope("", nil)
 	m := NewRequestMetrics(scope, "near")
 	for i := range 2 * maxLinkCounters {
-		m.moved(backend.Server{Region: "far"}, "stage", fmt.Sprint("o", i), 3)
+		m.countLinkBytes(backend.Server{Region: "far"}, "stage", fmt.Sprint("o", i), 3)
 	}
 	counters, total := 0, int64(0)
 	for _, counter := range scope.Snapshot().Counters() {
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -14,13 +14,13 @@
 const recordTimeout = 2 * time.Second
 
 // recordedElsewhere is the detail of a repeated key whose answer is not kept.
-const recordedElsewhere = "the request was completed; only the digest of its answer is kept"
+const digestOnlyDetail = "the request was completed; only the digest of its answer is kept"
 
 // serve takes a validated request through admission, claim and execution. The
 // claim is settled before the result is returned.
 func (h *Handler) serve(ctx context.Context, request *Request, emit func([]byte) error) Result {
-	result := h.admitted(ctx, request, emit)
-	h.Executor.Metrics.request(request, result.Outcome)
+	result := h.runWithAdmission(ctx, request, emit)
+	h.Executor.Metrics.countRequest(request, result.Outcome)
 	events.RequestFinished.Log(ctx, h.Executor.Logger,
 		slog.String("organisation", request.Organisation.Name),
 		slog.String("pipeline", request.Pipeline.Name),
@@ -29,9 +29,9 @@
 	return result
 }
 
-func (h *Handler) admitted(ctx context.Context, request *Request, emit func([]byte) error) Result {
+func (h *Handler) runWithAdmission(ctx context.Context, request *Request, emit func([]byte) error) Result {
 	if h.Admission == nil {
-		return h.claimed(ctx, request, emit)
+		return h.runWithClaim(ctx, request, emit)
 	}
 	release, problem := h.Admission.Admit(ctx, request)
 	if problem != nil {
@@ -39,35 +39,35 @@
 	}
 	result := Result{Outcome: OutcomeFailed}
 	defer func() { release(result.Outcome) }()
-	result = h.claimed(ctx, request, emit)
+	result = h.runWithClaim(ctx, request, emit)
 	return result
 }
 
 // claimed claims the key of an at-most-once request and runs it. Without claims
 // such a request is refused, since a repeat of its key could run again.
-func (h *Handler) claimed(ctx context.Context, request *Request, emit func([]byte) error) Result {
+func (h *Handler) runWithClaim(ctx context.Context, request *Request, emit func([]byte) error) Result {
 	if !request.Kind.AtMostOnce() {
-		return h.Executor.Execute(ctx, request, Options{Emit: emit})
+		return h.Executor.Execute(ctx, request, ExecutionOptions{Emit: emit})
 	}
 	if h.Claims == nil {
-		return failedResult(notRun(http.StatusServiceUnavailable, ProblemUnavailable,
+		return failedResult(notRunProblem(http.StatusServiceUnavailable, ProblemUnavailable,
 			"claims are unavailable", "this instance cannot serve at-most-once kinds"))
 	}
-	claim, recorded, problem := h.claim(ctx, request)
+	claim, recorded, problem := h.acquireClaim(ctx, request)
 	switch {
 	case problem != nil:
 		return failedResult(problem)
 	case recorded != nil:
 		return replay(recorded, emit)
 	}
-	result := h.Executor.Execute(ctx, request, Options{Claim: claim, Emit: emit})
+	result := h.Executor.Execute(ctx, request, ExecutionOptions{Claim: claim, Emit: emit})
 	h.settle(ctx, claim, request, result)
 	return result
 }
 
 // claim asks for the claim. It waits for a running attempt with the same key until
 // the deadline of the request.
-func (h *Handler) claim(ctx context.Context, request *Request) (Claim, *RecordedAnswer, *Problem) {
+func (h *Handler) acquireClaim(ctx context.Context, request *Request) (Claim, *RecordedAnswer, *Problem) {
 	ctx, cancel := context.WithTimeout(ctx, request.Deadline.Sub(h.Now()))
 	defer cancel()
 	return h.Claims.Claim(ctx, request)
@@ -108,7 +108,7 @@
 		Detail: "the outcome of the earlier request is recorded", Outcome: recorded.Outcome, SHA256: recorded.SHA256,
 	}
 	if recorded.Outcome == OutcomeCompleted {
-		problem.Status, problem.Detail = http.StatusGone, recordedElsewhere
+		problem.Status, problem.Detail = http.StatusGone, digestOnlyDetail
 	}
 	return failedResult(problem)
 }
--- a/internal/entry/servers.go
+++ b/internal/entry/servers.go
@@ -31,10 +31,10 @@
 }
 
 // NewServers returns an instance's view of the backend servers.
-func NewServers(instance string, location routing.Location, linkSharers int, logger *slog.Logger, now func() time.Time) *Servers {
+func NewServers(instance string, location routing.Location, minLinkInstances int, logger *slog.Logger, now func() time.Time) *Servers {
 	return &Servers{
 		instance: instance, location: location, logger: logger, now: now,
-		link: newLinkBudget(linkSharers), pools: map[string]*serverPool{},
+		link: newLinkBudget(minLinkInstances), pools: map[string]*serverPool{},
 	}
 }
 
@@ -57,7 +57,7 @@
 		switch {
 		case member.State != platform.StateLive:
 		case member.Role == platform.RoleBackend:
-			byPool[member.Pool] = append(byPool[member.Pool], server(member))
+			byPool[member.Pool] = append(byPool[member.Pool], backendServer(member))
 		case member.Region == s.location.Region:
 			instances = append(instances, routing.Instance{ID: member.ID, FailureDomain: member.FailureDomain})
 		}
@@ -94,7 +94,7 @@
 	return max(1, configured.Slots)
 }
 
-func server(member platform.Member) backend.Server {
+func backendServer(member platform.Member) backend.Server {
 	return backend.Server{
 		ID:            member.ID,
 		Address:       member.Address,
@@ -129,7 +129,7 @@
 	}
 }
 
-func (s *Servers) find(pool string) *serverPool {
+func (s *Servers) findPool(pool string) *serverPool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.pools[pool]
@@ -137,30 +137,30 @@
 
 // Pick chooses a server and counts a call in flight there.
 func (s *Servers) Pick(query Query) (PickedServer, bool) {
-	p := s.find(query.Pool)
+	p := s.findPool(query.Pool)
 	if p == nil {
 		return nil, false
 	}
 	now := s.now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	q := p.query(query)
-	q.Link = s.link.room(query.LinkBytes, now)
+	q := p.routingQuery(query)
+	q.Link = s.link.hasCapacity(query.LinkBytes, now)
 	index, ok := p.pool.Pick(now, p.random, q)
 	if !ok {
 		return nil, false
 	}
-	picked := &pickedServer{servers: s, pool: p, index: index, server: p.servers[index], query: query, started: now}
+	call := &inFlightCall{servers: s, pool: p, index: index, server: p.servers[index], query: query, started: now}
 	if !p.pool.Local(index) && !s.link.reserve(query.LinkBytes, now) {
 		return nil, false
 	}
-	picked.remote = !p.pool.Local(index)
+	call.remote = !p.pool.Local(index)
 	p.pool.Started(index, query.Class, now)
-	return picked, true
+	return call, true
 }
 
-func (p *serverPool) query(query Query) routing.Query {
-	q := routing.Query{Class: query.Class, Probe: query.Idempotent, Leave: query.Leave, Remaining: query.Remaining}
+func (p *serverPool) routingQuery(query Query) routing.Query {
+	q := routing.Query{Class: query.Class, Probe: query.Idempotent, Leave: query.CrossRegion, Remaining: query.Remaining}
 	if query.PrefixKey != "" {
 		q.Prefix = xxhash.Sum64String(query.PrefixKey)
 	}
@@ -173,7 +173,7 @@
 }
 
 // pickedServer is a call in flight at a server of a pool.
-type pickedServer struct {
+type inFlightCall struct {
 	servers *Servers
 	pool    *serverPool
 	index   routing.ServerIndex
@@ -183,22 +183,22 @@
 	remote  bool
 }
 
-func (c *pickedServer) Server() backend.Server { return c.server }
+func (c *inFlightCall) Server() backend.Server { return c.server }
 
-func (c *pickedServer) FirstByte() {
+func (c *inFlightCall) FirstByte() {
 	took := c.servers.now().Sub(c.started)
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	c.pool.pool.FirstByte(c.index, c.query.Class, took)
 }
 
-func (c *pickedServer) Done(err error, bytes int64) {
+func (c *inFlightCall) Done(err error, bytes int64) {
 	now := c.servers.now()
 	if c.remote {
 		c.servers.link.settle(c.query, bytes)
 	}
 	c.pool.mu.Lock()
-	result := routing.Result{Outcome: outcomeOf(err), Latency: now.Sub(c.started)}
+	result := routing.Result{Outcome: callOutcome(err), Latency: now.Sub(c.started)}
 	c.pool.pool.Finished(c.index, c.query.Class, result, now)
 	drained := errors.Is(err, backend.ErrDraining) && c.pool.pool.Drain(c.server.ID)
 	c.pool.mu.Unlock()
@@ -209,13 +209,13 @@
 }
 
 // outcomeOf says what the end of a call tells about the server.
-func outcomeOf(err error) routing.Outcome {
+func callOutcome(err error) routing.Outcome {
 	switch {
 	case err == nil:
 		return routing.Answered
 	case errors.Is(err, context.Canceled):
 		return routing.Abandoned
-	case errors.Is(err, errClaimExpired), errors.Is(err, errCallerGone):
+	case errors.Is(err, errClaimExpired), errors.Is(err, errCallerDisconnected):
 		return routing.Refused
 	case errors.Is(err, backend.ErrNotSent) && !errors.Is(err, context.DeadlineExceeded):
 		return routing.Unreachable
--- a/internal/entry/serverviews.go
+++ b/internal/entry/serverstate.go
@@ -10,7 +10,7 @@
 
 // Delay returns how long to wait for an answer before a hedge.
 func (s *Servers) Delay(query Query) (time.Duration, bool) {
-	p := s.find(query.Pool)
+	p := s.findPool(query.Pool)
 	if p == nil {
 		return 0, false
 	}
@@ -21,7 +21,7 @@
 
 // Allow takes one hedge from the budget.
 func (s *Servers) Allow(query Query) bool {
-	p := s.find(query.Pool)
+	p := s.findPool(query.Pool)
 	if p == nil {
 		return false
 	}
@@ -39,13 +39,13 @@
 func (s *Servers) plan(request *Request) routing.Plan {
 	plan := make(routing.Plan, len(request.Pipeline.Stages))
 	for i := range plan {
-		plan[i] = s.times(request.Pipeline.Stages[i].Pool, request.Kind.Class)
+		plan[i] = s.stageTimes(request.Pipeline.Stages[i].Pool, request.Kind.Class)
 	}
 	return plan
 }
 
-func (s *Servers) times(pool string, class pipeline.Class) routing.StageTimes {
-	p := s.find(pool)
+func (s *Servers) stageTimes(pool string, class pipeline.Class) routing.StageTimes {
+	p := s.findPool(pool)
 	if p == nil {
 		return routing.StageTimes{}
 	}
@@ -55,8 +55,8 @@
 }
 
 // share returns this instance's part of the slots of a pool.
-func (s *Servers) share(pool string) float64 {
-	p := s.find(pool)
+func (s *Servers) slotShare(pool string) float64 {
+	p := s.findPool(pool)
 	if p == nil {
 		return 0
 	}
@@ -66,10 +66,10 @@
 }
 
 // remoteRoom reports whether a request may run in another region now.
-func (s *Servers) remoteRoom(pool string, linkBytes int64) bool {
+func (s *Servers) hasRemoteCapacity(pool string, linkBytes int64) bool {
 	now := s.now()
-	p := s.find(pool)
-	if p == nil || !s.link.room(linkBytes, now) {
+	p := s.findPool(pool)
+	if p == nil || !s.link.hasCapacity(linkBytes, now) {
 		return false
 	}
 	p.mu.Lock()
@@ -80,7 +80,7 @@
 // PeerCounts takes the calls that another instance has in flight at the servers
 // of a pool. The slice must not be changed any more.
 func (s *Servers) PeerCounts(instance, pool string, counts []routing.ServerCount) {
-	if p := s.find(pool); p != nil {
+	if p := s.findPool(pool); p != nil {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.pool.PeerCounts(instance, counts, s.now())
@@ -138,7 +138,7 @@
 }
 
 // InDomain returns the servers of a failure domain.
-func (s *Servers) InDomain(failureDomain string) []backend.Server {
+func (s *Servers) InFailureDomain(failureDomain string) []backend.Server {
 	var servers []backend.Server
 	for _, p := range s.snapshot() {
 		p.mu.Lock()
--- a/internal/entry/shutdown_test.go
+++ b/internal/entry/shutdown_test.go
@@ -21,46 +21,46 @@
 )
 
 // stopped is a daemon that was told to stop while one request is running.
-type stopped struct {
+type stoppingDaemon struct {
 	entry   settings.Entry
 	signals chan os.Signal
 	// release lets the running request finish.
 	release chan struct{}
 	answer  chan int
 	result  chan error
-	log     *lockedBuffer
+	log     *syncBuffer
 }
 
 // lockedBuffer is a log that is read while a shutdown that was cut short goes on
 // in the background.
-type lockedBuffer struct {
+type syncBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
 }
 
-func (b *lockedBuffer) Write(data []byte) (int, error) {
+func (b *syncBuffer) Write(data []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.buffer.Write(data)
 }
 
-func (b *lockedBuffer) String() string {
+func (b *syncBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.buffer.String()
 }
 
 // stopWhileRunning runs a daemon, starts a request that blocks and sends a signal.
-func stopWhileRunning(c *qt.C, entry settings.Entry, options ...fx.Option) *stopped {
-	s := &stopped{
+func startAndSignal(c *qt.C, entry settings.Entry, options ...fx.Option) *stoppingDaemon {
+	s := &stoppingDaemon{
 		entry: entry, signals: make(chan os.Signal, 2), release: make(chan struct{}),
-		answer: make(chan int, 1), result: make(chan error, 1), log: &lockedBuffer{},
+		answer: make(chan int, 1), result: make(chan error, 1), log: &syncBuffer{},
 	}
 	called := make(chan struct{}, 2)
 	caller := &fakeCaller{answer: func(context.Context, string, backend.StageRequest) (backend.StageStream, error) {
 		called <- struct{}{}
 		<-s.release
-		return whole(`1`), nil
+		return completeStream(`1`), nil
 	}}
 	options = append(options, fx.Decorate(func() backend.Caller { return caller }))
 	logger := slog.New(slog.NewTextHandler(s.log, nil))
@@ -99,7 +99,7 @@
 	c := qt.New(t)
 	entry := entrySettings(c)
 	var steps []string
-	var s *stopped
+	var s *stoppingDaemon
 	withdrawn := make(chan struct{})
 	addSteps := func(registry *StopSteps) {
 		add := func(phase StopPhase, name string) {
@@ -122,7 +122,7 @@
 			return response.Body.Close()
 		}})
 	}
-	s = stopWhileRunning(c, entry, fx.Invoke(addSteps))
+	s = startAndSignal(c, entry, fx.Invoke(addSteps))
 	<-withdrawn
 	close(s.release)
 	c.Assert(<-s.answer, qt.Equals, http.StatusOK)
@@ -145,7 +145,7 @@
 	} {
 		entry := entrySettings(c)
 		entry.ShutdownDeadlineMS = test.deadlineMS
-		s := stopWhileRunning(c, entry)
+		s := startAndSignal(c, entry)
 		if test.signal {
 			s.signals <- syscall.SIGTERM
 		}
--- a/internal/entry/stagecall.go
+++ b/internal/entry/stagecall.go
@@ -20,9 +20,9 @@
 
 // Errors of a stage that was not sent.
 var (
-	errNoServer     = fmt.Errorf("%w: no backend server is available", backend.ErrNotSent)
-	errClaimExpired = fmt.Errorf("%w: the claim is too old", backend.ErrNotSent)
-	errCallerGone   = fmt.Errorf("%w: the caller went away", backend.ErrNotSent)
+	errNoServer           = fmt.Errorf("%w: no backend server is available", backend.ErrNotSent)
+	errClaimExpired       = fmt.Errorf("%w: the claim is too old", backend.ErrNotSent)
+	errCallerDisconnected = fmt.Errorf("%w: the caller went away", backend.ErrNotSent)
 )
 
 // stageCall runs one stage of an execution on as many servers as needed.
@@ -42,15 +42,15 @@
 
 // run tries servers until one answers or no further attempt is allowed.
 func (c *stageCall) run(ctx context.Context) (json.RawMessage, error) {
-	c.Retries.Request()
-	var last error
+	c.Retries.CountRequest()
+	var lastErr error
 	for attempts := 0; ; {
 		output, err := c.attempt(ctx)
 		if err == nil {
 			return output, nil
 		}
-		if last != nil && errors.Is(err, errNoServer) {
-			return nil, last
+		if lastErr != nil && errors.Is(err, errNoServer) {
+			return nil, lastErr
 		}
 		if !errors.Is(err, backend.ErrDraining) {
 			attempts++
@@ -58,7 +58,7 @@
 		if attempts == maxAttempts || !c.mayRetry(ctx, err) {
 			return nil, err
 		}
-		last = err
+		lastErr = err
 		c.Metrics.retries.Inc(1)
 		events.StageRetried.Log(ctx, c.Logger, slog.String("pipeline", c.request.Pipeline.Name),
 			slog.String("stage", c.stage.Name), slog.Any("error", err))
@@ -72,7 +72,7 @@
 	case ctx.Err() != nil, c.emitted:
 		return false
 	case errors.Is(err, backend.ErrInvalid), errors.Is(err, errNoServer),
-		errors.Is(err, errClaimExpired), errors.Is(err, errCallerGone):
+		errors.Is(err, errClaimExpired), errors.Is(err, errCallerDisconnected):
 		return false
 	case c.stage.Once && !backend.DefinitelyNotRun(err):
 		return false
@@ -95,7 +95,7 @@
 	}
 	if c.emit == nil && query.Idempotent && !c.request.Kind.AtMostOnce() {
 		if delay, ok := c.Hedges.Delay(query); ok {
-			return c.hedged(ctx, picked, delay)
+			return c.sendHedged(ctx, picked, delay)
 		}
 	}
 	return c.send(ctx, picked)
@@ -121,7 +121,7 @@
 		Class:        c.request.Kind.Class,
 		Idempotent:   !c.stage.Once,
 		LinkBytes:    c.request.Kind.Cost.LinkBytes,
-		Leave:        c.request.leave,
+		CrossRegion:  c.request.crossRegion,
 		Remaining:    c.timeout(),
 		Excluded:     c.excluded,
 	}
@@ -157,11 +157,11 @@
 		// still ends it.
 		ctx = context.WithoutCancel(ctx)
 	}
-	a := &answer{call: c, emit: c.emit, whole: c.emit == nil || c.options.Claim != nil}
+	a := &answer{call: c, emit: c.emit, keepAnswer: c.emit == nil || c.options.Claim != nil}
 	err := a.receive(ctx, picked)
 	moved := int64(len(c.input)) + a.bytes
 	picked.Done(err, moved)
-	c.Metrics.moved(picked.Server(), c.stage.Name, c.request.Organisation.Name, moved)
+	c.Metrics.countLinkBytes(picked.Server(), c.stage.Name, c.request.Organisation.Name, moved)
 	if err != nil {
 		return nil, err
 	}
@@ -175,7 +175,7 @@
 		return errClaimExpired
 	}
 	if !c.detach() {
-		return errCallerGone
+		return errCallerDisconnected
 	}
 	return nil
 }
--- a/internal/entry/state.go
+++ b/internal/entry/state.go
@@ -19,14 +19,14 @@
 )
 
 // state provides claims and durable work to an instance with a store.
-var state = fx.Options(
-	fx.Provide(newDirectory, newClaims, newJobs, provideState),
+var stateOptions = fx.Options(
+	fx.Provide(newDirectory, newClaims, newJobs, newClaimsAndJobs),
 	fx.Invoke(runState),
 )
 
 // directory knows the other instances from the platform's list. The list lags,
 // but all instances see the same one, so that they agree on the appenders.
-type directory struct {
+type instanceDirectory struct {
 	entry         settings.Entry
 	configuration ConfigurationSource
 
@@ -34,13 +34,13 @@
 	listed map[string]platform.Member
 }
 
-func newDirectory(entry settings.Entry, configuration ConfigurationSource, feed *ListFeed) *directory {
-	d := &directory{entry: entry, configuration: configuration}
-	feed.Observe(d.update)
+func newDirectory(entry settings.Entry, configuration ConfigurationSource, poller *InstanceListPoller) *instanceDirectory {
+	d := &instanceDirectory{entry: entry, configuration: configuration}
+	poller.Observe(d.update)
 	return d
 }
 
-func (d *directory) update(members []platform.Member) {
+func (d *instanceDirectory) update(members []platform.Member) {
 	listed := map[string]platform.Member{}
 	for _, member := range members {
 		if member.Role == platform.RoleEntry {
@@ -54,7 +54,7 @@
 
 // Appenders implements claims.Directory, in no particular order. A deployment
 // without a store region uses all instances.
-func (d *directory) Appenders() []string {
+func (d *instanceDirectory) Appenders() []string {
 	region := ""
 	if set := d.configuration.Current(); set != nil {
 		region = set.Deployment.StoreRegion
@@ -71,7 +71,7 @@
 }
 
 // Address implements claims.Directory.
-func (d *directory) Address(instance string) (string, bool) {
+func (d *instanceDirectory) Address(instance string) (string, bool) {
 	if instance == d.entry.Instance {
 		return d.entry.PeerAddress, true
 	}
@@ -81,7 +81,7 @@
 	return member.Address, ok
 }
 
-func newClaims(entry settings.Entry, access *StoreAccess, d *directory, client *peer.Client, m *metrics.Metrics, logger *slog.Logger) *claims.Claims {
+func newClaims(entry settings.Entry, access *StoreAccess, d *instanceDirectory, client *peer.Client, m *metrics.Metrics, logger *slog.Logger) *claims.Claims {
 	if access.Store == nil {
 		return nil
 	}
@@ -94,7 +94,7 @@
 }
 
 // jobService is what newJobs combines.
-type jobService struct {
+type jobsParams struct {
 	fx.In
 	Entry         settings.Entry
 	Access        *StoreAccess
@@ -107,7 +107,7 @@
 	Logger        *slog.Logger
 }
 
-func newJobs(s jobService) *jobs.Jobs {
+func newJobs(s jobsParams) *jobs.Jobs {
 	if s.Access.Store == nil {
 		return nil
 	}
@@ -120,7 +120,7 @@
 
 // provideState returns nil interfaces for an instance without a store, which
 // then refuses at-most-once and durable requests.
-func provideState(c *claims.Claims, j *jobs.Jobs) (Claims, Jobs) {
+func newClaimsAndJobs(c *claims.Claims, j *jobs.Jobs) (Claims, Jobs) {
 	if c == nil || j == nil {
 		return nil, nil
 	}
@@ -140,7 +140,7 @@
 
 // JobsReleased implements jobs.Members. The members get the jobs in turn.
 func (p jobPeers) JobsReleased(ctx context.Context, ids []string) {
-	addresses := p.members.others()
+	addresses := p.members.peerAddresses()
 	if len(addresses) == 0 {
 		return
 	}
@@ -151,7 +151,7 @@
 }
 
 // stateService is what runState starts and stops.
-type stateService struct {
+type stateParams struct {
 	fx.In
 	Claims *claims.Claims
 	Jobs   *jobs.Jobs
@@ -160,7 +160,7 @@
 }
 
 // runState serves claims and jobs to the other instances and runs durable work.
-func runState(lc fx.Lifecycle, s stateService) {
+func runState(lc fx.Lifecycle, s stateParams) {
 	if s.Claims == nil || s.Jobs == nil {
 		return
 	}
--- a/internal/entry/statusviews.go
+++ b/internal/entry/statussections.go
@@ -154,7 +154,7 @@
 }
 
 // addStatus registers the sections of the decisions, the limits and the state.
-func addStatus(status *Status, servers *Servers, control *AdmissionControl, access *StoreAccess, c *claims.Claims, j *jobs.Jobs) {
+func addStatusSections(status *Status, servers *Servers, control *AdmissionControl, access *StoreAccess, c *claims.Claims, j *jobs.Jobs) {
 	status.Add("servers", func() any { return servers.status() })
 	status.Add("limits", func() any {
 		return limitsStatus{control.status(), servers.linkStatus(), access.status()}
--- a/internal/entry/statusviews_test.go
+++ b/internal/entry/statussections_test.go
@@ -20,8 +20,8 @@
 	c := qt.New(t)
 	list := &standin.Platform{}
 	list.Put(platform.Member{ID: "e1", Role: platform.RoleBackend, Address: "127.0.0.1:1", Pool: "p", Region: "r", FailureDomain: "a", State: platform.StateLive})
-	entry := controlSettings(c, serve(c, list.Handler()), "a")
-	entry.StoreAddress = serve(c, standin.NewStore().Handler())
+	entry := controlSettings(c, startServer(c, list.Handler()), "a")
+	entry.StoreAddress = startServer(c, standin.NewStore().Handler())
 	var durable *jobs.Jobs
 	startControl(c, entry, fx.Populate(&durable))
 	// The lease is held only by an instance that has, or just had, a job.
