--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -19,9 +19,10 @@
 	ProblemOverload = "/problems/overload"
 )
 
-// AdmissionControl is the Admission of an instance: organisation rates, and one
-// queue per pool. A request waits at the pool of the stage that uses the largest
-// part of its pool, since the other stages follow from it.
+// AdmissionControl implements Admission for an instance: it enforces the rates of
+// organisations and keeps one queue per pool. A request waits in the queue of its
+// bottleneck, the pool of the stage that uses the largest part of its pool's
+// capacity; the limit there also bounds the load of the other stages.
 type AdmissionControl struct {
 	servers *Servers
 	metrics *AdmissionMetrics
@@ -34,19 +35,20 @@
 	lastTicketID uint64
 }
 
-// poolQueue is the queue of one pool with the callers that wait in it.
+// poolQueue is the admission queue of one pool and the callers that wait in it.
 type poolQueue struct {
 	queue   *admission.Queue
 	waiters map[uint64]chan admission.Decision
-	// stretch is the mean duration of whole requests as a multiple of that of
-	// their stage at this pool.
+	// durationRatio is the moving average of a request's total duration divided
+	// by the duration of its stage in this pool.
 	durationRatio float64
 }
 
-// stretchGain is the weight of one request in the mean of poolQueue.stretch.
+// durationRatioGain is the weight of one request in the moving average
+// poolQueue.durationRatio.
 const durationRatioGain = 0.05
 
-// NewAdmissionControl returns an admission control for the pools of servers.
+// NewAdmissionControl returns the admission control for the pools in servers.
 func NewAdmissionControl(servers *Servers, metrics *AdmissionMetrics, logger *slog.Logger, now func() time.Time) *AdmissionControl {
 	return &AdmissionControl{
 		servers: servers, metrics: metrics, logger: logger, now: now,
@@ -54,7 +56,8 @@
 	}
 }
 
-// Admit waits until the request may start, or returns why it never will.
+// Admit implements Admission. It waits until the request may start, or returns
+// the problem with which the request is refused.
 func (a *AdmissionControl) Admit(ctx context.Context, request *Request) (func(Outcome), *Problem) {
 	release, problem := a.admit(ctx, request)
 	if problem != nil {
@@ -100,9 +103,10 @@
 	return a.releaseFunc(q, ticket), nil
 }
 
-// leave sends a request to another region when its own cannot answer in time:
-// while the deadline can still be met there and the link has room. Only
-// pipelines of one stage leave, since each stage of others would cross the link.
+// tryOtherRegion marks a request to run in another region when its own region
+// cannot answer in time, provided that the deadline can still be met there and
+// the link has capacity. Only pipelines of one stage run in another region,
+// because a longer one would cross the link at each stage.
 func (a *AdmissionControl) tryOtherRegion(request *Request, pool string) bool {
 	remaining := request.Deadline.Sub(a.now())
 	feasible := a.servers.plan(request).Feasible(0, remaining-crossRegionLatency)
@@ -113,7 +117,7 @@
 	return true
 }
 
-// linkAllowance is the time that a call to another region takes in addition.
+// crossRegionLatency is the additional time that a call to another region takes.
 const crossRegionLatency = 50 * time.Millisecond
 
 func newTicket(id uint64, request *Request) admission.Ticket {
@@ -127,7 +131,7 @@
 	}
 }
 
-// checkRate takes the request from the organisation's rate.
+// checkRate counts the request against the rate limit of its organisation.
 func (a *AdmissionControl) checkRate(request *Request, now time.Time) *Problem {
 	o := request.Organisation
 	a.mu.Lock()
@@ -139,13 +143,13 @@
 	}
 	problem := notRunProblem(http.StatusTooManyRequests, ProblemRate, "organisation rate exceeded",
 		"the organisation sends more requests than it may")
-	// Callers that were refused together must not come back together.
+	// Random jitter keeps callers that were refused together from retrying together.
 	problem.RetryAfterMS = max(1, int64(float64(retryAfter.Milliseconds())*(1+rand.Float64()/2)))
 	return problem
 }
 
 // bottleneck returns the pool where the request waits, and the duration of the
-// whole request as a multiple of that stage's.
+// whole request divided by that of the stage in this pool.
 func (a *AdmissionControl) bottleneck(request *Request) (pool string, durationRatio float64) {
 	plan := a.servers.plan(request)
 	total, known := plan.Typical()
@@ -163,7 +167,8 @@
 	return request.Pipeline.Stages[busiest].Pool, float64(total) / float64(max(1, plan[busiest].Typical))
 }
 
-// queue returns the queue of a pool.
+// queue returns the queue of a pool and creates it when needed. The caller holds
+// a.mu.
 func (a *AdmissionControl) queue(pool string) *poolQueue {
 	q := a.queues[pool]
 	if q == nil {
@@ -178,8 +183,8 @@
 	return q
 }
 
-// await waits for the decision on a ticket. A caller that goes away takes its
-// ticket out of the queue.
+// await waits for the decision on a ticket. The ticket is removed from the queue
+// when ctx ends first, because the caller disconnected.
 func (a *AdmissionControl) await(ctx context.Context, q *poolQueue, ticket admission.Ticket, decided chan admission.Decision) admission.Decision {
 	select {
 	case decision := <-decided:
@@ -196,7 +201,7 @@
 	return <-decided
 }
 
-// releaser returns the function that ends an admitted request.
+// releaseFunc returns the function that frees the slot of an admitted request.
 func (a *AdmissionControl) releaseFunc(q *poolQueue, ticket admission.Ticket) func(Outcome) {
 	started := a.now()
 	return func(outcome Outcome) {
@@ -208,7 +213,7 @@
 	}
 }
 
-// deliver hands decisions to the callers that wait for them.
+// deliver sends decisions to the callers that wait for them.
 func (q *poolQueue) deliver(decisions []admission.Decision) {
 	for _, decision := range decisions {
 		q.waiters[decision.Ticket] <- decision
@@ -216,7 +221,7 @@
 	}
 }
 
-// Tick adapts the limits and refuses requests that waited too long.
+// Tick adapts the concurrency limits and refuses requests that waited too long.
 func (a *AdmissionControl) Tick() {
 	now := a.now()
 	a.mu.Lock()
@@ -230,21 +235,22 @@
 	}
 }
 
-// Demand returns the requests per second by organisation, for the peers.
+// Demand returns the requests per second that this instance receives from each
+// organisation. It is shared with the other instances.
 func (a *AdmissionControl) Demand() quota.Summary {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.rates.Summary(a.now())
 }
 
-// SetPeers takes the demand of the other instances and failure domains.
+// SetPeers sets the demand that other instances and failure domains reported.
 func (a *AdmissionControl) SetPeers(summaries []quota.Summary) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.rates.SetPeers(summaries)
 }
 
-// refusal turns a decision into the answer for the caller.
+// admissionProblem returns the problem of a request that the queue refused.
 func admissionProblem(decision admission.Decision) *Problem {
 	problem := notRunProblem(http.StatusServiceUnavailable, ProblemOverload, "overloaded", string(decision.Reason))
 	problem.RetryAfterMS = decision.RetryAfter.Milliseconds()
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -13,22 +13,23 @@
 	"github.com/coltsfootdrift/coltsfootdrift/pipeline"
 )
 
-// maxResumes bounds how often one generated stream is continued.
+// maxResumes limits how often one generated stream is resumed.
 const maxResumes = 3
 
-// answer receives the answer of one server, over several attempts when a
-// generated stream breaks.
+// answer receives the answer of one server. It takes several attempts when a
+// generated stream breaks and is resumed.
 type answer struct {
 	call *stageCall
 	emit func([]byte) error
-	// whole is true when the answer is kept.
+	// keepAnswer is true when the answer is also collected in buffer.
 	keepAnswer bool
 	buffer     bytes.Buffer
-	// bytes is the length of the answer so far.
+	// bytes is the number of bytes received so far.
 	bytes int64
 }
 
-// receive calls the server and reads its answer to the end mark.
+// receive calls the server and reads its answer up to the end marker. It resumes
+// a broken stream at the same server.
 func (a *answer) receive(ctx context.Context, picked PickedServer) error {
 	for resumes := 0; ; resumes++ {
 		err := a.sendAttempt(ctx, picked)
@@ -39,7 +40,7 @@
 	}
 }
 
-// mayResume reports whether the same server may continue a broken stream.
+// mayResume reports whether a broken stream may be resumed at the same server.
 func (a *answer) mayResume(ctx context.Context, err error) bool {
 	c := a.call
 	return errors.Is(err, backend.ErrBrokenStream) && a.bytes > 0 &&
@@ -47,7 +48,7 @@
 		!errors.Is(err, context.DeadlineExceeded) && c.Retries.Allow()
 }
 
-// exchange sends one attempt and reads what it answers.
+// sendAttempt sends one attempt and reads its answer.
 func (a *answer) sendAttempt(ctx context.Context, picked PickedServer) error {
 	c := a.call
 	c.countAttempt(1)
@@ -61,7 +62,7 @@
 	}
 	err = a.read(stream, picked)
 	c.countMismatched(err)
-	// The end mark was verified, so that an error of Close loses nothing.
+	// The end marker was verified, so an error from Close cannot mean lost data.
 	_ = stream.Close()
 	return err
 }
@@ -84,8 +85,9 @@
 	}
 }
 
-// add hands a piece on. When the caller has gone but a once call was sent, the
-// rest is read for the record only.
+// addChunk passes a chunk to the caller and to the buffer. When the caller has
+// disconnected but a non-idempotent call was sent, the rest of the answer is read
+// only to be recorded.
 func (a *answer) addChunk(chunk []byte) error {
 	a.bytes += int64(len(chunk))
 	if a.keepAnswer {
@@ -103,8 +105,9 @@
 	return err
 }
 
-// output returns the kept answer as JSON, or nil. Only generated text can be
-// something else than JSON; the other stage types answer a JSON value.
+// output returns the collected answer as JSON, or nil when it was not collected.
+// Only generated text may be no JSON; the other stage types answer with a JSON
+// value.
 func (a *answer) output() json.RawMessage {
 	switch {
 	case !a.keepAnswer:
@@ -116,8 +119,9 @@
 	}
 }
 
-// asJSON returns generated text as a JSON document: data itself when it is one,
-// unless it is a JSON string, and otherwise a JSON string of it. asText reverses it.
+// asJSON encodes generated text as a JSON document. Data that is a JSON document
+// other than a string is returned unchanged; all other data becomes a JSON string.
+// asText reverses it.
 func asJSON(data []byte) json.RawMessage {
 	if json.Valid(data) && !isJSONString(data) {
 		return data
@@ -129,8 +133,8 @@
 	return text
 }
 
-// asText returns an answer as it is streamed: the text of a JSON string, and any
-// other document itself.
+// asText returns an answer in the form in which it is streamed: the decoded text
+// of a JSON string, or any other JSON document unchanged.
 func asText(answer json.RawMessage) []byte {
 	var text string
 	if isJSONString(answer) && json.Unmarshal(answer, &text) == nil {
@@ -143,7 +147,8 @@
 	return bytes.HasPrefix(bytes.TrimLeft(data, " \t\r\n"), []byte(`"`))
 }
 
-// countAttempt records that an attempt may have run (1), or did not (-1).
+// countAttempt adds n to the number of attempts that may have run: 1 before an
+// attempt is sent, -1 when it certainly did not run.
 func (c *stageCall) countAttempt(n int32) {
 	c.maybeRan.Add(n)
 	if c.stage.Once {
@@ -151,7 +156,8 @@
 	}
 }
 
-// countCrossed counts an answer that belongs to another attempt.
+// countMismatched counts an answer that was dropped because it belongs to another
+// attempt.
 func (c *stageCall) countMismatched(err error) {
 	if errors.Is(err, backend.ErrCrossedAnswer) {
 		c.Metrics.dropped.Inc(1)
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -11,19 +11,21 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/claims"
 )
 
-// releaseRetryAfter is when a caller may come back whose key is about to be freed.
+// releaseRetryAfter is the Retry-After delay for a caller whose key is about to be
+// freed.
 const releaseRetryAfter = time.Second
 
-// storeRetryAfter is when a caller may come back while the store is down. It is
-// the longest backoff after an outage.
+// storeRetryAfter is the Retry-After delay while the store is down. It equals the
+// longest backoff after an outage.
 const storeRetryAfter = 5 * time.Second
 
-// StoreClaims are Claims that are kept in the store.
+// StoreClaims implements Claims with records in the store.
 type StoreClaims struct {
 	Claims *claims.Claims
 }
 
-// Claim implements Claims. It waits for a running attempt until the deadline.
+// Claim implements Claims. It waits for a running attempt with the same key until
+// ctx ends.
 func (s StoreClaims) Claim(ctx context.Context, request *Request) (Claim, *RecordedAnswer, *Problem) {
 	reply := s.Claims.Claim(ctx, claims.Request{
 		ID:        claim.NewID(request.Organisation.Name, request.Pipeline.Name, request.Kind.Name, request.Key),
@@ -40,8 +42,8 @@
 	}
 }
 
-// claimRetention outlasts the request itself, so that a key does not expire while
-// its attempt runs.
+// claimRetention returns how long a claim is kept. It is at least the longest
+// duration of the request, so that a key does not expire while its attempt runs.
 func claimRetention(request *Request) time.Duration {
 	return max(request.Kind.Retention(), request.Kind.MaxWait()+claims.GrantLife)
 }
@@ -54,7 +56,8 @@
 	return recorded
 }
 
-// claimRefusal is the answer to a caller whose key is neither granted nor recorded.
+// claimProblem returns the problem for a caller whose key was not granted and has
+// no recorded answer.
 func claimProblem(reason claims.Refusal) *Problem {
 	switch reason {
 	case claims.RefusedBody:
@@ -82,13 +85,15 @@
 	}
 }
 
+// claimUnavailable returns the problem of a request whose key cannot be claimed
+// now; the caller may retry after the given time.
 func claimUnavailable(detail string, after time.Duration) *Problem {
 	problem := notRunProblem(http.StatusServiceUnavailable, ProblemUnavailable, "keys cannot be claimed now", detail)
 	problem.RetryAfterMS = after.Milliseconds()
 	return problem
 }
 
-// storeClaim is a granted claim.
+// storeClaim implements Claim with a grant from the store.
 type storeClaim struct {
 	grant *claims.Grant
 }
--- a/internal/entry/configuration.go
+++ b/internal/entry/configuration.go
@@ -19,11 +19,11 @@
 	"github.com/coltsfootdrift/coltsfootdrift/quota"
 )
 
-// firstWait is how long the start waits for a configuration. Without one the
-// daemon still starts, and is not ready.
+// firstConfigurationTimeout limits how long startup waits for a configuration.
+// Without one the daemon still starts, but is not ready.
 const firstConfigurationTimeout = time.Second
 
-// control provides configuration, membership and the status.
+// controlOptions provides configuration, membership and the status page.
 var controlOptions = fx.Options(
 	fx.Provide(
 		func() *Status { return &Status{} },
@@ -38,7 +38,8 @@
 	fx.Invoke(servePeers, runGossip, runLoader),
 )
 
-// StoreAccess is the way to the store within this instance's share of its rate.
+// StoreAccess is the client of the store. It is limited to this instance's share
+// of the store's rate.
 type StoreAccess struct {
 	// Store is nil for an instance without a store.
 	Store  store.Store
@@ -54,7 +55,8 @@
 	return &StoreAccess{Store: budgeted, budget: budgeted}
 }
 
-// setInstances sets the number of live instances that share the store's rate.
+// setInstances sets the number of live instances among which the store's rate is
+// divided.
 func (a *StoreAccess) setInstances(n int) {
 	if a.budget != nil {
 		a.budget.SetInstances(n)
@@ -73,13 +75,14 @@
 
 // configurationStatus is the section "configuration" of the status.
 type configurationStatus struct {
-	// Revision is 0 for the pipeline files of the settings.
+	// Revision is 0 for a configuration read from the pipeline files that the
+	// settings name.
 	Revision int64 `json:"revision"`
 	InForce  bool  `json:"in_force"`
 	Watching bool  `json:"watching"`
 }
 
-// runLoader keeps the configuration in force and serves it to peers.
+// runLoader keeps the configuration up to date and serves it to peers.
 func runLoader(lc fx.Lifecycle, loader *configuration.Loader, members *Members, server *peer.Server, access *StoreAccess, status *Status) {
 	server.HandleConfiguration(loader)
 	status.Add("configuration", func() any {
@@ -111,7 +114,8 @@
 	})
 }
 
-// waitForFirst waits a moment for a configuration.
+// waitForConfiguration waits for the first configuration, for at most
+// firstConfigurationTimeout.
 func waitForConfiguration(ctx context.Context, loader *configuration.Loader) {
 	ctx, cancel := context.WithTimeout(ctx, firstConfigurationTimeout)
 	defer cancel()
--- a/internal/entry/daemon.go
+++ b/internal/entry/daemon.go
@@ -1,5 +1,7 @@
-// Package entry is the daemon of an entry instance: it serves callers, runs
-// their requests through pipelines and combines the cores with their adapters.
+// Package entry implements the daemon of an entry instance. It serves the caller
+// API, runs requests through the stages of their pipelines on backend servers,
+// and connects the protocol packages (admission, claim, membership, quota,
+// routing and others) to the network, the clock and the store.
 package entry
 
 import (
@@ -23,16 +25,15 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/settings"
 )
 
-// listInterval is how often the platform's list is read. The list lags by
-// seconds, so that reading it more often brings nothing.
+// listInterval is the time between two reads of the platform's instance list. The
+// list lags by seconds, so reading it more often would bring no newer data.
 const listInterval = time.Second
 
-// headerTimeout bounds how long a connection may take to send its headers.
+// headerTimeout limits how long a client may take to send its request headers.
 const headerTimeout = 5 * time.Second
 
-// New returns the fx application of an entry instance. Options may provide the
-// parts of policies that are not built in, and add StopSteps and conditions of
-// Readiness.
+// New returns the fx application of an entry instance. The options may provide
+// policies that are not built in, and add StopSteps and readiness conditions.
 func New(entry settings.Entry, logger *slog.Logger, options ...fx.Option) *fx.App {
 	return fx.New(
 		fx.Supply(entry, logger),
@@ -64,8 +65,8 @@
 	)
 }
 
-// executionPolicies are the parts of an execution that other packages fill. A
-// missing one has the default that NewExecutor documents.
+// executorParams are the optional dependencies of the executor. NewExecutor
+// documents the default of a missing one.
 type executorParams struct {
 	fx.In
 	Budgets StageBudgets `optional:"true"`
@@ -85,8 +86,8 @@
 	return e
 }
 
-// requestPolicies are the parts of the handler that other packages fill. A
-// missing one has the default that Handler documents.
+// handlerParams are the optional dependencies of the handler. Handler documents
+// its behaviour when one is missing.
 type handlerParams struct {
 	fx.In
 	Admission Admission `optional:"true"`
@@ -106,12 +107,13 @@
 	return backend.NewHTTPCaller(backend.NewTransport())
 }
 
-// observeServers keeps the backend servers those of the list.
+// updateServersFromList updates the backend servers at each read of the instance
+// list.
 func updateServersFromList(poller *InstanceListPoller, servers *Servers, configuration ConfigurationSource) {
 	poller.Observe(func(members []platform.Member) { servers.Update(members, configuration.Current()) })
 }
 
-// callerService is what serveCallers starts and stops.
+// callerServerParams are the dependencies of serveCallers.
 type callerServerParams struct {
 	fx.In
 	Entry     settings.Entry
@@ -121,9 +123,9 @@
 	Logger    *slog.Logger
 }
 
-// serveCallers listens for callers after everything else has started. Since fx
-// stops hooks in reverse order, its stop hook runs the steps of the shutdown
-// before any other part is stopped.
+// serveCallers listens for callers after all other parts have started. Since fx
+// runs stop hooks in reverse order, its stop hook runs the shutdown steps before
+// any other part stops.
 func serveCallers(lc fx.Lifecycle, s callerServerParams) {
 	server := &http.Server{Handler: s.Handler.Router(), ReadHeaderTimeout: headerTimeout}
 	var listening atomic.Bool
@@ -152,8 +154,8 @@
 	})
 }
 
-// serveAdmin serves health, readiness and metrics. It starts first and stops
-// last, so that readiness can be read during the whole shutdown.
+// serveAdmin serves health, readiness, metrics and the status. It starts first and
+// stops last, so that readiness can be read throughout the shutdown.
 func serveAdmin(lc fx.Lifecycle, entry settings.Entry, m *metrics.Metrics, ready *readiness.Readiness, status *Status, logger *slog.Logger) {
 	router := http.NewServeMux()
 	router.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
--- a/internal/entry/deadline.go
+++ b/internal/entry/deadline.go
@@ -9,11 +9,12 @@
 	"time"
 )
 
-// preferAsync is the preference of RFC 7240 for durable work.
+// preferAsync is the RFC 7240 preference of a caller that fetches the answer of a
+// durable request later.
 const preferAsync = "respond-async"
 
-// parseTimeout reads the deadline from Grpc-Timeout or from the wait preference
-// of RFC 7240, bounded by the longest wait of the kind.
+// parseTimeout reads the timeout from the Grpc-Timeout header or from the wait
+// preference of RFC 7240. The result is at most maxWait, which is also the default.
 func parseTimeout(header http.Header, maxWait time.Duration) (time.Duration, error) {
 	if value := header.Get("Grpc-Timeout"); value != "" {
 		timeout, err := parseGRPCTimeout(value)
@@ -38,8 +39,8 @@
 	return false
 }
 
-// preferences yields the preferences of all Prefer headers with their values,
-// without parameters. Names are in lower case.
+// preferences yields the names, in lower case, and values of the preferences in
+// all Prefer headers. Parameters of preferences are dropped.
 func preferences(header http.Header) iter.Seq2[string, string] {
 	return func(yield func(string, string) bool) {
 		for _, line := range header.Values("Prefer") {
@@ -55,11 +56,11 @@
 	}
 }
 
-// maxTimeoutDigits is the bound that the gRPC protocol sets on the number. It
-// serves for the wait preference as well.
+// maxTimeoutDigits is the limit of the gRPC protocol for the number in
+// Grpc-Timeout. It is applied to the wait preference as well.
 const maxTimeoutDigits = 8
 
-// parseWait reads a whole number of seconds.
+// parseWait parses the wait preference, a whole number of seconds.
 func parseWait(value string) (time.Duration, error) {
 	number, err := parseTimeoutNumber(value)
 	if err != nil {
@@ -68,13 +69,14 @@
 	return time.Duration(number) * time.Second, nil
 }
 
-// grpcUnits are the units of the Grpc-Timeout header.
+// grpcUnits maps the unit suffixes of the Grpc-Timeout header to durations.
 var grpcUnits = map[byte]time.Duration{
 	'H': time.Hour, 'M': time.Minute, 'S': time.Second,
 	'm': time.Millisecond, 'u': time.Microsecond, 'n': time.Nanosecond,
 }
 
-// longestTimeout bounds a deadline; 99,999,999 hours do not fit a Duration.
+// maxTimeout limits the value of Grpc-Timeout, because 99,999,999 hours overflow
+// a time.Duration.
 const maxTimeout = 1000 * time.Hour
 
 func parseGRPCTimeout(value string) (time.Duration, error) {
--- a/internal/entry/eventwriter.go
+++ b/internal/entry/eventwriter.go
@@ -17,15 +17,16 @@
 	EventError = "error"
 )
 
-// StreamEnd is the data of an EventEnd: the mark of a whole answer.
+// StreamEnd is the data of an EventEnd event, which marks a complete answer.
 type StreamEnd struct {
 	Outcome Outcome `json:"outcome"`
 	Bytes   int64   `json:"bytes"`
 	SHA256  string  `json:"sha256"`
 }
 
-// eventWriter writes an answer as server-sent events. Each piece is written
-// before the next one is read, so that a slow caller slows the backend server.
+// eventWriter writes an answer as server-sent events. Each chunk is written and
+// flushed before the next one is read, so that a slow caller applies backpressure
+// to the backend server.
 type eventWriter struct {
 	w          http.ResponseWriter
 	controller *http.ResponseController
@@ -44,8 +45,8 @@
 	return s.writeEvent(EventData, string(data))
 }
 
-// finish writes the last event: the end mark, or the problem. A problem before
-// the first piece is an answer of its own.
+// finish writes the last event: the end of the answer, or the problem. A problem
+// before the first chunk is sent as a problem response instead of an event.
 func (s *eventWriter) finish(result Result) error {
 	switch {
 	case result.Problem == nil:
@@ -59,7 +60,7 @@
 	}
 }
 
-// event writes one event with a JSON document as its data and sends it on.
+// writeEvent writes one event with data encoded as JSON, and flushes it.
 func (s *eventWriter) writeEvent(name string, data any) error {
 	if !s.started {
 		s.started = true
--- a/internal/entry/execute.go
+++ b/internal/entry/execute.go
@@ -28,8 +28,8 @@
 	Now     func() time.Time
 }
 
-// NewExecutor returns an executor with default budgets, no hedges, and neither
-// metrics nor log lines.
+// NewExecutor returns an executor with default stage and retry budgets, without
+// hedging, and with metrics and logs discarded.
 func NewExecutor(caller backend.Caller, picker Picker, now func() time.Time) *Executor {
 	return &Executor{
 		Caller:  caller,
@@ -43,27 +43,28 @@
 	}
 }
 
-// Options are the parts of an execution that differ between callers.
+// ExecutionOptions are the parameters of one execution.
 type ExecutionOptions struct {
-	// Claim is the right to run the request once; nil for an idempotent kind.
+	// Claim grants the right to run the request once; nil for an idempotent kind.
 	Claim Claim
-	// Emit receives the pieces of the last stage's answer as they arrive; nil when
-	// the answer is wanted whole.
+	// Emit receives the chunks of the last stage's answer as they arrive. If it is
+	// nil, the complete answer is returned.
 	Emit func([]byte) error
-	// Results holds stage results of an earlier execution; these stages do not
-	// run again.
+	// Results holds stage results of an earlier execution by stage name; these
+	// stages do not run again.
 	Results map[string]json.RawMessage
 	// StageDone is called with the result of each finished stage; an error ends
-	// the execution. It may be called by several goroutines; nil for none.
+	// the execution. It may be called concurrently, and may be nil.
 	StageDone func(ctx context.Context, stage string, result json.RawMessage) error
 }
 
-// Result is what became of an execution.
+// Result is the result of an execution.
 type Result struct {
 	Outcome Outcome
-	// Answer is the whole answer; nil when it was emitted and no claim records it.
+	// Answer is the complete answer; nil when it was emitted and no claim records
+	// it.
 	Answer json.RawMessage
-	// Problem is the answer for the caller unless the outcome is completed.
+	// Problem is the error answer for the caller; nil when the outcome is completed.
 	Problem *Problem
 }
 
@@ -74,23 +75,24 @@
 	options ExecutionOptions
 	// last is the index of the stage whose result is the answer.
 	last int
-	// maybeRan counts attempts that may have run, onceMaybeRan those of once stages.
+	// maybeRan counts the attempts that may have run, and onceMaybeRan those of
+	// non-idempotent stages (pipeline.Stage.Once) among them.
 	maybeRan, onceMaybeRan atomic.Int32
 
 	// mu guards the fields below.
 	mu sync.Mutex
 	// results holds the output of each finished stage by stage name.
 	results map[string]json.RawMessage
-	// detached is true once the departure of the caller no longer ends the
-	// execution, because a once call was sent.
+	// detached is true once a disconnect of the caller no longer cancels the
+	// execution, because a non-idempotent call was sent.
 	detached bool
-	// stopWatching ends the watch for the caller's departure; it returns false
-	// when the caller has gone.
+	// stopParentCancel keeps a disconnect of the caller from cancelling the
+	// execution. It returns false when the caller has already disconnected.
 	stopParentCancel func() bool
 }
 
-// Execute runs all stages until the deadline. The end of parent cancels the
-// execution unless a once call was sent: its outcome must be recorded.
+// Execute runs all stages until the deadline. When parent ends, the execution is
+// cancelled unless a non-idempotent call was sent, whose outcome must be recorded.
 func (e *Executor) Execute(parent context.Context, request *Request, options ExecutionOptions) Result {
 	order, err := request.Pipeline.Order()
 	if err != nil {
@@ -115,8 +117,8 @@
 	return Result{Outcome: problem.Outcome, Problem: problem}
 }
 
-// runAll runs a chain of stages in this goroutine, and other pipelines with one
-// goroutine per stage.
+// runStages runs a chain of stages in the calling goroutine, and the stages of
+// other pipelines in one goroutine each.
 func (x *execution) runStages(ctx context.Context, order []int) error {
 	if !isChain(x.request.Pipeline, order) {
 		return x.runGraph(ctx, order)
@@ -129,8 +131,8 @@
 	return nil
 }
 
-// isChain reports whether each stage reads the result of the one before it, so
-// that no two stages can run in parallel.
+// isChain reports whether each stage depends on the one before it, so that no two
+// stages can run in parallel.
 func isChain(p *pipeline.Pipeline, order []int) bool {
 	for i := 1; i < len(order); i++ {
 		if !slices.Contains(p.Predecessors(order[i]), p.Stages[order[i-1]].Name) {
@@ -140,7 +142,7 @@
 	return true
 }
 
-// runGraph starts each stage when its predecessors are done.
+// runGraph starts each stage when its predecessors have finished.
 func (x *execution) runGraph(ctx context.Context, order []int) error {
 	group, ctx := errgroup.WithContext(ctx)
 	done := make(map[string]chan struct{}, len(order))
@@ -166,7 +168,7 @@
 	return group.Wait()
 }
 
-// stage runs one stage, or takes its result from an earlier execution.
+// runStage runs one stage, or reuses its result from an earlier execution.
 func (x *execution) runStage(ctx context.Context, index int) error {
 	stage := &x.request.Pipeline.Stages[index]
 	if result, ok := x.options.Results[stage.Name]; ok {
@@ -193,6 +195,8 @@
 	return x.options.StageDone(ctx, stage.Name, result)
 }
 
+// reuseResult takes the result of a stage from an earlier execution. The stage
+// counts as run when the outcome is determined.
 func (x *execution) reuseResult(ctx context.Context, index int, result json.RawMessage) error {
 	x.maybeRan.Add(1)
 	if x.request.Pipeline.Stages[index].Once {
@@ -211,8 +215,9 @@
 	x.results[stage] = result
 }
 
-// input returns the caller's body for a first stage, and an object of the
-// predecessors' results for the others.
+// input returns the input of a stage: the caller's body for a stage without
+// predecessors, otherwise an object with the body under "request" and the results
+// of the predecessors under their names.
 func (x *execution) input(index int) (json.RawMessage, error) {
 	predecessors := x.request.Pipeline.Predecessors(index)
 	if len(predecessors) == 0 {
@@ -228,8 +233,8 @@
 	return json.Marshal(inputs)
 }
 
-// detach makes the execution outlive its caller, and returns false when the
-// caller has already gone.
+// detach lets the execution continue after the caller disconnects. It returns
+// false when the caller has already disconnected.
 func (x *execution) detach() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/entry/gossip.go
+++ b/internal/entry/gossip.go
@@ -17,36 +17,40 @@
 )
 
 const (
-	// drainLifetime is how long a refusal is believed without another one. A server
-	// that comes back has a new incarnation, which ends the marker.
+	// drainMarkerLifetime is how long a drain marker is valid after the last refusal
+	// of the server. A server that restarts has a new incarnation, which ends the
+	// marker earlier.
 	drainMarkerLifetime = 5 * time.Minute
-	// countLifetime is how long the count of a peer is believed. Heartbeats carry
-	// only counts above 0.
+	// countLifetime is how long an in-flight count of a peer is valid. It has to
+	// expire, since heartbeats carry only counts above 0.
 	countLifetime = 5 * time.Second
 )
 
-// stragglerInterval is how often stragglers are exchanged. Each instance makes a
-// slow call every few tens of milliseconds until it knows of a slow server.
+// stragglerInterval is the time between two exchanges of stragglers. It is short
+// because each instance makes a slow call every few tens of milliseconds until it
+// learns of a slow server.
 const stragglerInterval = 100 * time.Millisecond
 
-// stragglerLifetime is how long a straggler marker of a peer is believed. Each
-// peer of a failure domain of 22 is heard every 11 s.
+// stragglerMarkerLifetime is how long a straggler marker from a peer is valid. In
+// a failure domain of 22 instances a heartbeat from each peer arrives every 11 s.
 const stragglerMarkerLifetime = 30 * time.Second
 
-// gossip passes on between membership and the decisions: drain and straggler
-// markers, requests in flight and the demand of organisations.
+// gossip exchanges state with the other instances through membership, for routing
+// and admission control: drain and straggler markers, requests in flight and the
+// demand of organisations.
 type gossip struct {
 	members   *Members
 	servers   *Servers
 	admission *AdmissionControl
 
 	mu sync.Mutex
-	// counts holds what each peer last reported, by server.
+	// counts holds the last reported count by peer and server.
 	counts map[string]map[string]reportedCount
-	// incarnations are those of the instance list, by server.
+	// incarnations holds the incarnation of each server in the instance list.
 	incarnations map[string]int64
 }
 
+// reportedCount is an in-flight count of a peer and the time of its report.
 type reportedCount struct {
 	count routing.ServerCount
 	at    time.Time
@@ -59,7 +63,8 @@
 	}
 }
 
-// runGossip starts the exchange.
+// runGossip exchanges state with the other instances until the daemon stops. It
+// does nothing without a peer address.
 func runGossip(lc fx.Lifecycle, g *gossip, poller *InstanceListPoller) {
 	if g.members.Node == nil {
 		return
@@ -80,7 +85,7 @@
 	})
 }
 
-// observe takes what other instances report.
+// handleOutput applies what other instances reported.
 func (g *gossip) handleOutput(output membership.Output) {
 	switch out := output.(type) {
 	case membership.DrainLearned:
@@ -94,7 +99,8 @@
 	}
 }
 
-// drain applies a marker unless the list already shows a later incarnation.
+// applyDrainMarker drains a server unless the instance list already has a later
+// incarnation of it.
 func (g *gossip) applyDrainMarker(marker membership.DrainMarker) {
 	g.mu.Lock()
 	listed := g.incarnations[marker.Server]
@@ -104,8 +110,8 @@
 	}
 }
 
-// heard merges the counts of a peer, of which a heartbeat may hold a part, and
-// passes them on.
+// mergeCounts merges the counts from a heartbeat, which may hold only a part of
+// the peer's counts, with its earlier ones and passes the result to routing.
 func (g *gossip) mergeCounts(out membership.CountsHeard) {
 	now := time.Now()
 	g.mu.Lock()
@@ -131,19 +137,22 @@
 	}
 }
 
+// removeInstance drops the counts of a removed instance.
 func (g *gossip) removeInstance(instance string) {
 	g.mu.Lock()
 	delete(g.counts, instance)
 	g.mu.Unlock()
 }
 
-// exchange reports to the other instances and takes what they reported.
+// exchange publishes the requests in flight of this instance, and exchanges demand
+// with the other instances.
 func (g *gossip) exchange() {
 	g.reportInFlight()
 	g.exchangeDemand()
 }
 
-// exchangeDemand divides the rates of organisations among the instances.
+// exchangeDemand publishes the demand of this instance and applies that of the
+// others, by which the rates of organisations are divided among the instances.
 func (g *gossip) exchangeDemand() {
 	own := membershipDemand(g.admission.Demand())
 	var peers []quota.Summary
@@ -157,7 +166,8 @@
 	g.admission.SetPeers(peers)
 }
 
-// demandOf drops demand below a thousandth of a request per second.
+// membershipDemand converts demand for heartbeats. Demand below a thousandth of a
+// request per second is dropped.
 func membershipDemand(summary quota.Summary) (demand []membership.Demand) {
 	for _, d := range summary.Largest {
 		if rate := int64(d.PerSecond * milliPerUnit); rate > 0 {
@@ -167,6 +177,7 @@
 	return demand
 }
 
+// quotaSummary converts a demand report of a peer for admission control.
 func quotaSummary(report membership.DemandReport) quota.Summary {
 	summary := quota.Summary{Instances: report.Instances, Incomplete: !report.Complete}
 	for _, d := range report.Demand {
@@ -175,9 +186,11 @@
 	return summary
 }
 
+// milliPerUnit converts requests per second to thousandths of them.
 const milliPerUnit = 1000
 
-// exchangeStragglers passes on the servers that look slow.
+// exchangeStragglers publishes the stragglers that this instance detected and
+// applies those that the peers reported.
 func (g *gossip) exchangeStragglers() {
 	var own []membership.Straggler
 	for _, id := range g.servers.Stragglers() {
@@ -191,7 +204,7 @@
 	g.servers.PeerStragglers(seen)
 }
 
-// report gives the own requests in flight to membership.
+// reportInFlight publishes the requests in flight of this instance.
 func (g *gossip) reportInFlight() {
 	var counts []membership.Count
 	load := 0
@@ -208,9 +221,10 @@
 	})
 }
 
-// listed marks the servers that the list shows as leaving, for instances that
-// can't read it, clears the markers of servers with a new incarnation and applies
-// the others to servers that are new in the list.
+// applyInstanceList updates the drain markers from a new instance list. It marks
+// servers that the list shows as leaving, for instances that cannot read the list,
+// clears the markers of servers with a new incarnation, and applies the remaining
+// markers again, because servers may be new in the list.
 func (g *gossip) applyInstanceList(members []platform.Member) {
 	incarnations := map[string]int64{}
 	for _, member := range members {
@@ -237,18 +251,19 @@
 	}
 }
 
-// drainReporter tells the other instances of servers that refuse because they leave.
+// drainReportingPicker reports servers that refuse calls because they are draining
+// to the other instances.
 type drainReportingPicker struct {
 	Picker
 	members *Members
 }
 
-// newPicker returns the choice of servers, with reports of refusals.
+// newPicker returns the picker of the executor.
 func newPicker(servers *Servers, members *Members) Picker {
 	return drainReportingPicker{servers, members}
 }
 
-// Pick chooses a server and counts a call in flight there.
+// Pick implements Picker.
 func (r drainReportingPicker) Pick(query Query) (PickedServer, bool) {
 	picked, ok := r.Picker.Pick(query)
 	if !ok || r.members.Node == nil {
@@ -257,12 +272,13 @@
 	return drainReportingServer{picked, r.members}, true
 }
 
+// drainReportingServer is a picked server of a drainReportingPicker.
 type drainReportingServer struct {
 	PickedServer
 	members *Members
 }
 
-// Done ends the call and reports a server that leaves.
+// Done ends the call and reports a server that is draining.
 func (p drainReportingServer) Done(err error, bytes int64) {
 	p.PickedServer.Done(err, bytes)
 	if errors.Is(err, backend.ErrDraining) {
--- a/internal/entry/handler.go
+++ b/internal/entry/handler.go
@@ -14,14 +14,15 @@
 // PathRequest is the route of callers' requests.
 const PathRequest = "/v1/organisations/{organisation}/pipelines/{pipeline}/kinds/{kind}"
 
-// writeMargin is the time after its deadline in which a caller may still read
-// the rest of its answer. A caller that reads nothing is cut off then.
+// writeMargin is how long after the deadline of its request a caller may still
+// read the rest of a stream. Then the connection of a caller that does not read is
+// closed.
 const writeMargin = 5 * time.Second
 
-// Jobs accepts durable requests.
+// Jobs accepts durable requests as jobs.
 type Jobs interface {
-	// Submit records a request and returns the path of its status once it is
-	// certain to run.
+	// Submit records a request as a job. It returns the path of the job's status
+	// once the job is certain to run.
 	Submit(ctx context.Context, request *Request) (location string, problem *Problem)
 	// Wait returns the status of a job once it is finished or ctx ends.
 	Wait(ctx context.Context, location string) (JobStatus, *Problem)
@@ -29,8 +30,9 @@
 	Register(router *mux.Router)
 }
 
-// Handler serves callers. Admission, Claims and Jobs may be nil: then every
-// request is admitted, and at-most-once and durable requests are refused.
+// Handler serves the caller API. Admission, Claims and Jobs may be nil: without
+// Admission every request is admitted, without Claims at-most-once requests are
+// refused, and without Jobs durable requests are refused.
 type Handler struct {
 	Configuration ConfigurationSource
 	Executor      *Executor
@@ -60,13 +62,13 @@
 	return h.running.Load()
 }
 
-// Drain makes every further answer close its connection, so that callers open
-// the next one at another instance.
+// Drain makes every further answer close its connection, so that callers connect
+// to another instance for their next request.
 func (h *Handler) Drain() {
 	h.draining.Store(true)
 }
 
-// track counts running requests.
+// trackRequests counts running requests, and closes connections while draining.
 func (h *Handler) trackRequests(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h.running.Add(1)
@@ -106,11 +108,11 @@
 	}
 }
 
-// acceptTimeout bounds how long a caller that does not wait for the answer waits
-// for its acceptance.
+// acceptTimeout limits how long a caller that does not wait for the answer of a
+// durable request waits for the acceptance of the job.
 const acceptTimeout = 10 * time.Second
 
-// serveAsync accepts durable work once it is recorded.
+// serveAsync answers a durable request with 202 Accepted once its job is recorded.
 func (h *Handler) serveAsync(w http.ResponseWriter, r *http.Request, request *Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), min(acceptTimeout, request.Deadline.Sub(h.Now())))
 	defer cancel()
@@ -124,8 +126,8 @@
 	w.WriteHeader(http.StatusAccepted)
 }
 
-// servePlain sends the whole answer with its length, so that a caller notices a
-// cut-off one.
+// servePlain sends the complete answer with its Content-Length, so that a caller
+// detects a truncated one.
 func (h *Handler) servePlain(w http.ResponseWriter, r *http.Request, request *Request) {
 	writePlain(w, h.serve(r.Context(), request, nil))
 }
@@ -141,10 +143,11 @@
 	_, _ = w.Write(result.Answer)
 }
 
-// serveStream sends pieces as they come and marks the end of the whole answer.
+// serveStream sends chunks as they arrive, and an end event after a complete
+// answer.
 func (h *Handler) serveStream(w http.ResponseWriter, r *http.Request, request *Request) {
 	stream := newEventWriter(w)
-	// A writer that knows no deadlines, as in tests, does not block.
+	// A writer that does not support deadlines, as in tests, does not block.
 	_ = stream.controller.SetWriteDeadline(time.Now().Add(request.Deadline.Sub(h.Now()) + writeMargin))
 	result := h.serve(r.Context(), request, stream.writeChunk)
 	if stream.finish(result) == nil {
--- a/internal/entry/hedge.go
+++ b/internal/entry/hedge.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// hedge is a call with a second one that starts when no answer came within a
+// hedge is a call that is backed by a second one when no answer arrived within a
 // delay. The first call runs in the goroutine of the stage, because most calls
-// end before the delay and need no other.
+// end before the delay and need no further goroutine.
 type hedge struct {
 	call *stageCall
-	// won is true once one of the calls has its answer; the other's is dropped.
+	// won is true once one of the calls has an answer; that of the other is dropped.
 	won                       atomic.Bool
 	cancelFirst, cancelSecond context.CancelFunc
 	second                    chan hedgedResult
 }
 
-// hedgedResult is the answer of the second call; both fields are empty when
-// there was no such call.
+// hedgedResult is the result of the second call. It is the zero value when no
+// second call was made.
 type hedgedResult struct {
 	output json.RawMessage
 	won    bool
 }
 
-// hedged calls a server, and a second one when no answer came within the delay.
-// The first answer wins and the other call is cancelled.
+// sendHedged calls a server, and a second one when no answer arrived within the
+// delay. The first answer is used and the other call is cancelled.
 func (c *stageCall) sendHedged(ctx context.Context, first PickedServer, delay time.Duration) (json.RawMessage, error) {
 	h := &hedge{call: c, second: make(chan hedgedResult, 1)}
 	firstCtx, cancelFirst := context.WithCancel(ctx)
@@ -42,7 +42,7 @@
 	return h.resolve(output, err)
 }
 
-// runSecond sends the second call when it is allowed.
+// runSecond sends the second call if the hedge policy allows it.
 func (h *hedge) runSecond(ctx context.Context) {
 	defer h.cancelSecond()
 	picked, ok := h.call.pickHedge(ctx)
@@ -58,7 +58,8 @@
 	h.second <- hedgedResult{output, won}
 }
 
-// win reports whether an answer is the first one, and counts a late one.
+// setWinner marks the hedge as won and reports whether the answer is the first one.
+// A later answer is counted as dropped.
 func (h *hedge) setWinner() bool {
 	if h.won.CompareAndSwap(false, true) {
 		return true
@@ -67,7 +68,8 @@
 	return false
 }
 
-// settle decides between the result of the first call and that of the second.
+// resolve chooses between the result of the first call and that of the second,
+// which it waits for if needed.
 func (h *hedge) resolve(output json.RawMessage, err error) (json.RawMessage, error) {
 	if err == nil && h.setWinner() {
 		h.cancelSecond()
@@ -79,7 +81,8 @@
 	return nil, err
 }
 
-// pickHedge chooses the second server when a hedge is allowed.
+// pickHedge chooses the server of the second call. It returns false when the hedge
+// policy does not allow a hedge or no server is available.
 func (c *stageCall) pickHedge(ctx context.Context) (PickedServer, bool) {
 	query := c.query()
 	if ctx.Err() != nil || !c.Hedges.Allow(query) {
--- a/internal/entry/instancelist.go
+++ b/internal/entry/instancelist.go
@@ -12,8 +12,8 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/platform"
 )
 
-// ListFeed reads the platform's list and passes it on. The last list stays in
-// use while the platform can't be reached.
+// InstanceListPoller reads the platform's instance list and passes it to its
+// observers. The last list stays in use while the platform cannot be reached.
 type InstanceListPoller struct {
 	lister platform.Lister
 	logger *slog.Logger
@@ -26,8 +26,8 @@
 	return &InstanceListPoller{lister: lister, logger: logger}
 }
 
-// Observe registers a function that gets each list. It is called before the
-// feed starts; the list must not be changed.
+// Observe registers a function that receives each list, which it must not change.
+// Observe has to be called before the poller starts.
 func (f *InstanceListPoller) Observe(observer func([]platform.Member)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -48,7 +48,7 @@
 	}
 }
 
-// runListFeed reads the list at the start and then at each interval.
+// runInstanceListPoller reads the list at startup and then every listInterval.
 func runInstanceListPoller(lc fx.Lifecycle, f *InstanceListPoller) {
 	ctx, cancel := context.WithCancel(context.Background())
 	lc.Append(fx.Hook{
--- a/internal/entry/jobs.go
+++ b/internal/entry/jobs.go
@@ -14,7 +14,7 @@
 	"github.com/coltsfootdrift/coltsfootdrift/job"
 )
 
-// PathJobs starts the path of a job's status.
+// PathJobs is the prefix of the path of a job's status; the job's ID follows it.
 const PathJobs = "/v1/jobs/"
 
 // JobStatus is the answer to a status request.
@@ -23,20 +23,23 @@
 	// State is accepted or finished.
 	State      job.State `json:"state"`
 	StagesDone int       `json:"stages_done"`
-	// Outcome, Detail and Answer are those of a finished job.
+	// Outcome, Detail and Answer are set for a finished job.
 	Outcome Outcome         `json:"outcome,omitempty"`
 	Detail  string          `json:"detail,omitempty"`
 	Answer  json.RawMessage `json:"answer,omitempty"`
 }
 
-// StoreJobs accepts durable requests into the store and serves their status.
+// StoreJobs implements Jobs with records in the store, and serves the status of
+// jobs.
 type StoreJobs struct {
 	Jobs *jobs.Jobs
-	// Claims ties a key to its job; nil when keys can't be claimed.
+	// Claims records which job belongs to an idempotency key; nil when keys cannot
+	// be claimed.
 	Claims Claims
 }
 
-// Submit records a request. A repeated key gets the location of its first job.
+// Submit implements Jobs. For a repeated idempotency key it returns the location
+// of the first job.
 func (s StoreJobs) Submit(ctx context.Context, request *Request) (location string, problem *Problem) {
 	if request.Key == "" {
 		return s.submit(ctx, request)
@@ -56,13 +59,14 @@
 	return location, problem
 }
 
-// settle ties the key to the job, or frees it when there is none.
+// settle records the location of the job for the key, or frees the key when no job
+// was created.
 func (s StoreJobs) settle(ctx context.Context, claim Claim, location string, problem *Problem) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), recordTimeout)
 	defer cancel()
 	switch {
 	case problem == nil:
-		// The claim goes on trying by itself when this fails.
+		// When this fails, the claim retries in the background.
 		_ = claim.Finish(ctx, OutcomeCompleted, []byte(location))
 	case problem.Outcome == OutcomeNotRun:
 		_ = claim.Release(ctx)
@@ -71,6 +75,8 @@
 	}
 }
 
+// recordedLocation returns the location of the job of an earlier request with the
+// same key.
 func recordedLocation(recorded *RecordedAnswer) (string, *Problem) {
 	location := string(recorded.Answer)
 	if recorded.Outcome == OutcomeCompleted && strings.HasPrefix(location, PathJobs) {
@@ -101,13 +107,13 @@
 	}
 }
 
-// Wait returns the status of a job once it is finished or ctx ends.
+// Wait implements Jobs.
 func (s StoreJobs) Wait(ctx context.Context, location string) (JobStatus, *Problem) {
 	status, err := s.Jobs.Wait(ctx, strings.TrimPrefix(location, PathJobs))
 	return jobStatus(status), jobProblem(err)
 }
 
-// Register adds the route of job status.
+// Register implements Jobs.
 func (s StoreJobs) Register(router *mux.Router) {
 	router.HandleFunc(PathJobs+"{id}", s.serveStatus).Methods(http.MethodGet)
 }
@@ -129,8 +135,8 @@
 	}
 }
 
-// jobProblem is the answer to a status request that can't be served. Its outcome
-// is unknown, since it says nothing of the job.
+// jobProblem returns the problem of a status request that failed, nil when it
+// succeeded. Its outcome is unknown, since it carries no information about the job.
 func jobProblem(err error) *Problem {
 	switch {
 	case err == nil:
@@ -147,8 +153,9 @@
 	}
 }
 
-// serveDurable records a durable request before it runs and waits for its end.
-// At the deadline the caller is told where to find the answer.
+// serveDurable records a durable request as a job before it runs, and waits until
+// the job is finished. At the deadline the caller gets the location of the job
+// instead of the answer.
 func (h *Handler) serveDurable(w http.ResponseWriter, r *http.Request, request *Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), request.Deadline.Sub(h.Now()))
 	defer cancel()
@@ -166,7 +173,7 @@
 	writeResult(w, request, status.result())
 }
 
-// result is the status of a finished job as the result of an execution.
+// result converts the status of a finished job to the result of an execution.
 func (s JobStatus) result() Result {
 	if s.Outcome == OutcomeCompleted {
 		return Result{Outcome: OutcomeCompleted, Answer: s.Answer}
@@ -188,7 +195,7 @@
 	_ = stream.finish(result)
 }
 
-// JobRunner runs jobs like other requests, with the configuration in force.
+// JobRunner runs jobs like other requests, with the current configuration.
 type JobRunner struct {
 	Configuration ConfigurationSource
 	Executor      *Executor
@@ -234,14 +241,14 @@
 	return result
 }
 
-// jobClaim lets a job's record stand for the claim: it says that a
-// non-idempotent call was sent before the call is.
+// jobClaim implements Claim for jobs, which need no claim of their own: the record
+// of a job states that a non-idempotent call is sent before it is sent.
 type jobClaim struct {
 	allowed func() bool
 }
 
 func (c jobClaim) Usable() bool { return c.allowed() }
 
-// Finish and Release do nothing: the job's record holds the outcome.
+// Finish and Release do nothing, because the outcome is in the job's record.
 func (c jobClaim) Finish(context.Context, Outcome, []byte) error { return nil }
 func (c jobClaim) Release(context.Context) error                 { return nil }
--- a/internal/entry/link.go
+++ b/internal/entry/link.go
@@ -8,10 +8,13 @@
 	"github.com/coltsfootdrift/coltsfootdrift/quota"
 )
 
-// linkBudget guards the instance's part of the link between regions.
+// linkBudget limits the use of the link between regions to this instance's share
+// of its capacity.
 type linkBudget struct {
-	mu           sync.Mutex
-	link         *quota.Link
+	mu   sync.Mutex
+	link *quota.Link
+	// instances is the number of instances that share the link, minInstances its
+	// lower bound.
 	minInstances int
 	instances    int
 }
@@ -20,7 +23,8 @@
 	return &linkBudget{link: quota.NewLink(0), minInstances: minInstances, instances: minInstances}
 }
 
-// update takes the capacity of the link and the listed instances of the region.
+// update sets the capacity of the link and the number of instances that the
+// instance list has in this region.
 func (l *linkBudget) update(set *pipeline.Set, instances int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -30,12 +34,14 @@
 	}
 }
 
-// share is the instance's part of the link, an equal part among the sharers.
+// share returns the fraction of the link that this instance may use, an equal part
+// for each instance.
 func (l *linkBudget) share() float64 {
 	return 1 / float64(l.instances)
 }
 
-// room reports whether a call may use the link; 0 bytes stay in the region.
+// hasCapacity reports whether a call of at most bytes may use the link now. It is
+// false for 0 bytes, which keep a call in the region.
 func (l *linkBudget) hasCapacity(bytes int64, now time.Time) bool {
 	if bytes == 0 {
 		return false
@@ -45,6 +51,8 @@
 	return l.link.Room(bytes, l.share(), now)
 }
 
+// reserve takes bytes from the budget before a call, and returns false when the
+// budget does not suffice.
 func (l *linkBudget) reserve(bytes int64, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -52,6 +60,7 @@
 	return ok
 }
 
+// settle replaces the reservation of a finished call by the bytes that it moved.
 func (l *linkBudget) settle(query Query, bytes int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -59,7 +68,7 @@
 	l.link.Settle(use, query.LinkBytes, bytes)
 }
 
-// LinkUsed returns the bytes that crossed the link by kind, stage and organisation.
+// LinkUsage returns the bytes that crossed the link by kind, stage and organisation.
 func (s *Servers) LinkUsage() map[quota.LinkUse]int64 {
 	s.link.mu.Lock()
 	defer s.link.mu.Unlock()
--- a/internal/entry/loadcontrol.go
+++ b/internal/entry/loadcontrol.go
@@ -20,15 +20,18 @@
 )
 
 const (
-	// admissionInterval is how often limits are adapted and late requests refused.
+	// admissionInterval is the time between two adaptations of the limits, at which
+	// requests that waited too long are refused as well.
 	admissionInterval = 20 * time.Millisecond
-	// loadInterval is the mean time between two load reports that an instance
-	// reads, whatever the number of servers: about 1 KB/s of control traffic.
+	// loadReportInterval is the mean time between two load reports that an instance
+	// reads. It is independent of the number of servers, which keeps the control
+	// traffic at about 1 KB/s.
 	loadReportInterval = 400 * time.Millisecond
 	loadReportTimeout  = time.Second
 )
 
-// AdmissionMetrics reports the decisions under load.
+// AdmissionMetrics counts refused requests and reports the state of the admission
+// queues.
 type AdmissionMetrics struct {
 	scope         tally.Scope
 	taggedMetrics sync.Map
@@ -39,7 +42,7 @@
 	return &AdmissionMetrics{scope: scope}
 }
 
-// refused counts a refused request by the type of its problem.
+// countRefused counts a refused request by the type of its problem.
 func (m *AdmissionMetrics) countRefused(problemType string) {
 	metric, ok := m.taggedMetrics.Load(problemType)
 	if !ok {
@@ -81,7 +84,8 @@
 	return &backend.HTTPLoadReader{Client: &http.Client{Timeout: loadReportTimeout}}
 }
 
-// driveDecisions runs the timers of the decisions until the daemon stops.
+// runAdmissionAndLoadPolling runs the ticks of admission control and reads load
+// reports until the daemon stops.
 func runAdmissionAndLoadPolling(lc fx.Lifecycle, servers *Servers, control *AdmissionControl, reader backend.LoadReader) {
 	ctx, cancel := context.WithCancel(context.Background())
 	lc.Append(fx.Hook{
@@ -98,7 +102,7 @@
 }
 
 // PollLoad reads the load report of one random server at a time until ctx ends.
-// Each instance reads at its own random times.
+// The intervals are random, so that instances do not read in step.
 func (s *Servers) PollLoad(ctx context.Context, reader backend.LoadReader) {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, loadReportInterval/2+rand.N(loadReportInterval))
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -18,8 +18,8 @@
 	"github.com/coltsfootdrift/coltsfootdrift/membership"
 )
 
-// Members is the membership of this instance. Without a peer address, it knows
-// only itself.
+// Members gives access to the membership of this instance. Without a peer address
+// the only member is the instance itself.
 type Members struct {
 	entry settings.Entry
 	// Node is nil without a peer address.
@@ -38,14 +38,16 @@
 	return members, err
 }
 
-// View reads the membership state. It does nothing without a peer address.
+// View calls read with the membership state. It does nothing without a peer
+// address.
 func (m *Members) View(read func(*membership.State)) {
 	if m.Node != nil {
 		m.Node.View(read)
 	}
 }
 
-// Do changes the membership state. It does nothing without a peer address.
+// Do calls change with the membership state and handles the outputs that it
+// returns. It does nothing without a peer address.
 func (m *Members) Do(change func(*membership.State) []membership.Output) {
 	if m.Node != nil {
 		m.Node.Do(change)
@@ -67,7 +69,8 @@
 	return live
 }
 
-// others returns the peer addresses of the other live members of the failure domain.
+// peerAddresses returns the peer addresses of the other members of the failure
+// domain that are alive.
 func (m *Members) peerAddresses() (addresses []string) {
 	m.View(func(s *membership.State) {
 		for _, record := range s.Live() {
@@ -86,7 +89,7 @@
 	return n
 }
 
-// Seeds returns addresses of other instances: those that are known to hold a
+// Seeds returns the addresses of other instances: those that are known to have a
 // configuration, those of the settings and those of the instance list.
 func (m *Members) Seeds() (seeds []string) {
 	m.View(func(s *membership.State) { seeds = append(s.Holders(1), s.Candidates()...) })
@@ -94,31 +97,34 @@
 	return slices.Compact(seeds)
 }
 
-// Highest returns the highest revision that was heard of.
+// Highest returns the highest configuration revision that any instance reported.
 func (m *Members) Highest() (highest int64) {
 	m.View(func(s *membership.State) { highest = s.HighestRevision() })
 	return highest
 }
 
-// Holders returns addresses of instances that have at least a revision.
+// Holders returns the addresses of instances whose configuration has at least the
+// given revision.
 func (m *Members) Holders(revision int64) (holders []string) {
 	m.View(func(s *membership.State) { holders = s.Holders(revision) })
 	return holders
 }
 
-// SetRevision reports the configuration revision in force here.
+// SetRevision publishes the configuration revision that this instance uses.
 func (m *Members) SetRevision(revision int64, fromStore bool) {
 	m.Do(func(s *membership.State) []membership.Output { return s.SetRevision(revision, fromStore) })
 }
 
-// MarkDraining reports a backend server that refused because it leaves.
+// MarkDraining publishes a drain marker for a backend server that refused a call
+// because it is leaving.
 func (m *Members) MarkDraining(server string, incarnation int64, lifetime time.Duration) {
 	m.Do(func(s *membership.State) []membership.Output {
 		return s.MarkDraining(time.Now(), server, incarnation, lifetime)
 	})
 }
 
-// hint passes on the candidates of the settings and of the instance list.
+// addCandidates gives membership the instances that may be contacted: those of the
+// settings and those of the instance list.
 func (m *Members) addCandidates(instanceList []platform.Member) {
 	var candidates []membership.Candidate
 	for _, address := range m.entry.Peers {
@@ -135,7 +141,7 @@
 	})
 }
 
-// peerService is what servePeers starts and stops.
+// peerServerParams are the dependencies of servePeers.
 type peerServerParams struct {
 	fx.In
 	Entry      settings.Entry
@@ -148,13 +154,13 @@
 	Logger     *slog.Logger
 }
 
-// servePeers runs membership and the service for other instances.
+// servePeers runs membership and the API for other instances.
 func servePeers(lc fx.Lifecycle, p peerServerParams) {
 	p.Status.Add("peers", p.Members.status)
 	if p.Members.Node == nil {
 		return
 	}
-	// The settings' peers are known even when the list can't be read.
+	// The peers of the settings are candidates even when the list cannot be read.
 	p.Members.addCandidates(nil)
 	p.ListPoller.Observe(p.Members.addCandidates)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -178,7 +184,7 @@
 	})
 }
 
-// memberStatus is one member as the status shows it.
+// memberStatus describes one member of the failure domain in the status.
 type memberStatus struct {
 	ID       string `json:"id"`
 	Address  string `json:"address"`
@@ -187,7 +193,7 @@
 	Revision int64  `json:"revision"`
 }
 
-// domainStatus is another failure domain as the status shows it.
+// domainStatus describes another failure domain in the status.
 type domainStatus struct {
 	FailureDomain string `json:"failure_domain"`
 	Members       int    `json:"members"`
--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -18,10 +18,10 @@
 	"github.com/coltsfootdrift/coltsfootdrift/rendezvous"
 )
 
-// engineTimeout bounds a call to an engine's control interface.
+// engineTimeout limits a call to the control interface of a model engine.
 const engineTimeout = time.Second
 
-// orderService is what runOrders starts and stops.
+// orderService holds the dependencies of runOrders.
 type orderService struct {
 	fx.In
 	Entry         settings.Entry
@@ -37,12 +37,13 @@
 // ordersStatus is the section "orders" of the status.
 type ordersStatus struct {
 	Leads bool `json:"leads"`
-	// Fencing is the number that this instance's orders carry, 0 without leadership.
+	// Fencing is the fencing token that the orders of this instance carry; 0 while
+	// it is not the leader.
 	Fencing int64 `json:"fencing"`
 }
 
-// runOrders takes part in the election of the failure domain's leader, and sends
-// orders to model engines while this instance leads.
+// runOrders takes part in the leader election of the failure domain, and sends
+// orders to model engines while this instance is the leader.
 func runOrders(lc fx.Lifecycle, s orderService) {
 	if s.Access.Store == nil {
 		return
@@ -82,12 +83,13 @@
 	})
 }
 
-// candidate reports whether this instance should lead when nobody does.
+// candidate reports whether this instance should become the leader when there is
+// none. Rendezvous hashing selects one of the live members.
 func (s orderService) candidate() bool {
 	return rendezvous.Choose("leader", s.Members.Live()) == s.Entry.Instance
 }
 
-// wanted returns the wanted states of the failure domain's model engines.
+// wanted returns the desired states of the model engines in the failure domain.
 func (s orderService) wanted() []order.Wanted {
 	set := s.Configuration.Current()
 	if set == nil {
@@ -96,7 +98,7 @@
 	var wanted []order.Wanted
 	for _, server := range s.Servers.InFailureDomain(s.Entry.FailureDomain) {
 		pool, ok := set.Pool(server.Pool)
-		// Engines of a pool that names no models keep what they have.
+		// Engines of a pool without configured models keep the models they have.
 		if !ok || pool.Type != pipeline.StageGenerate || len(pool.Models) == 0 {
 			continue
 		}
@@ -107,9 +109,10 @@
 	return wanted
 }
 
-// loadRate is this failure domain's part of the weight store's rate. Domains
-// without a leader leave their part unused, which keeps the sum within the rate
-// without any exchange.
+// loadRate returns this failure domain's part of the rate of the weight store, in
+// loads per minute. Each failure domain has an equal part, and those without a
+// leader leave theirs unused. This keeps the sum within the rate without any
+// coordination.
 func (s orderService) loadRate() float64 {
 	set := s.Configuration.Current()
 	if set == nil {
--- a/internal/entry/outcome.go
+++ b/internal/entry/outcome.go
@@ -10,11 +10,12 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/backend"
 )
 
-// refusedRetryAfter is the hint after every server that was asked refused. The
-// instance list, which may bring other servers, is read once a second.
+// refusedRetryAfter is the Retry-After delay when all servers that were tried
+// refused. The instance list, which may contain other servers by then, is read
+// once a second.
 const refusedRetryAfter = time.Second
 
-// stageError names the stage that ended an execution.
+// stageError is the error of the stage that ended an execution.
 type stageError struct {
 	stage string
 	err   error
@@ -23,8 +24,8 @@
 func (e *stageError) Error() string { return fmt.Sprintf("stage %q: %v", e.stage, e.err) }
 func (e *stageError) Unwrap() error { return e.err }
 
-// outcome tells what became of an execution that has no answer. A once call
-// that ended well counts as well: its effect stands.
+// outcome returns the outcome of an execution without an answer. A non-idempotent
+// call that succeeded counts as well, because its effect remains.
 func (x *execution) outcome() Outcome {
 	switch {
 	case x.onceMaybeRan.Load() > 0:
@@ -36,8 +37,8 @@
 	}
 }
 
-// problem turns the error that ended the execution into the answer for the
-// caller. Addresses of servers stay out of it.
+// problem converts the error that ended the execution to the answer for the
+// caller, which must not contain addresses of servers.
 func (x *execution) problem(ctx context.Context, err error) *Problem {
 	p := &Problem{
 		Type:    ProblemStage,
@@ -64,7 +65,7 @@
 	return p
 }
 
-// reason returns the kind of a stage's error without its details.
+// problemDetail returns the category of a stage error, without its details.
 func problemDetail(err error) string {
 	for _, known := range []error{
 		errNoServer, errClaimExpired, errCallerDisconnected, backend.ErrDraining, backend.ErrInvalid,
--- a/internal/entry/policies.go
+++ b/internal/entry/policies.go
@@ -8,36 +8,39 @@
 	"github.com/coltsfootdrift/coltsfootdrift/routing"
 )
 
-// StageBudgets divides what is left of a deadline among stages.
+// StageBudgets divides the remaining time of a request among its stages.
 type StageBudgets interface {
-	// StageBudget returns the time one call of a stage of the request's pipeline may
-	// take, given what is left of the deadline.
+	// StageBudget returns how long one call of a stage may take when remaining is
+	// the time left until the deadline. stage is an index into the stages of the
+	// request's pipeline.
 	StageBudget(request *Request, stage int, remaining time.Duration) time.Duration
 }
 
-// Hedges decides on second calls for idempotent requests.
+// HedgePolicy decides on hedges, the second calls of idempotent requests.
 type HedgePolicy interface {
 	// Delay returns how long to wait for an answer before a hedge, or false when
 	// the call is not hedged.
 	Delay(query Query) (time.Duration, bool)
-	// Allow takes one hedge from the budget. It is asked after the delay.
+	// Allow takes one hedge from the budget, and returns false when the budget is
+	// used up. It is called after the delay.
 	Allow(query Query) bool
 }
 
-// Retries is the retry budget of the instance.
+// RetryBudget limits the retries of the instance.
 type RetryBudget interface {
-	// Request counts the first attempt of a stage.
+	// CountRequest counts the first attempt of a stage.
 	CountRequest()
-	// Allow takes one retry or resume from the budget.
+	// Allow takes one retry or resume from the budget, and returns false when the
+	// budget is used up.
 	Allow() bool
 }
 
-// generateWeight is the default share of a generate stage relative to another
-// stage, since generation takes most of a request's time.
+// generateWeight is the weight of a generate stage in weightedBudgets, where other
+// stages have the weight 1, since generation takes most of a request's time.
 const generateWeight = 4
 
-// weightedBudgets is the default of StageBudgets: shares by stage type among
-// this stage and those after it in the file.
+// weightedBudgets is the default of StageBudgets. It divides the remaining time by
+// weight among a stage and those after it in the pipeline file.
 type weightedBudgets struct{}
 
 func (weightedBudgets) StageBudget(request *Request, stage int, remaining time.Duration) time.Duration {
@@ -45,7 +48,7 @@
 	for _, later := range request.Pipeline.Stages[stage:] {
 		total += stageWeight(later)
 	}
-	// Dividing first cannot overflow.
+	// Dividing before multiplying avoids an overflow.
 	return remaining / total * stageWeight(request.Pipeline.Stages[stage])
 }
 
@@ -56,13 +59,14 @@
 	return 1
 }
 
-// noHedges is the default of Hedges.
+// neverHedge is the default HedgePolicy.
 type neverHedge struct{}
 
 func (neverHedge) Delay(Query) (time.Duration, bool) { return 0, false }
 func (neverHedge) Allow(Query) bool                  { return false }
 
-// lockedRetries guards a retry budget by a mutex and gives it the time.
+// lockedRetryBudget makes a routing.RetryBudget safe for concurrent use, and passes
+// it the current time.
 type lockedRetryBudget struct {
 	mu     sync.Mutex
 	budget *routing.RetryBudget
--- a/internal/entry/problem.go
+++ b/internal/entry/problem.go
@@ -8,12 +8,13 @@
 	"time"
 )
 
-// Outcome says what became of a request.
+// Outcome states whether a request was completed, and whether it may have had an
+// effect.
 type Outcome string
 
-// Outcomes.
+// Values of Outcome.
 const (
-	// OutcomeCompleted means that the whole answer was delivered.
+	// OutcomeCompleted means that the complete answer was delivered.
 	OutcomeCompleted Outcome = "completed"
 	// OutcomeNotRun means that no backend server ran any stage of the request.
 	OutcomeNotRun Outcome = "not_run"
@@ -27,14 +28,16 @@
 // HeaderOutcome carries the outcome of an answer that is not streamed.
 const HeaderOutcome = "Coltsfootdrift-Outcome"
 
-// Problem is an error answer to a caller, as problem details (RFC 9457).
+// Problem is an error answer to a caller in the format of problem details
+// (RFC 9457).
 type Problem struct {
 	Type    string  `json:"type"`
 	Title   string  `json:"title"`
 	Status  int     `json:"status"`
 	Detail  string  `json:"detail,omitempty"`
 	Outcome Outcome `json:"outcome"`
-	// RetryAfterMS is when the caller may come back, in milliseconds; 0 for no hint.
+	// RetryAfterMS is the time in milliseconds after which the caller may retry; 0
+	// when there is no hint.
 	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
 	// SHA256 is the digest of a recorded answer in hexadecimal.
 	SHA256 string `json:"sha256,omitempty"`
@@ -54,12 +57,13 @@
 	return p.Title + ": " + p.Detail
 }
 
-// notRun returns the problem of a request that was refused before any stage ran.
+// notRunProblem returns the problem of a request that was refused before any stage
+// ran.
 func notRunProblem(status int, problemType, title, detail string) *Problem {
 	return &Problem{Type: problemType, Title: title, Status: status, Detail: detail, Outcome: OutcomeNotRun}
 }
 
-// write sends the problem as the whole answer.
+// write sends the problem as the HTTP response.
 func (p *Problem) write(w http.ResponseWriter) {
 	w.Header().Set("Content-Type", "application/problem+json")
 	w.Header().Set(HeaderOutcome, string(p.Outcome))
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -15,14 +15,14 @@
 	"github.com/coltsfootdrift/coltsfootdrift/pipeline"
 )
 
-// maxBodyBytes bounds a caller's body.
+// maxBodyBytes limits the body of a request.
 const maxBodyBytes = 8 << 20
 
-// maxKeyBytes bounds an idempotency key. Keys are recorded in the store, whose
-// values are bounded.
+// maxKeyBytes limits an idempotency key. Keys are recorded in the store, which
+// limits the size of values.
 const maxKeyBytes = 255
 
-// Request is a caller's request after validation against the configuration.
+// Request is a request that was validated against the configuration.
 type Request struct {
 	Organisation pipeline.Organisation
 	Pipeline     *pipeline.Pipeline
@@ -31,19 +31,20 @@
 	Body json.RawMessage
 	// Key is the idempotency key; empty for none.
 	Key string
-	// Deadline is when the whole answer must have arrived.
+	// Deadline is the time by which the complete answer must have arrived.
 	Deadline time.Time
-	// Stream is true when the caller wants server-sent events.
+	// Stream is true when the caller accepts server-sent events.
 	Stream bool
 
-	// leave is set by admission control when the own region cannot answer in time.
+	// crossRegion is set by admission control when the request runs in another
+	// region, because its own cannot answer in time.
 	crossRegion bool
-	// Async is true when the caller wants durable work that it fetches later.
+	// Async is true for a durable request whose answer the caller fetches later.
 	Async bool
 }
 
 // parseRequest validates an HTTP request against a configuration. The body is
-// read last, so that a bad header is answered without waiting for it.
+// read last, so that an invalid header is answered without waiting for it.
 func parseRequest(w http.ResponseWriter, r *http.Request, set *pipeline.Set, now time.Time) (*Request, *Problem) {
 	if set == nil {
 		problem := notRunProblem(http.StatusServiceUnavailable, ProblemUnavailable, "no configuration", "this instance holds no configuration yet")
@@ -71,7 +72,7 @@
 	return request, problem
 }
 
-// parseKey reads the idempotency key, which at-most-once kinds need.
+// parseKey reads the idempotency key, which at-most-once kinds require.
 func parseKey(header http.Header, kind pipeline.Kind) (string, *Problem) {
 	keys := header.Values("Idempotency-Key")
 	switch {
@@ -91,7 +92,8 @@
 	}
 }
 
-// lookUp finds the organisation, pipeline and kind that the path names.
+// resolveRequest looks up the organisation, pipeline and kind whose names are in
+// vars, the variables of the request path.
 func resolveRequest(vars map[string]string, set *pipeline.Set) (*Request, *Problem) {
 	organisation, ok := set.Organisation(vars["organisation"])
 	if !ok {
@@ -112,13 +114,13 @@
 	return notRunProblem(http.StatusNotFound, ProblemNotFound, "unknown "+what, fmt.Sprintf("%s %q is not configured", what, name))
 }
 
-// readBody reads a bounded JSON document within the time of the request.
+// readBody reads a JSON document of at most maxBodyBytes within timeout.
 func readBody(w http.ResponseWriter, r *http.Request, timeout time.Duration) (json.RawMessage, *Problem) {
 	if r.ContentLength > maxBodyBytes {
 		return nil, bodyTooLarge()
 	}
 	control := http.NewResponseController(w)
-	// Tests use writers without a deadline.
+	// The writers of tests do not support deadlines.
 	_ = control.SetReadDeadline(time.Now().Add(timeout))
 	body, err := readAll(http.MaxBytesReader(w, r.Body, maxBodyBytes), r.ContentLength)
 	var tooLarge *http.MaxBytesError
@@ -132,18 +134,18 @@
 	case !json.Valid(body):
 		return nil, notRunProblem(http.StatusBadRequest, ProblemInvalid, "malformed body", "the body is not a JSON document")
 	}
-	// Without this, the deadline would end the server's watch for the caller's
-	// departure and cancel the request.
+	// Otherwise the read deadline would end net/http's background read, which
+	// detects that the caller disconnected, and cancel the request.
 	_ = control.SetReadDeadline(time.Time{})
 	return body, nil
 }
 
-// preallocatedBodyBytes bounds the memory that a caller gets by announcing a
-// length without sending it.
+// preallocatedBodyBytes limits the memory that a Content-Length reserves before
+// the body has arrived.
 const preallocatedBodyBytes = 64 << 10
 
-// readAll reads a short body of known length without growing a buffer. An
-// unknown length is -1.
+// readAll reads a body. One whose length is known and short is read without growing
+// a buffer. length is -1 when it is unknown.
 func readAll(body io.Reader, length int64) ([]byte, error) {
 	if length < 0 || length > preallocatedBodyBytes {
 		return io.ReadAll(body)
--- a/internal/entry/requestmetrics.go
+++ b/internal/entry/requestmetrics.go
@@ -12,19 +12,19 @@
 	"github.com/coltsfootdrift/coltsfootdrift/pipeline"
 )
 
-// stageBuckets are the bounds of the stage latency histogram.
+// stageBuckets are the bucket bounds of the stage latency histogram.
 var stageBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 16)
 
-// Bounds of the counters of link bytes. Each takes about 2 KB, so that one for
-// each stage and organisation would exceed an instance's memory for control work.
-// Organisations beyond the bound are counted together.
+// Limits of the link byte counters. Each counter takes about 2 KB, so one for each
+// stage and organisation would exceed an instance's memory for control work.
+// Organisations beyond the limit are counted together.
 const (
 	maxLinkCounters    = 2000
 	otherOrganisations = "other"
 )
 
-// RequestMetrics reports the request path. Tagged metrics are kept, because
-// looking one up in its scope allocates.
+// RequestMetrics reports metrics of requests and their stages. Tagged metrics are
+// cached, because looking one up in its scope allocates.
 type RequestMetrics struct {
 	scope                             tally.Scope
 	region                            string
@@ -33,7 +33,7 @@
 	linkCounters                      atomic.Int64
 }
 
-// Keys of the tagged metrics.
+// Keys of RequestMetrics.taggedMetrics.
 type (
 	requestKey struct {
 		pipeline, kind string
@@ -46,7 +46,7 @@
 	linkKey struct{ stage, organisation string }
 )
 
-// NewRequestMetrics returns metrics of an instance in a region.
+// NewRequestMetrics returns the metrics of an instance in a region.
 func NewRequestMetrics(scope tally.Scope, region string) *RequestMetrics {
 	return &RequestMetrics{
 		scope:   scope,
@@ -62,7 +62,7 @@
 	return NewRequestMetrics(tally.NoopScope, "")
 }
 
-// request counts a finished request.
+// countRequest counts a finished request by its outcome.
 func (m *RequestMetrics) countRequest(request *Request, outcome Outcome) {
 	key := requestKey{request.Pipeline.Name, request.Kind.Name, outcome}
 	metric, ok := m.taggedMetrics.Load(key)
@@ -73,7 +73,8 @@
 	metric.(tally.Counter).Inc(1)
 }
 
-// rejected counts a request that was refused before it had a kind or a body.
+// countRejected counts a request that failed validation by its HTTP status. Such a
+// request may have no kind or body.
 func (m *RequestMetrics) countRejected(status int) {
 	metric, ok := m.taggedMetrics.Load(status)
 	if !ok {
@@ -83,7 +84,7 @@
 	metric.(tally.Counter).Inc(1)
 }
 
-// stage records the duration of a stage with all its attempts.
+// recordStage records the duration of a stage, including all its attempts.
 func (m *RequestMetrics) recordStage(stage *pipeline.Stage, took time.Duration, err error) {
 	key := stageKey{stage.Pool, stage.Name, err != nil}
 	metric, ok := m.taggedMetrics.Load(key)
@@ -98,7 +99,7 @@
 	metric.(tally.Histogram).RecordDuration(took)
 }
 
-// moved counts the bytes of a call that crossed the link between regions.
+// countLinkBytes counts the bytes of a call that crossed the link between regions.
 func (m *RequestMetrics) countLinkBytes(server backend.Server, stage, organisation string, bytes int64) {
 	if server.Region == m.region {
 		return
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -16,15 +16,15 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/settings"
 )
 
-// ErrCutOff reports a shutdown that ended before all requests were finished.
+// ErrCutOff is the error of a shutdown that ended before all requests finished.
 var ErrCutOff = errors.New("shutdown cut off requests")
 
-// startTimeout bounds the start. A daemon that can't bind its addresses or reach
-// its platform by then is restarted by its supervisor.
+// startTimeout limits the startup. A daemon that cannot bind its addresses or reach
+// its platform within it is restarted by its supervisor.
 const startTimeout = fx.DefaultTimeout
 
-// Run runs an entry instance until SIGTERM or SIGINT, or until ctx ends, and
-// then shuts it down. A second signal ends the shutdown at once.
+// Run runs an entry instance until SIGTERM or SIGINT arrives or ctx ends, and then
+// shuts it down. A second signal ends the shutdown at once.
 func Run(ctx context.Context, entry settings.Entry, logger *slog.Logger, options ...fx.Option) error {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// stopApp shuts the daemon down. It returns early, with the number of requests
-// cut off, at the deadline of ctx or a second signal.
+// stopApp shuts the daemon down. At the deadline of ctx or on a second signal it
+// returns early, with an error that states how many requests were cut off.
 func stopApp(ctx context.Context, signals <-chan os.Signal, app *fx.App, handler *Handler, logger *slog.Logger) error {
 	stopped := make(chan error, 1)
 	go func() { stopped <- app.Stop(ctx) }()
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -9,15 +9,15 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/events"
 )
 
-// recordTimeout bounds how long the answer waits for the claim's record. A
-// record that fails leaves the claim in the state claimed.
+// recordTimeout limits how long the answer is delayed until the outcome of a claim
+// is recorded. If recording fails, the claim remains in the state claimed.
 const recordTimeout = 2 * time.Second
 
-// recordedElsewhere is the detail of a repeated key whose answer is not kept.
+// digestOnlyDetail is the detail for a repeated key whose answer is not kept.
 const digestOnlyDetail = "the request was completed; only the digest of its answer is kept"
 
-// serve takes a validated request through admission, claim and execution. The
-// claim is settled before the result is returned.
+// serve runs a validated request: it waits for admission, claims the key if
+// needed, and executes the stages. The claim is settled before serve returns.
 func (h *Handler) serve(ctx context.Context, request *Request, emit func([]byte) error) Result {
 	result := h.runWithAdmission(ctx, request, emit)
 	h.Executor.Metrics.countRequest(request, result.Outcome)
@@ -43,8 +43,8 @@
 	return result
 }
 
-// claimed claims the key of an at-most-once request and runs it. Without claims
-// such a request is refused, since a repeat of its key could run again.
+// runWithClaim claims the key of an at-most-once request and runs it. Without
+// Claims such a request is refused, since a repeat of its key could run again.
 func (h *Handler) runWithClaim(ctx context.Context, request *Request, emit func([]byte) error) Result {
 	if !request.Kind.AtMostOnce() {
 		return h.Executor.Execute(ctx, request, ExecutionOptions{Emit: emit})
@@ -65,8 +65,8 @@
 	return result
 }
 
-// claim asks for the claim. It waits for a running attempt with the same key until
-// the deadline of the request.
+// acquireClaim claims the key of a request. It waits for a running attempt with the
+// same key until the deadline of the request.
 func (h *Handler) acquireClaim(ctx context.Context, request *Request) (Claim, *RecordedAnswer, *Problem) {
 	ctx, cancel := context.WithTimeout(ctx, request.Deadline.Sub(h.Now()))
 	defer cancel()
@@ -74,7 +74,7 @@
 }
 
 // settle records the outcome of a claimed request, or frees its key when no
-// non-idempotent call can have run. It outlives the caller.
+// non-idempotent call can have run. It continues when the caller disconnects.
 func (h *Handler) settle(ctx context.Context, claim Claim, request *Request, result Result) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), recordTimeout)
 	defer cancel()
@@ -98,7 +98,7 @@
 func replay(recorded *RecordedAnswer, emit func([]byte) error) Result {
 	if recorded.Outcome == OutcomeCompleted && recorded.Answer != nil {
 		if emit != nil {
-			// A failed write ends the caller's connection, which it notices itself.
+			// A failed write means that the connection to the caller is broken.
 			_ = emit(asText(recorded.Answer))
 		}
 		return Result{Outcome: OutcomeCompleted, Answer: recorded.Answer}
--- a/internal/entry/servers.go
+++ b/internal/entry/servers.go
@@ -17,8 +17,8 @@
 	"github.com/coltsfootdrift/coltsfootdrift/routing"
 )
 
-// Servers holds the backend servers by pool and chooses among them. It is the
-// Picker, the Hedges and the StageBudgets of the request path.
+// Servers holds the backend servers by pool and chooses among them. It implements
+// Picker, HedgePolicy and StageBudgets.
 type Servers struct {
 	instance string
 	location routing.Location
@@ -30,7 +30,9 @@
 	pools map[string]*serverPool
 }
 
-// NewServers returns an instance's view of the backend servers.
+// NewServers returns the backend servers as seen by an instance. They are empty
+// until the first call of Update. minLinkInstances is the least number of instances
+// among which the link between regions is divided.
 func NewServers(instance string, location routing.Location, minLinkInstances int, logger *slog.Logger, now func() time.Time) *Servers {
 	return &Servers{
 		instance: instance, location: location, logger: logger, now: now,
@@ -38,18 +40,19 @@
 	}
 }
 
-// serverPool is one pool with its lock.
+// serverPool is the routing state of one pool. mu guards all fields.
 type serverPool struct {
 	mu     sync.Mutex
 	pool   *routing.Pool
 	hedger *routing.Hedger
 	random *rand.Rand
-	// servers holds what a call needs to know, by index.
+	// servers holds the servers by their index in pool.
 	servers map[routing.ServerIndex]backend.Server
 }
 
-// Update replaces the servers by those of the instance list. set gives the
-// slots of the pools and the capacity of the link; nil when there is none yet.
+// Update replaces the servers by those of the instance list. set has the slots of
+// the pools and the capacity of the link; it is nil when there is no configuration
+// yet.
 func (s *Servers) Update(members []platform.Member, set *pipeline.Set) {
 	byPool := map[string][]backend.Server{}
 	var instances []routing.Instance
@@ -105,6 +108,7 @@
 	}
 }
 
+// divide sets the instances of the region, among which the servers are divided.
 func (p *serverPool) divide(instance string, instances []routing.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -135,7 +139,7 @@
 	return s.pools[pool]
 }
 
-// Pick chooses a server and counts a call in flight there.
+// Pick implements Picker.
 func (s *Servers) Pick(query Query) (PickedServer, bool) {
 	p := s.findPool(query.Pool)
 	if p == nil {
@@ -172,7 +176,7 @@
 	return q
 }
 
-// pickedServer is a call in flight at a server of a pool.
+// inFlightCall implements PickedServer: a call in flight at a server of a pool.
 type inFlightCall struct {
 	servers *Servers
 	pool    *serverPool
@@ -180,7 +184,8 @@
 	server  backend.Server
 	query   Query
 	started time.Time
-	remote  bool
+	// remote is true for a server in another region.
+	remote bool
 }
 
 func (c *inFlightCall) Server() backend.Server { return c.server }
@@ -208,7 +213,8 @@
 	}
 }
 
-// outcomeOf says what the end of a call tells about the server.
+// callOutcome converts the error of a call to the outcome that routing counts for
+// the server.
 func callOutcome(err error) routing.Outcome {
 	switch {
 	case err == nil:
--- a/internal/entry/serverstate.go
+++ b/internal/entry/serverstate.go
@@ -8,7 +8,7 @@
 	"github.com/coltsfootdrift/coltsfootdrift/routing"
 )
 
-// Delay returns how long to wait for an answer before a hedge.
+// Delay implements HedgePolicy.
 func (s *Servers) Delay(query Query) (time.Duration, bool) {
 	p := s.findPool(query.Pool)
 	if p == nil {
@@ -19,7 +19,7 @@
 	return p.hedger.Delay(query.Class)
 }
 
-// Allow takes one hedge from the budget.
+// Allow implements HedgePolicy.
 func (s *Servers) Allow(query Query) bool {
 	p := s.findPool(query.Pool)
 	if p == nil {
@@ -30,7 +30,7 @@
 	return p.hedger.Take()
 }
 
-// StageBudget returns the time one call of a stage may take.
+// StageBudget implements StageBudgets.
 func (s *Servers) StageBudget(request *Request, stage int, remaining time.Duration) time.Duration {
 	return s.plan(request).StageBudget(stage, remaining)
 }
@@ -54,7 +54,7 @@
 	return p.pool.Times(class)
 }
 
-// share returns this instance's part of the slots of a pool.
+// slotShare returns this instance's share of the slots of a pool, in slots.
 func (s *Servers) slotShare(pool string) float64 {
 	p := s.findPool(pool)
 	if p == nil {
@@ -65,7 +65,8 @@
 	return p.pool.HomeSlots()
 }
 
-// remoteRoom reports whether a request may run in another region now.
+// hasRemoteCapacity reports whether a request may run in another region now, which
+// takes capacity of the link and of the pool there.
 func (s *Servers) hasRemoteCapacity(pool string, linkBytes int64) bool {
 	now := s.now()
 	p := s.findPool(pool)
@@ -77,8 +78,8 @@
 	return p.pool.RemoteRoom(now)
 }
 
-// PeerCounts takes the calls that another instance has in flight at the servers
-// of a pool. The slice must not be changed any more.
+// PeerCounts sets the calls that another instance has in flight at the servers of
+// a pool. The caller must not change the slice afterwards.
 func (s *Servers) PeerCounts(instance, pool string, counts []routing.ServerCount) {
 	if p := s.findPool(pool); p != nil {
 		p.mu.Lock()
@@ -87,7 +88,7 @@
 	}
 }
 
-// Counts returns the calls that this instance has in flight, by pool.
+// Counts returns the calls that this instance has in flight, by pool and server.
 func (s *Servers) Counts() map[string][]routing.ServerCount {
 	counts := map[string][]routing.ServerCount{}
 	for name, p := range s.snapshot() {
@@ -98,7 +99,7 @@
 	return counts
 }
 
-// Drain takes a drain marker from another instance.
+// Drain applies a drain marker that another instance reported.
 func (s *Servers) Drain(id string) {
 	for _, p := range s.snapshot() {
 		p.mu.Lock()
@@ -107,7 +108,7 @@
 	}
 }
 
-// Stragglers returns the servers whose weight this instance has lowered.
+// Stragglers returns the IDs of the servers whose weight this instance has lowered.
 func (s *Servers) Stragglers() (ids []string) {
 	for _, p := range s.snapshot() {
 		p.mu.Lock()
@@ -117,8 +118,8 @@
 	return ids
 }
 
-// PeerStragglers takes the servers that other instances see as stragglers, with
-// the number of these instances.
+// PeerStragglers sets the stragglers that other instances reported: for each server
+// ID the number of instances that did.
 func (s *Servers) PeerStragglers(seen map[string]int) {
 	for _, p := range s.snapshot() {
 		p.mu.Lock()
@@ -127,6 +128,7 @@
 	}
 }
 
+// snapshot returns a copy of the map of pools.
 func (s *Servers) snapshot() map[string]*serverPool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -137,7 +139,7 @@
 	return pools
 }
 
-// InDomain returns the servers of a failure domain.
+// InFailureDomain returns the servers of a failure domain.
 func (s *Servers) InFailureDomain(failureDomain string) []backend.Server {
 	var servers []backend.Server
 	for _, p := range s.snapshot() {
--- a/internal/entry/shutdown.go
+++ b/internal/entry/shutdown.go
@@ -12,33 +12,34 @@
 	"github.com/coltsfootdrift/coltsfootdrift/pipeline"
 )
 
-// StopPhase orders the steps of a shutdown.
+// StopPhase is the phase of a shutdown in which a step runs.
 type StopPhase int
 
 // Phases in the order in which they run.
 const (
-	// StopReadiness withdraws readiness and waits for the load balancer.
+	// StopReadiness withdraws readiness and waits until the load balancer has
+	// noticed.
 	StopReadiness StopPhase = iota
-	// StopCallers closes the listener and finishes running requests.
+	// StopCallers closes the listener and waits for running requests.
 	StopCallers
-	// StopJobs hands over durable jobs.
+	// StopJobs hands jobs over to other instances.
 	StopJobs
-	// StopClaims settles claims.
+	// StopClaims records the outcomes of claims.
 	StopClaims
-	// StopMembership notifies the peers.
+	// StopMembership announces to the peers that the instance leaves.
 	StopMembership
-	// StopLeases revokes leases.
+	// StopLeases revokes the leases of the instance.
 	StopLeases
 )
 
-// StopStep is one part of a shutdown.
+// StopStep is one step of a shutdown.
 type StopStep struct {
 	Phase StopPhase
 	Name  string
 	Stop  func(ctx context.Context) error
 }
 
-// StopSteps is the registry of the parts that a shutdown ends.
+// StopSteps is the registry of shutdown steps.
 type StopSteps struct {
 	mu    sync.Mutex
 	steps []StopStep
@@ -51,8 +52,8 @@
 	s.steps = append(s.steps, step)
 }
 
-// run runs all steps by phase. A step that fails doesn't keep later ones from
-// running.
+// run runs all steps in the order of their phases. A step that fails does not keep
+// later ones from running.
 func (s *StopSteps) run(ctx context.Context, logger *slog.Logger) {
 	s.mu.Lock()
 	steps := slices.Clone(s.steps)
@@ -65,12 +66,12 @@
 	}
 }
 
-// shutdownMargin is added to the longest deadline in force. It covers the drain
-// grace and the steps after the last request.
+// shutdownMargin is added to the longest wait of a request. It covers the drain
+// grace period and the steps after the last request.
 const shutdownMargin = 5 * time.Second
 
-// shutdownDeadline bounds a shutdown so that the longest request that may be
-// running can finish.
+// shutdownDeadline returns the time limit of a shutdown: that of the settings, or
+// one that lets the longest request that may be running finish.
 func shutdownDeadline(entry settings.Entry, set *pipeline.Set) time.Duration {
 	if bound, ok := entry.ShutdownDeadline(); ok {
 		return bound
--- a/internal/entry/stagecall.go
+++ b/internal/entry/stagecall.go
@@ -13,30 +13,30 @@
 	"github.com/coltsfootdrift/coltsfootdrift/pipeline"
 )
 
-// maxAttempts bounds the servers that are tried for one stage. Servers that are
-// leaving do not count, since a whole failure domain may leave at once; each of
-// them is asked once only.
+// maxAttempts limits the servers that are tried for one stage. Draining servers do
+// not count, since a whole failure domain may drain at once; each of them is tried
+// only once.
 const maxAttempts = 4
 
-// Errors of a stage that was not sent.
+// Errors of a call that was not sent.
 var (
 	errNoServer           = fmt.Errorf("%w: no backend server is available", backend.ErrNotSent)
 	errClaimExpired       = fmt.Errorf("%w: the claim is too old", backend.ErrNotSent)
 	errCallerDisconnected = fmt.Errorf("%w: the caller went away", backend.ErrNotSent)
 )
 
-// stageCall runs one stage of an execution on as many servers as needed.
+// stageCall runs one stage of an execution, with retries on other servers.
 type stageCall struct {
 	*execution
 	index int
 	stage *pipeline.Stage
 	input json.RawMessage
-	// emit receives the answer in pieces; nil to keep it.
+	// emit receives the answer in chunks; if it is nil, the answer is collected.
 	emit func([]byte) error
-	// emitted is true once a piece went to the caller. Another server's answer may
-	// differ, so that only the same server can continue.
+	// emitted is true once a chunk was passed to emit. Then only the same server can
+	// resume the stream, because the answer of another server may differ.
 	emitted bool
-	// excluded lists the servers that were tried.
+	// excluded lists the IDs of the servers that were tried.
 	excluded []string
 }
 
@@ -65,8 +65,9 @@
 	}
 }
 
-// mayRetry reports whether another server may be tried after err. A server that
-// is leaving refuses everything without load, so that moving on is free.
+// mayRetry reports whether another server may be tried after err. A retry after
+// the refusal of a draining server takes nothing from the retry budget, because
+// such a refusal costs the server no load.
 func (c *stageCall) mayRetry(ctx context.Context, err error) bool {
 	switch {
 	case ctx.Err() != nil, c.emitted:
@@ -101,7 +102,7 @@
 	return c.send(ctx, picked)
 }
 
-// pick chooses a server and excludes it from further attempts.
+// pick chooses a server and excludes it from later attempts.
 func (c *stageCall) pick(query Query) (PickedServer, bool) {
 	picked, ok := c.Picker.Pick(query)
 	if ok {
@@ -127,8 +128,9 @@
 	}
 }
 
-// prefixKey groups the prompts of a generate stage. Those of one organisation
-// and kind begin with the same instructions.
+// prefixKey returns the key that groups the prompts of a generate stage for prefix
+// caching; it is empty for other stages. Prompts of one organisation and kind begin
+// with the same instructions.
 func (c *stageCall) prefixKey() string {
 	if c.stage.Type != pipeline.StageGenerate {
 		return ""
@@ -136,8 +138,8 @@
 	return c.request.Organisation.Name + "/" + c.request.Pipeline.Name + "/" + c.request.Kind.Name + "/" + c.stage.Name
 }
 
-// timeout returns the time for one call. A once call gets all that is left,
-// because a call that is given up cannot be tried again.
+// timeout returns the time limit of one call. A non-idempotent call gets all the
+// time until the deadline, because it cannot be retried after a timeout.
 func (c *stageCall) timeout() time.Duration {
 	remaining := c.request.Deadline.Sub(c.Now())
 	if c.stage.Once {
@@ -146,15 +148,16 @@
 	return min(remaining, c.Budgets.StageBudget(c.request, c.index, remaining))
 }
 
-// send calls a picked server and ends the call's accounting.
+// send calls a picked server, and reports the result to the picked server and the
+// metrics.
 func (c *stageCall) send(ctx context.Context, picked PickedServer) (json.RawMessage, error) {
 	if c.stage.Once {
 		if err := c.beginOnce(); err != nil {
 			picked.Done(err, 0)
 			return nil, err
 		}
-		// Neither the caller nor another stage cancels a once call; its timeout
-		// still ends it.
+		// Neither a disconnect of the caller nor the failure of another stage cancels
+		// a non-idempotent call; its timeout still ends it.
 		ctx = context.WithoutCancel(ctx)
 	}
 	a := &answer{call: c, emit: c.emit, keepAnswer: c.emit == nil || c.options.Claim != nil}
@@ -168,8 +171,8 @@
 	return a.output(), nil
 }
 
-// beginOnce checks that a once call may still be sent and lets the execution
-// outlive its caller.
+// beginOnce checks that a non-idempotent call may still be sent, and lets the
+// execution continue after the caller disconnects.
 func (c *stageCall) beginOnce() error {
 	if claim := c.options.Claim; claim != nil && !claim.Usable() {
 		return errClaimExpired
@@ -180,7 +183,8 @@
 	return nil
 }
 
-// stageRequest returns a new attempt that continues at an offset of the answer.
+// stageRequest returns the request of a new attempt. The answer begins at offset,
+// which is above 0 for a resumed stream.
 func (c *stageCall) stageRequest(attempt string, offset int64) backend.StageRequest {
 	return backend.StageRequest{
 		Attempt:        attempt,
--- a/internal/entry/state.go
+++ b/internal/entry/state.go
@@ -18,14 +18,15 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/settings"
 )
 
-// state provides claims and durable work to an instance with a store.
+// stateOptions provides claims and jobs to an instance with a store.
 var stateOptions = fx.Options(
 	fx.Provide(newDirectory, newClaims, newJobs, newClaimsAndJobs),
 	fx.Invoke(runState),
 )
 
-// directory knows the other instances from the platform's list. The list lags,
-// but all instances see the same one, so that they agree on the appenders.
+// instanceDirectory implements claims.Directory with the platform's instance list.
+// The list lags, but all instances read the same one, so that they agree on the
+// appenders.
 type instanceDirectory struct {
 	entry         settings.Entry
 	configuration ConfigurationSource
@@ -52,8 +53,8 @@
 	d.listed = listed
 }
 
-// Appenders implements claims.Directory, in no particular order. A deployment
-// without a store region uses all instances.
+// Appenders implements claims.Directory. The IDs are in no particular order. In a
+// deployment without a store region all live instances are appenders.
 func (d *instanceDirectory) Appenders() []string {
 	region := ""
 	if set := d.configuration.Current(); set != nil {
@@ -93,7 +94,7 @@
 	})
 }
 
-// jobService is what newJobs combines.
+// jobsParams are the dependencies of newJobs.
 type jobsParams struct {
 	fx.In
 	Entry         settings.Entry
@@ -118,7 +119,7 @@
 	})
 }
 
-// provideState returns nil interfaces for an instance without a store, which
+// newClaimsAndJobs returns nil interfaces for an instance without a store, which
 // then refuses at-most-once and durable requests.
 func newClaimsAndJobs(c *claims.Claims, j *jobs.Jobs) (Claims, Jobs) {
 	if c == nil || j == nil {
@@ -128,8 +129,8 @@
 	return granted, StoreJobs{Jobs: j, Claims: granted}
 }
 
-// jobPeers offers the jobs of an instance that stops to the other members of its
-// failure domain.
+// jobPeers implements jobs.Members. It offers the jobs of an instance that stops to
+// the other members of its failure domain.
 type jobPeers struct {
 	members *Members
 	client  *peer.Client
@@ -138,19 +139,20 @@
 // Domain implements jobs.Members.
 func (p jobPeers) Domain() []string { return p.members.Live() }
 
-// JobsReleased implements jobs.Members. The members get the jobs in turn.
+// JobsReleased implements jobs.Members. It distributes the jobs among the other
+// members in turn (round robin).
 func (p jobPeers) JobsReleased(ctx context.Context, ids []string) {
 	addresses := p.members.peerAddresses()
 	if len(addresses) == 0 {
 		return
 	}
 	for i, id := range ids {
-		// A job that is not taken is found by a scan.
+		// A job whose hand-over fails is found by a later scan of the store.
 		_, _ = p.client.HandOverJob(ctx, addresses[i%len(addresses)], []byte(id))
 	}
 }
 
-// stateService is what runState starts and stops.
+// stateParams are the dependencies of runState.
 type stateParams struct {
 	fx.In
 	Claims *claims.Claims
@@ -159,7 +161,7 @@
 	Steps  *StopSteps
 }
 
-// runState serves claims and jobs to the other instances and runs durable work.
+// runState serves claims and jobs to the other instances and runs jobs.
 func runState(lc fx.Lifecycle, s stateParams) {
 	if s.Claims == nil || s.Jobs == nil {
 		return
@@ -172,7 +174,7 @@
 	}})
 	s.Steps.Add(StopStep{StopClaims, "claims", func(ctx context.Context) error {
 		if left := s.Claims.Settle(ctx); left > 0 {
-			return fmt.Errorf("%d ends of claims are not recorded", left)
+			return fmt.Errorf("the outcomes of %d claims are not recorded", left)
 		}
 		return nil
 	}})
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -6,18 +6,19 @@
 	"sync"
 )
 
-// PathStatus is the path of the status on the admin address. The answer is an
+// PathStatus is the path of the status on the admin address. The answer is a JSON
 // object with one member per section.
 const PathStatus = "/v1/status"
 
-// Status is what the instance tells about itself. Each part of the daemon
-// registers its section.
+// Status serves the status of the instance. Each part of the daemon registers its
+// own section.
 type Status struct {
 	mu       sync.Mutex
 	sections map[string]func() any
 }
 
-// Add registers a section. Its value is encoded as JSON at each request.
+// Add registers a section. The function is called at each request, and its result
+// is encoded as JSON.
 func (s *Status) Add(name string, section func() any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/entry/statussections.go
+++ b/internal/entry/statussections.go
@@ -9,23 +9,24 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/jobs"
 )
 
-// serverStatus is one backend server as the status shows it.
+// serverStatus describes one backend server in the status.
 type serverStatus struct {
 	ID            string  `json:"id"`
 	Address       string  `json:"address"`
 	FailureDomain string  `json:"failure_domain"`
 	InFlight      int     `json:"in_flight"`
 	PeersInFlight float64 `json:"peers_in_flight"`
-	// Weight is 1 for a server that gets its full part of the calls.
+	// Weight is 1 for a server that gets its full share of the calls, and less for a
+	// straggler.
 	Weight    float64 `json:"weight"`
 	Straggler bool    `json:"straggler"`
-	// Reported is true while other instances see the server as a straggler.
+	// Reported is true while other instances report the server as a straggler.
 	Reported  bool `json:"reported_straggler"`
 	Draining  bool `json:"draining"`
 	SlowStart bool `json:"slow_start"`
 }
 
-// poolStatus is one pool as the status shows it.
+// poolStatus describes one pool in the status.
 type poolStatus struct {
 	Pool    string         `json:"pool"`
 	Servers []serverStatus `json:"servers"`
@@ -62,7 +63,7 @@
 	return list
 }
 
-// queueStatus is the queue of one pool as the status shows it.
+// queueStatus describes the admission queue of one pool in the status.
 type queueStatus struct {
 	Pool    string `json:"pool"`
 	Limit   int    `json:"limit"`
@@ -70,8 +71,8 @@
 	Waiting int    `json:"waiting"`
 }
 
-// organisationStatus is this instance's part of an organisation's rate. Only
-// the largest organisations here and at the other instances are shown.
+// organisationStatus describes this instance's share of an organisation's rate.
+// Only the largest organisations of this and the other instances are shown.
 type organisationStatus struct {
 	Organisation   string  `json:"organisation"`
 	PerSecond      float64 `json:"per_second"`
@@ -79,14 +80,14 @@
 	Share          float64 `json:"share"`
 }
 
-// linkStatus is this instance's part of the link between regions.
+// linkStatus describes this instance's share of the link between regions.
 type linkStatus struct {
 	Share          float64 `json:"share"`
 	BytesPerSecond float64 `json:"bytes_per_second"`
 	UsedBytes      int64   `json:"used_bytes"`
 }
 
-// storeStatus is this instance's part of the store's rate limits.
+// storeStatus describes this instance's share of the store's rate limits.
 type storeStatus struct {
 	Configured      bool    `json:"configured"`
 	ReadsPerSecond  float64 `json:"reads_per_second"`
@@ -94,7 +95,8 @@
 	Outage          bool    `json:"outage"`
 }
 
-// admissionStatus is what admission control adds to the limits.
+// admissionStatus is the part of the section "limits" that admission control
+// provides.
 type admissionStatus struct {
 	Queues []queueStatus `json:"queues"`
 	// Instances is the number of instances that share the organisations' rates.
@@ -104,7 +106,7 @@
 
 // limitsStatus is the section "limits" of the status.
 type limitsStatus struct {
-	admissionStatus             // its members are members of the section
+	admissionStatus             // encoded inline, as members of the section
 	Link            linkStatus  `json:"link"`
 	Store           storeStatus `json:"store"`
 }
@@ -146,14 +148,17 @@
 // stateStatus is the section "state" of the status: claims and jobs.
 type stateStatus struct {
 	ClaimsRunning int `json:"claims_running"`
-	// ClaimsUnsettled have ended, but their end is not recorded yet.
+	// ClaimsUnsettled is the number of ended claims whose outcome is not recorded
+	// yet.
 	ClaimsUnsettled int `json:"claims_unsettled"`
 	JobsRunning     int `json:"jobs_running"`
-	// JobLease is true while this instance may run durable work.
+	// JobLease is true while this instance holds the lease that allows it to run
+	// jobs.
 	JobLease bool `json:"job_lease"`
 }
 
-// addStatus registers the sections of the decisions, the limits and the state.
+// addStatusSections registers the sections "servers", "limits" and "state" of the
+// status.
 func addStatusSections(status *Status, servers *Servers, control *AdmissionControl, access *StoreAccess, c *claims.Claims, j *jobs.Jobs) {
 	status.Add("servers", func() any { return servers.status() })
 	status.Add("limits", func() any {
