--- a/internal/entry/admission_test.go
+++ b/internal/entry/admission_test.go
@@ -18,8 +18,8 @@
 	"github.com/coltsfootdrift/coltsfootdrift/routing"
 )
 
-// Guards against callers that wait forever, run above the limit, or leave their
-// place taken when they go away while they wait.
+// Guards against callers that wait forever or run above the limit, and against
+// tickets that stay in the queue when their callers disconnect while they wait.
 func TestAdmissionKeepsLimitUnderConcurrency(t *testing.T) {
 	c := qt.New(t)
 	set := &pipeline.Set{Deployment: pipeline.Deployment{Pools: []pipeline.Pool{{Name: "shelf", Slots: 3}}}}
@@ -60,8 +60,8 @@
 }
 
 // Guards against requests that are refused by a region above its capacity while
-// the other region and the link have room, and against ones that leave without a
-// budget for the link.
+// the other region and the link have capacity, and against requests that run in
+// another region without a budget for the link.
 func TestRefusedRequestRunsInOtherRegion(t *testing.T) {
 	c := qt.New(t)
 	set := &pipeline.Set{Deployment: pipeline.Deployment{LinkMbits: 30, Pools: []pipeline.Pool{{Name: "shelf", Slots: 1}}}}
--- a/internal/entry/claimwait_test.go
+++ b/internal/entry/claimwait_test.go
@@ -10,7 +10,7 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/claims"
 )
 
-// waitingClaims stands for a key whose holder never answers.
+// waitingClaims implements Claims for a key whose owner never answers.
 type waitingClaims struct{}
 
 func (waitingClaims) Claim(ctx context.Context, _ *Request) (Claim, *RecordedAnswer, *Problem) {
@@ -18,8 +18,8 @@
 	return nil, nil, claimProblem(claims.RefusedWaiting)
 }
 
-// Guards against a repeated key that waits for a paused holder beyond the deadline
-// of its request.
+// Guards against a request with a repeated key that waits beyond its deadline for
+// the owner of the key, which is paused.
 func TestClaimWaitsUntilDeadline(t *testing.T) {
 	c := qt.New(t)
 	h := newTestHandler(&fakeCaller{}, waitingClaims{})
--- a/internal/entry/configuration_test.go
+++ b/internal/entry/configuration_test.go
@@ -29,8 +29,8 @@
 	Peers         peersStatus         `json:"peers"`
 }
 
-// Guards against a daemon whose membership and configuration aren't joined: the
-// second instance can't reach the store and must get the configuration, and
+// Guards against a daemon whose membership and configuration are not connected:
+// the second instance cannot reach the store and must get the configuration, and
 // later changes, from the first one.
 func TestConfigurationReachesInstanceCutOffFromStore(t *testing.T) {
 	c := qt.New(t)
@@ -58,8 +58,8 @@
 	c.Assert(response.StatusCode, qt.Equals, http.StatusOK)
 }
 
-// Guards against a refusal that only the instance knows that got it: the others
-// would send new work to the leaving server.
+// Guards against a draining refusal that is not reported to the other instances,
+// which would then send new work to the draining server.
 func TestDrainRefusalReachesOtherInstances(t *testing.T) {
 	c := qt.New(t)
 	list := &standin.Platform{}
@@ -81,13 +81,13 @@
 	waitForStatus(c, second, func(controlStatus) bool { return !canPick(other, query) })
 	c.Assert(readStatus(c, second).Peers.Draining, qt.DeepEquals, []string{"e1"})
 
-	// The server comes back with a new incarnation.
+	// The server restarts with a new incarnation.
 	list.Put(platform.Member{ID: "e1", Role: platform.RoleBackend, Address: "127.0.0.1:1", Pool: "p", Region: "r",
 		FailureDomain: "a", State: platform.StateLive, Incarnation: 4})
 	waitForStatus(c, second, func(s controlStatus) bool { return len(s.Peers.Draining) == 0 && canPick(other, query) })
 }
 
-// canPick ends the call at once.
+// canPick reports whether picker offers a server. It ends the call at once.
 func canPick(picker Picker, query Query) bool {
 	picked, ok := picker.Pick(query)
 	if ok {
@@ -128,7 +128,8 @@
 	return status
 }
 
-// waitForStatus fails only when the condition never holds.
+// waitForStatus polls the status until the condition is met. It fails the test
+// after 600 attempts, 50 ms apart.
 func waitForStatus(c *qt.C, entry settings.Entry, condition func(controlStatus) bool) {
 	for range 600 {
 		if condition(readStatus(c, entry)) {
--- a/internal/entry/daemon_test.go
+++ b/internal/entry/daemon_test.go
@@ -32,9 +32,9 @@
 	largeAnswerBytes = 1 << 20
 )
 
-// Guards against a streamed answer that arrives cut off, reordered or without
-// its end mark after passing through two stages.
-func TestStreamedAnswerArrivesWhole(t *testing.T) {
+// Guards against a streamed answer that is truncated, reordered or without its end
+// event after passing through two stages.
+func TestStreamedAnswerArrivesComplete(t *testing.T) {
 	c := qt.New(t)
 	address := startEntry(c)
 	url := "http://" + address + "/v1/organisations/acme/pipelines/notes/kinds/note"
@@ -54,9 +54,9 @@
 			c.Assert(json.Unmarshal([]byte(event.Data), &end), qt.IsNil)
 			continue
 		}
-		var piece string
-		c.Assert(json.Unmarshal([]byte(event.Data), &piece), qt.IsNil)
-		answer.WriteString(piece)
+		var chunk string
+		c.Assert(json.Unmarshal([]byte(event.Data), &chunk), qt.IsNil)
+		answer.WriteString(chunk)
 	}
 	c.Assert(end.Outcome, qt.Equals, OutcomeCompleted)
 	c.Assert(end.Bytes, qt.Equals, int64(largeAnswerBytes))
@@ -64,8 +64,8 @@
 	c.Assert(answer.String() == standin.GeneratedText(line, largeAnswerBytes), qt.IsTrue)
 }
 
-// startEntry runs an entry instance with two pools of stand-ins and returns its
-// caller address.
+// startEntry runs an entry instance with two pools of stand-in servers and returns
+// its caller address.
 func startEntry(c *qt.C) string {
 	entry := entrySettings(c)
 	app := New(entry, slog.New(slog.DiscardHandler))
@@ -75,7 +75,8 @@
 	return entry.CallerAddress
 }
 
-// entrySettings serves two pools of stand-ins and returns settings that use them.
+// entrySettings starts two pools of stand-in servers and returns settings that use
+// them.
 func entrySettings(c *qt.C) settings.Entry {
 	encoder := startServer(c, standin.NewBackend(standin.BackendConfig{ID: "e1", Slots: 4}).Handler())
 	engine := startServer(c, standin.NewBackend(standin.BackendConfig{
@@ -101,7 +102,7 @@
 	return server.Listener.Addr().String()
 }
 
-// freePort draws ports that are free for TCP and UDP and outside the range that the
+// freePort returns ports that are free for TCP and UDP and outside the range that the
 // system assigns to outgoing connections, which could take one before the test binds it.
 var freePort = standin.FreePorts()
 
--- a/internal/entry/execute_test.go
+++ b/internal/entry/execute_test.go
@@ -20,8 +20,8 @@
 	"github.com/coltsfootdrift/coltsfootdrift/pipeline"
 )
 
-// Guards against a caller that is told not_run or failed although a
-// non-idempotent call may have run, and against a second such call.
+// Guards against an outcome not_run or failed although a non-idempotent call may
+// have run, and against a second such call.
 func TestOutcomeMatchesCallsThatRan(t *testing.T) {
 	faults := []error{nil, nil, nil, backend.ErrNotSent, backend.ErrRefused, backend.ErrDraining, backend.ErrInvalid, backend.ErrMayHaveRun, backend.ErrBadAnswer}
 	rapid.Check(t, func(t *rapid.T) {
@@ -98,8 +98,8 @@
 	}
 }
 
-// Guards against a hedge whose loser is awaited, delivered or left running until
-// the end of the request, whichever call wins.
+// Guards against a hedged call whose slower attempt is waited for, delivered or
+// left running until the end of the request, whichever of the two is faster.
 func TestHedgeFirstAnswerWins(t *testing.T) {
 	c := qt.New(t)
 	for _, winner := range []string{"s1", "s2"} {
@@ -139,7 +139,8 @@
 	}
 }
 
-// Guards against a hedge of a call that must not run twice or is streamed.
+// Guards against a hedge of a call that must not run twice, or whose answer is
+// streamed.
 func TestOnceAndStreamedCallsAreNotHedged(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
@@ -161,8 +162,8 @@
 	}
 }
 
-// Guards against a resumed stream with a gap, a repeat or an old attempt ID, and
-// against a resume of an at-most-once request.
+// Guards against a resumed stream with a gap, a repeated part or the attempt ID of
+// an earlier attempt, and against the resume of an at-most-once request.
 func TestResumedStreamContinuesAtOffset(t *testing.T) {
 	c := qt.New(t)
 	const text = "0123456789"
@@ -193,8 +194,8 @@
 	c.Assert(caller.servers(), qt.HasLen, 4)
 }
 
-// Guards against independent stages that wait for each other, and a stage that
-// starts before its predecessors are done.
+// Guards against independent stages that wait for each other, and against a stage
+// that starts before its predecessors have finished.
 func TestIndependentStagesRunInParallel(t *testing.T) {
 	c := qt.New(t)
 	meet := make(chan struct{})
@@ -220,8 +221,8 @@
 	c.Assert(string(result.Answer), qt.JSONEquals, map[string]any{"request": map[string]any{}, "left": 1, "right": 1})
 }
 
-// Guards against a once call that is cancelled because an independent stage
-// failed: its outcome would be lost.
+// Guards against a non-idempotent call that is cancelled because an independent
+// stage failed: its outcome would be lost.
 func TestFailedStageDoesNotCancelOnce(t *testing.T) {
 	c := qt.New(t)
 	running := make(chan struct{})
@@ -249,8 +250,8 @@
 	}
 }
 
-// Guards against a departed caller that cancels a once call, and one that does
-// not cancel idempotent work.
+// Guards against a disconnect of the caller that cancels a non-idempotent call, or
+// that does not cancel idempotent calls.
 func TestCallerDisconnect(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
@@ -270,8 +271,8 @@
 			return nil, errors.Join(backend.ErrMayHaveRun, ctx.Err())
 		}}
 		request := newPipelineRequest(stages(test.stages...))
-		gone := func([]byte) error { return errors.New("connection reset") }
-		result := newTestExecutor(caller, 9).Execute(ctx, request, ExecutionOptions{Emit: gone, Claim: &fakeClaim{}})
+		failedWrite := func([]byte) error { return errors.New("connection reset") }
+		result := newTestExecutor(caller, 9).Execute(ctx, request, ExecutionOptions{Emit: failedWrite, Claim: &fakeClaim{}})
 		c.Check(result.Outcome, qt.Equals, test.want)
 	}
 }
--- a/internal/entry/fakes_test.go
+++ b/internal/entry/fakes_test.go
@@ -14,14 +14,14 @@
 	"github.com/coltsfootdrift/coltsfootdrift/pipeline"
 )
 
-// fakeCall is one call that a fakeCaller saw.
+// fakeCall is one call that a fakeCaller recorded.
 type fakeCall struct {
 	server  string
 	request backend.StageRequest
 	err     error
 }
 
-// fakeCaller answers calls by a function and records them.
+// fakeCaller answers calls with a function and records them.
 type fakeCaller struct {
 	answer func(ctx context.Context, server string, request backend.StageRequest) (backend.StageStream, error)
 	mu     sync.Mutex
@@ -47,7 +47,8 @@
 	return ids
 }
 
-// pieces is a stream of pieces that ends with an error, io.EOF for a whole one.
+// fakeStream is a stream of chunks that ends with an error, which is io.EOF for a
+// complete stream.
 type fakeStream struct {
 	chunks []string
 	end    error
@@ -66,26 +67,26 @@
 
 func (p *fakeStream) Close() error { return nil }
 
-// fakePicker offers servers s1 to s3 of every pool in this order.
+// fakePicker offers the servers s1 to s3, in this order, in every pool.
 type fakePicker struct{}
 
 func (fakePicker) Pick(query Query) (PickedServer, bool) {
 	for _, id := range []string{"s1", "s2", "s3"} {
 		if !slices.Contains(query.Excluded, id) {
-			return fakePicked{id}, true
+			return fakePickedServer{id}, true
 		}
 	}
 	return nil, false
 }
 
-// fakePicked is a server of a fakePicker.
-type fakePicked struct{ id string }
+// fakePickedServer is a server of a fakePicker.
+type fakePickedServer struct{ id string }
 
-func (p fakePicked) Server() backend.Server { return backend.Server{ID: p.id} }
-func (p fakePicked) FirstByte()             {}
-func (p fakePicked) Done(error, int64)      {}
+func (p fakePickedServer) Server() backend.Server { return backend.Server{ID: p.id} }
+func (p fakePickedServer) FirstByte()             {}
+func (p fakePickedServer) Done(error, int64)      {}
 
-// retries is a retry budget of a fixed number.
+// fixedRetryBudget is a budget of a fixed number of retries.
 type fixedRetryBudget struct{ remaining int }
 
 func (r *fixedRetryBudget) CountRequest() {}
@@ -94,7 +95,7 @@
 	return r.remaining >= 0
 }
 
-// always hedges at once.
+// alwaysHedge is a HedgePolicy that hedges every call at once.
 type alwaysHedge struct{}
 
 func (alwaysHedge) Delay(Query) (time.Duration, bool) { return 0, true }
@@ -116,7 +117,7 @@
 	return nil
 }
 
-// fakeClaims grants one claim, or answers from a record.
+// fakeClaims grants one claim, or returns a recorded answer.
 type fakeClaims struct {
 	claim    *fakeClaim
 	recorded *RecordedAnswer
@@ -136,8 +137,8 @@
 	return func(outcome Outcome) { f.released += outcome }, f.problem
 }
 
-// stages returns a chain of service stages; a name that begins with "once" is a
-// once stage.
+// stages returns a chain of service stages. Those whose names begin with "once" are
+// non-idempotent (pipeline.Stage.Once).
 func stages(names ...string) []pipeline.Stage {
 	var all []pipeline.Stage
 	for _, name := range names {
@@ -146,7 +147,8 @@
 	return all
 }
 
-// newRequestOf returns a request of a pipeline, at-most-once when it has a once stage.
+// newPipelineRequest returns a request of a pipeline. It is at-most-once when a
+// stage is non-idempotent.
 func newPipelineRequest(all []pipeline.Stage) *Request {
 	kind := pipeline.Kind{Name: "k", Repeat: pipeline.RepeatIdempotent, MaxWaitMS: 60000}
 	if slices.ContainsFunc(all, func(s pipeline.Stage) bool { return s.Once }) {
--- a/internal/entry/gossip_test.go
+++ b/internal/entry/gossip_test.go
@@ -17,9 +17,9 @@
 	"github.com/coltsfootdrift/coltsfootdrift/routing"
 )
 
-// Guards against an organisation whose rate is enforced by each instance on its
-// own, so that all together exceed it, and against a share that stays with idle
-// instances. The instances share one simulated clock.
+// Guards against instances that each enforce the full rate of an organisation, so
+// that together they exceed it, and against a share that stays with idle instances.
+// The instances use one simulated clock.
 func TestOrganisationRateHoldsOverAllInstances(t *testing.T) {
 	const rate, burst, seconds, warmUp = 90, 30, 60, 40
 	cases := map[string][]int{"through one": {200, 0, 0}, "through all": {70, 70, 70}, "uneven": {150, 30, 6}}
@@ -35,7 +35,8 @@
 			}
 			qt.Check(t, granted <= rate*seconds+burst, qt.IsTrue, qt.Commentf("granted %d", granted))
 			qt.Check(t, granted >= rate*seconds*95/100, qt.IsTrue, qt.Commentf("granted %d", granted))
-			// The traffic moves to the last instance: the first one's share is lent.
+			// The traffic moves to the last instance, which has to get the share of
+			// the first one.
 			last := make([]int, len(offered))
 			last[len(last)-1] = 2 * rate
 			for range warmUp {
@@ -47,7 +48,7 @@
 	}
 }
 
-// shareFleet is instances of one failure domain without sockets.
+// simulatedFleet simulates the instances of one failure domain without sockets.
 type simulatedFleet struct {
 	now    time.Time
 	shares []*quota.Share
@@ -65,7 +66,8 @@
 	return f
 }
 
-// second offers requests evenly, exchanges heartbeats and returns the grants.
+// simulateSecond offers requests that are spread evenly over one second, exchanges
+// heartbeats and returns the number of admitted requests.
 func (f *simulatedFleet) simulateSecond(offered []int, rate float64, burst int) (granted int) {
 	for i, share := range f.shares {
 		for k := range offered[i] {
@@ -97,9 +99,9 @@
 	}
 }
 
-// Guards against demand and straggler markers that stay in the daemon where they
-// arose: the other instance then grants the whole rate again, and sends to the
-// slow server until it has samples of its own.
+// Guards against demand and straggler markers that are not sent to the other
+// instances: these would grant the full rate once more, and would send calls to
+// the slow server until they have samples of their own.
 func TestDemandAndStragglersReachOtherInstances(t *testing.T) {
 	c := qt.New(t)
 	list := &standin.Platform{}
--- a/internal/entry/handler_test.go
+++ b/internal/entry/handler_test.go
@@ -16,7 +16,7 @@
 	"github.com/coltsfootdrift/coltsfootdrift/pipeline"
 )
 
-// newTestHandler serves the kinds read (idempotent) and order (at-most-once).
+// newTestHandler serves the pipelines read (idempotent) and order (at-most-once).
 func newTestHandler(caller *fakeCaller, claims Claims) *Handler {
 	kind := func(repeat pipeline.Repeat) []pipeline.Kind {
 		return []pipeline.Kind{{Name: "k", Repeat: repeat, MaxWaitMS: 60000}}
@@ -43,8 +43,8 @@
 
 func (f fixedConfiguration) Current() *pipeline.Set { return f.set }
 
-// Guards against bad input that panics, runs, or is answered without problem
-// details that say not_run.
+// Guards against invalid requests that cause a panic, run, or are answered without
+// problem details with the outcome not_run.
 func TestBadRequests(t *testing.T) {
 	c := qt.New(t)
 	header := func(name string, values ...string) http.Header { return http.Header{name: values} }
@@ -89,8 +89,8 @@
 	c.Assert(answer.Header().Get("Retry-After"), qt.Equals, "1")
 }
 
-// Guards against a deadline header that panics, overflows to a negative time, or
-// exceeds the longest wait of the kind.
+// Guards against a deadline header that causes a panic, overflows to a negative
+// time, or exceeds the longest wait of the kind.
 func TestDeadlineHeaders(t *testing.T) {
 	const maxWait = time.Minute
 	rapid.Check(t, func(t *rapid.T) {
@@ -107,8 +107,8 @@
 	}
 }
 
-// Guards against a claim that is settled against the outcome rules: a key that
-// stays locked after not_run or failed, or runs again after completed or unknown.
+// Guards against a claim that is settled contrary to the outcome: a key that stays
+// locked after not_run or failed, or can run again after completed or unknown.
 func TestClaimIsSettledByOutcome(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
@@ -142,8 +142,8 @@
 	}
 }
 
-// Guards against a repeated key that runs again or gets another answer than the
-// recorded one.
+// Guards against a request with a repeated key that runs again, or gets an answer
+// other than the recorded one.
 func TestRepeatedKeyGetsRecordedAnswer(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
@@ -163,8 +163,8 @@
 	}
 }
 
-// Guards against a refused request that runs or loses its retry time, and
-// against a granted one that holds its place for ever.
+// Guards against a refused request that runs or is answered without Retry-After,
+// and against an admitted one that is never released.
 func TestAdmissionRefusalAndRelease(t *testing.T) {
 	c := qt.New(t)
 	caller := &fakeCaller{answer: func(context.Context, string, backend.StageRequest) (backend.StageStream, error) {
@@ -184,8 +184,8 @@
 	c.Assert(caller.calls, qt.HasLen, 1)
 }
 
-// Guards against pieces that are read ahead of a slow caller, and against an
-// error after the first piece that looks like a whole answer.
+// Guards against chunks that are read ahead of a slow caller, and against an error
+// after the first chunk that looks like a complete answer.
 func TestStreamBackpressureAndError(t *testing.T) {
 	c := qt.New(t)
 	stream := &fakeStream{strings.Split("abcdefgh", ""), backend.ErrBadAnswer}
@@ -209,8 +209,8 @@
 	c.Assert(answer, qt.Not(qt.Contains), "event: "+EventEnd)
 }
 
-// Guards against a streamed answer from a record that differs from the one that
-// was streamed first: generated text is recorded as a JSON string.
+// Guards against a recorded answer that is streamed in another form than the
+// original: generated text is recorded as a JSON string.
 func TestRecordedTextIsStreamedAsGenerated(t *testing.T) {
 	c := qt.New(t)
 	for _, text := range []string{"plain text", `{"json": true}`, ` "quoted"`, "", "line\nline"} {
--- a/internal/entry/jobs_test.go
+++ b/internal/entry/jobs_test.go
@@ -23,13 +23,14 @@
 	"github.com/coltsfootdrift/coltsfootdrift/pipeline"
 )
 
-// alone is a failure domain of one instance.
+// singleInstance implements jobs.Members for a failure domain of one instance.
 type singleInstance struct{}
 
 func (singleInstance) Domain() []string                       { return []string{"a"} }
 func (singleInstance) JobsReleased(context.Context, []string) {}
 
-// newDurableHandler serves the durable kind k of pipeline read from a store.
+// newDurableHandler returns a handler that serves the durable kind k of the
+// pipeline read, with jobs and claims in a fake store.
 func newDurableHandler(c *qt.C, caller *fakeCaller) *Handler {
 	h := newTestHandler(caller, nil)
 	set := h.Configuration.Current()
@@ -55,9 +56,9 @@
 	}
 }
 
-// Guards against a durable request that is accepted without a place to find its
-// answer, runs again for a repeated key, or is not recorded without the
-// preference for an asynchronous answer.
+// Guards against a durable request that is accepted without the location of its
+// job, runs again for a repeated key, or is not recorded when the caller does not
+// prefer an asynchronous answer.
 func TestDurableRequests(t *testing.T) {
 	c := qt.New(t)
 	var calls atomic.Int64
@@ -96,7 +97,7 @@
 	c.Assert(calls.Load(), qt.Equals, int64(3))
 }
 
-// blockedJobs accepts a job only when its caller gives up.
+// blockedJobs refuses a job, but only once the context of the call has ended.
 type blockedJobs struct{ Jobs }
 
 func (blockedJobs) Register(*mux.Router) {}
@@ -106,8 +107,8 @@
 	return "", claimUnavailable("not accepted", storeRetryAfter)
 }
 
-// Guards against a caller of durable work that waits past its deadline for the
-// acceptance, for example while its key is held by a paused instance.
+// Guards against a durable request that waits for the acceptance of its job beyond
+// its deadline, for example while its key is owned by a paused instance.
 func TestJobAcceptanceIsBoundedByDeadline(t *testing.T) {
 	c := qt.New(t)
 	h := newTestHandler(&fakeCaller{}, nil)
--- a/internal/entry/orders_test.go
+++ b/internal/entry/orders_test.go
@@ -15,8 +15,8 @@
 	"github.com/coltsfootdrift/coltsfootdrift/pipeline"
 )
 
-// Guards against a daemon whose election, configuration and engines aren't
-// joined: the engine must get the configured version from exactly one leader.
+// Guards against a daemon whose leader election, configuration and engines are not
+// connected: the engine must get the configured version from exactly one leader.
 func TestConfiguredModelIsLoaded(t *testing.T) {
 	c := qt.New(t)
 	engine := startServer(c, standin.NewBackend(standin.BackendConfig{
--- a/internal/entry/requestmetrics_test.go
+++ b/internal/entry/requestmetrics_test.go
@@ -10,8 +10,8 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/backend"
 )
 
-// Guards against counters of link bytes that grow with the organisations, and
-// against bytes that are not counted once there are too many.
+// Guards against link byte counters whose number grows with the organisations, and
+// against bytes that are not counted beyond the limit.
 func TestLinkCountersAreBounded(t *testing.T) {
 	c := qt.New(t)
 	scope := tally.NewTestScope("", nil)
@@ -26,7 +26,7 @@
 			total += counter.Value()
 		}
 	}
-	// One more counter holds the others.
+	// One more counter has the bytes of all other organisations.
 	c.Assert(counters, qt.Equals, maxLinkCounters+1)
 	c.Assert(total, qt.Equals, int64(2*maxLinkCounters*3))
 }
--- a/internal/entry/shutdown_test.go
+++ b/internal/entry/shutdown_test.go
@@ -20,7 +20,7 @@
 	"github.com/coltsfootdrift/coltsfootdrift/pipeline"
 )
 
-// stopped is a daemon that was told to stop while one request is running.
+// stoppingDaemon is a daemon that received a stop signal while one request runs.
 type stoppingDaemon struct {
 	entry   settings.Entry
 	signals chan os.Signal
@@ -31,8 +31,8 @@
 	log     *syncBuffer
 }
 
-// lockedBuffer is a log that is read while a shutdown that was cut short goes on
-// in the background.
+// syncBuffer is a log buffer that may be read while a shutdown that returned early
+// still writes to it in the background.
 type syncBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -50,7 +50,7 @@
 	return b.buffer.String()
 }
 
-// stopWhileRunning runs a daemon, starts a request that blocks and sends a signal.
+// startAndSignal runs a daemon, starts a request that blocks and sends a signal.
 func startAndSignal(c *qt.C, entry settings.Entry, options ...fx.Option) *stoppingDaemon {
 	s := &stoppingDaemon{
 		entry: entry, signals: make(chan os.Signal, 2), release: make(chan struct{}),
@@ -93,7 +93,7 @@
 	return response.StatusCode
 }
 
-// Guards against a planned stop that cuts off a request, closes the listener
+// Guards against a graceful shutdown that cuts off a request, closes the listener
 // while the instance is still ready, or runs its steps out of order.
 func TestGracefulShutdown(t *testing.T) {
 	c := qt.New(t)
@@ -131,8 +131,8 @@
 	c.Assert(s.log.String(), qt.Contains, "event=1003")
 }
 
-// Guards against a second signal or a passed deadline that is ignored, or that
-// hides how many requests were cut off.
+// Guards against a second signal or an expired deadline that is ignored, and
+// against an early end that does not report the number of requests cut off.
 func TestShutdownCutOff(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
@@ -156,7 +156,8 @@
 	}
 }
 
-// Guards against a shutdown deadline below the longest request in force.
+// Guards against a shutdown deadline that is shorter than the longest request of
+// the configuration.
 func TestShutdownDeadline(t *testing.T) {
 	c := qt.New(t)
 	set := &pipeline.Set{Pipelines: []pipeline.Pipeline{
--- a/internal/entry/statussections_test.go
+++ b/internal/entry/statussections_test.go
@@ -14,8 +14,8 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/standin"
 )
 
-// Guards against sections of the status that a daemon doesn't register or that
-// hold nothing, so that an operator can't see its servers, limits and state.
+// Guards against sections of the status that a daemon does not register or that
+// are empty, so that an operator cannot see its servers, limits and state.
 func TestStatusShowsServersLimitsAndState(t *testing.T) {
 	c := qt.New(t)
 	list := &standin.Platform{}
@@ -24,7 +24,7 @@
 	entry.StoreAddress = startServer(c, standin.NewStore().Handler())
 	var durable *jobs.Jobs
 	startControl(c, entry, fx.Populate(&durable))
-	// The lease is held only by an instance that has, or just had, a job.
+	// An instance has the job lease only while it has a job or recently had one.
 	_, err := durable.Submit(c.Context(), jobs.Job{Organisation: "o", Pipeline: "p", Kind: "k", Body: []byte("{}"), Retention: time.Hour})
 	c.Assert(err, qt.IsNil)
 	var status struct {
