--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -184,7 +184,7 @@
 }
 
 // await waits for the decision on a ticket. The ticket is removed from the queue
-// when ctx ends first, because the caller disconnected.
+// when ctx ends first, for example because the caller disconnected.
 func (a *AdmissionControl) await(ctx context.Context, q *poolQueue, ticket admission.Ticket, decided chan admission.Decision) admission.Decision {
 	select {
 	case decision := <-decided:
--- a/internal/entry/deadline.go
+++ b/internal/entry/deadline.go
@@ -14,7 +14,8 @@
 const preferAsync = "respond-async"
 
 // parseTimeout reads the timeout from the Grpc-Timeout header or from the wait
-// preference of RFC 7240. The result is at most maxWait, which is also the default.
+// preference of RFC 7240. The result is at most maxWait, the longest wait of the
+// request's kind, which is also the default.
 func parseTimeout(header http.Header, maxWait time.Duration) (time.Duration, error) {
 	if value := header.Get("Grpc-Timeout"); value != "" {
 		timeout, err := parseGRPCTimeout(value)
--- a/internal/entry/gossip.go
+++ b/internal/entry/gossip.go
@@ -196,12 +196,12 @@
 	for _, id := range g.servers.Stragglers() {
 		own = append(own, membership.Straggler{Server: id, Remaining: stragglerMarkerLifetime})
 	}
-	var seen map[string]int
+	var reporters map[string]int
 	g.members.Do(func(s *membership.State) []membership.Output {
-		seen = s.PeerStragglers()
+		reporters = s.PeerStragglers()
 		return s.SetStragglers(own)
 	})
-	g.servers.PeerStragglers(seen)
+	g.servers.PeerStragglers(reporters)
 }
 
 // reportInFlight publishes the requests in flight of this instance.
@@ -258,18 +258,19 @@
 	members *Members
 }
 
-// newPicker returns the picker of the executor.
+// newPicker returns the picker of the executor, which reports draining servers to
+// the other instances.
 func newPicker(servers *Servers, members *Members) Picker {
 	return drainReportingPicker{servers, members}
 }
 
 // Pick implements Picker.
-func (r drainReportingPicker) Pick(query Query) (PickedServer, bool) {
-	picked, ok := r.Picker.Pick(query)
-	if !ok || r.members.Node == nil {
+func (p drainReportingPicker) Pick(query Query) (PickedServer, bool) {
+	picked, ok := p.Picker.Pick(query)
+	if !ok || p.members.Node == nil {
 		return picked, ok
 	}
-	return drainReportingServer{picked, r.members}, true
+	return drainReportingServer{picked, p.members}, true
 }
 
 // drainReportingServer is a picked server of a drainReportingPicker.
--- a/internal/entry/instancelist.go
+++ b/internal/entry/instancelist.go
@@ -28,33 +28,33 @@
 
 // Observe registers a function that receives each list, which it must not change.
 // Observe has to be called before the poller starts.
-func (f *InstanceListPoller) Observe(observer func([]platform.Member)) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.observers = append(f.observers, observer)
+func (p *InstanceListPoller) Observe(observer func([]platform.Member)) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.observers = append(p.observers, observer)
 }
 
 // refresh reads the list once.
-func (f *InstanceListPoller) refresh(ctx context.Context) {
-	members, err := f.lister.List(ctx)
+func (p *InstanceListPoller) refresh(ctx context.Context) {
+	members, err := p.lister.List(ctx)
 	if err != nil {
-		events.ListUnavailable.Log(ctx, f.logger, slog.Any("error", err))
+		events.ListUnavailable.Log(ctx, p.logger, slog.Any("error", err))
 		return
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, observer := range f.observers {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, observer := range p.observers {
 		observer(members)
 	}
 }
 
 // runInstanceListPoller reads the list at startup and then every listInterval.
-func runInstanceListPoller(lc fx.Lifecycle, f *InstanceListPoller) {
+func runInstanceListPoller(lc fx.Lifecycle, p *InstanceListPoller) {
 	ctx, cancel := context.WithCancel(context.Background())
 	lc.Append(fx.Hook{
 		OnStart: func(start context.Context) error {
-			f.refresh(start)
-			go clock.Every(ctx, listInterval, func() { f.refresh(ctx) })
+			p.refresh(start)
+			go clock.Every(ctx, listInterval, func() { p.refresh(ctx) })
 			return nil
 		},
 		OnStop: func(context.Context) error {
--- a/internal/entry/jobs.go
+++ b/internal/entry/jobs.go
@@ -241,8 +241,8 @@
 	return result
 }
 
-// jobClaim implements Claim for jobs, which need no claim of their own: the record
-// of a job states that a non-idempotent call is sent before it is sent.
+// jobClaim implements Claim for jobs, which need no record of a claim: before a
+// non-idempotent call is sent, the job's own record states that it will be.
 type jobClaim struct {
 	allowed func() bool
 }
--- a/internal/entry/serverstate.go
+++ b/internal/entry/serverstate.go
@@ -54,7 +54,7 @@
 	return p.pool.Times(class)
 }
 
-// slotShare returns this instance's share of the slots of a pool, in slots.
+// slotShare returns this instance's share of a pool's slots, as a number of slots.
 func (s *Servers) slotShare(pool string) float64 {
 	p := s.findPool(pool)
 	if p == nil {
@@ -120,10 +120,10 @@
 
 // PeerStragglers sets the stragglers that other instances reported: for each server
 // ID the number of instances that did.
-func (s *Servers) PeerStragglers(seen map[string]int) {
+func (s *Servers) PeerStragglers(reporters map[string]int) {
 	for _, p := range s.snapshot() {
 		p.mu.Lock()
-		p.pool.PeerStragglers(seen, s.now())
+		p.pool.PeerStragglers(reporters, s.now())
 		p.mu.Unlock()
 	}
 }
--- a/internal/entry/shutdown.go
+++ b/internal/entry/shutdown.go
@@ -17,8 +17,7 @@
 
 // Phases in the order in which they run.
 const (
-	// StopReadiness withdraws readiness and waits until the load balancer has
-	// noticed.
+	// StopReadiness withdraws readiness and gives the load balancer time to notice.
 	StopReadiness StopPhase = iota
 	// StopCallers closes the listener and waits for running requests.
 	StopCallers
