--- a/admission/admission.go
+++ b/admission/admission.go
@@ -45,15 +45,15 @@
 	ReasonDeadline Reason = "deadline"
 	// ReasonFull means that the queue is as long as it may be.
 	ReasonFull Reason = "queue_full"
-	// ReasonClosed means that the pool has no server.
-	ReasonClosed Reason = "no_server"
+	// ReasonNoServer means that the pool has no server.
+	ReasonNoServer Reason = "no_server"
 )
 
 // Decision is what becomes of a ticket.
 type Decision struct {
-	Ticket  uint64
-	Verdict Verdict
-	Reason  Reason
+	TicketID uint64
+	Verdict  Verdict
+	Reason   Reason
 	// RetryAfter is when a refused caller may come back.
 	RetryAfter time.Duration
 }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -58,14 +58,14 @@
 func (q *Queue) Offer(now time.Time, t Ticket) Decision {
 	class := classIndex(t.Class)
 	if q.Limit() == 0 {
-		return q.refuse(t, ReasonClosed, 0)
+		return q.refuse(t, ReasonNoServer, 0)
 	}
 	if q.waiting[class].size == 0 && q.mayStart(class) {
 		if !q.inTime(now, t, 0) {
 			return q.refuse(t, ReasonDeadline, 0)
 		}
 		q.running[class]++
-		return Decision{Ticket: t.ID, Verdict: Admitted}
+		return Decision{TicketID: t.ID, Verdict: Admitted}
 	}
 	if _, waiting := q.Load(); waiting >= maxWaiting {
 		return q.refuse(t, ReasonFull, q.wait(now, t))
@@ -74,7 +74,7 @@
 		return q.refuse(t, ReasonDeadline, wait)
 	}
 	q.waiting[class].push(t)
-	return Decision{Ticket: t.ID, Verdict: Waiting}
+	return Decision{TicketID: t.ID, Verdict: Waiting}
 }
 
 // Release ends an admitted ticket. The caller then calls Tick.
@@ -130,7 +130,7 @@
 			continue
 		}
 		q.running[class]++
-		decisions = append(decisions, Decision{Ticket: t.ID, Verdict: Admitted})
+		decisions = append(decisions, Decision{TicketID: t.ID, Verdict: Admitted})
 	}
 }
 
@@ -241,5 +241,5 @@
 func (q *Queue) refuse(t Ticket, reason Reason, wait time.Duration) Decision {
 	wait = min(maxRetryAfter, max(minRetryAfter, wait))
 	wait += time.Duration(retryJitter * q.random.Float64() * float64(wait))
-	return Decision{Ticket: t.ID, Verdict: Refused, Reason: reason, RetryAfter: wait}
+	return Decision{TicketID: t.ID, Verdict: Refused, Reason: reason, RetryAfter: wait}
 }
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -31,12 +31,12 @@
 				if d.Verdict == Waiting {
 					continue
 				}
-				if before, done := final[d.Ticket]; done {
-					t.Fatalf("ticket %d: %v after %v", d.Ticket, d.Verdict, before)
+				if before, done := final[d.TicketID]; done {
+					t.Fatalf("ticket %d: %v after %v", d.TicketID, d.Verdict, before)
 				}
-				final[d.Ticket] = d.Verdict
+				final[d.TicketID] = d.Verdict
 				if d.Verdict == Admitted {
-					running = append(running, tickets[d.Ticket])
+					running = append(running, tickets[d.TicketID])
 				} else if d.RetryAfter <= 0 {
 					t.Fatalf("refusal without a time to come back")
 				}
@@ -103,7 +103,7 @@
 			offer(pipeline.ClassInteractive)
 			q.Release(now, Ticket{Class: pipeline.ClassInteractive}, Result{Duration: time.Millisecond, Completed: true})
 			for _, d := range q.Tick(now) {
-				if d.Ticket == long.ID && d.Verdict == Admitted {
+				if d.TicketID == long.ID && d.Verdict == Admitted {
 					return
 				}
 			}
@@ -163,7 +163,7 @@
 	next := func() {
 		q.Release(began, Ticket{Class: pipeline.ClassNormal}, Result{})
 		for _, d := range q.Tick(began) {
-			started[owner[d.Ticket]]++
+			started[owner[d.TicketID]]++
 		}
 	}
 	for range 40 {
--- a/internal/capacity/limits.go
+++ b/internal/capacity/limits.go
@@ -36,8 +36,8 @@
 // measureRates measures the limiter of an instance that every organisation uses.
 func measureRates(n int) ([]figure, error) {
 	names, now := organisationNames(n), simulatedStart
-	state, share, _ := retained(func() (*quota.Share, error) {
-		share := quota.NewShare()
+	state, share, _ := retained(func() (*quota.RateLimiter, error) {
+		share := quota.NewRateLimiter()
 		for _, name := range names {
 			share.Observe(name, 1, now)
 		}
--- a/internal/capacity/routing.go
+++ b/internal/capacity/routing.go
@@ -44,16 +44,16 @@
 		pool.Update(servers, now)
 		return pool, nil
 	})
-	plain, objects, err := timePicks(pool, routing.Query{Link: true})
+	plain, objects, err := timePicks(pool, routing.Query{AllowRemote: true})
 	if err != nil {
 		return nil, err
 	}
-	prefix, _, err := timePicks(pool, routing.Query{Link: true, Prefix: 77})
+	prefix, _, err := timePicks(pool, routing.Query{AllowRemote: true, Prefix: 77})
 	if err != nil {
 		return nil, err
 	}
 	counts, _, err := perCall(20, func(i int) {
-		pool.PeerCounts(fmt.Sprint("instance-", i), pool.Counts(), now)
+		pool.SetPeerCounts(fmt.Sprint("instance-", i), pool.Counts(), now)
 	})
 	return []figure{
 		{"processor time of a decision", "ns", plain},
--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -29,7 +29,7 @@
 	now     func() time.Time
 
 	mu     sync.Mutex
-	rates  *quota.Share
+	rates  *quota.RateLimiter
 	queues map[string]*poolQueue
 	lastID uint64
 }
@@ -50,7 +50,7 @@
 func NewAdmissionControl(servers *Servers, metrics *DecisionMetrics, logger *slog.Logger, now func() time.Time) *AdmissionControl {
 	return &AdmissionControl{
 		servers: servers, metrics: metrics, logger: logger, now: now,
-		rates: quota.NewShare(), queues: map[string]*poolQueue{},
+		rates: quota.NewRateLimiter(), queues: map[string]*poolQueue{},
 	}
 }
 
@@ -190,7 +190,7 @@
 	if q.queue.Cancel(ticket) {
 		delete(q.waiting, ticket.ID)
 		a.mu.Unlock()
-		return admission.Decision{Ticket: ticket.ID, Verdict: admission.Refused, Reason: admission.ReasonDeadline}
+		return admission.Decision{TicketID: ticket.ID, Verdict: admission.Refused, Reason: admission.ReasonDeadline}
 	}
 	a.mu.Unlock()
 	return <-decided
@@ -211,8 +211,8 @@
 // deliver hands decisions to the callers that wait for them.
 func (q *poolQueue) deliver(decisions []admission.Decision) {
 	for _, decision := range decisions {
-		q.waiting[decision.Ticket] <- decision
-		delete(q.waiting, decision.Ticket)
+		q.waiting[decision.TicketID] <- decision
+		delete(q.waiting, decision.TicketID)
 	}
 }
 
--- a/internal/entry/decisions.go
+++ b/internal/entry/decisions.go
@@ -123,7 +123,7 @@
 
 func (p *serverPool) poll(ctx context.Context, reader backend.LoadReader, logger *slog.Logger, now func() time.Time) {
 	p.mu.Lock()
-	index, ok := p.pool.Random(p.random)
+	index, ok := p.pool.RandomLocal(p.random)
 	server := p.servers[index]
 	p.mu.Unlock()
 	if !ok {
--- a/internal/entry/gossip_test.go
+++ b/internal/entry/gossip_test.go
@@ -50,7 +50,7 @@
 // shareFleet is instances of one failure domain without sockets.
 type shareFleet struct {
 	now    time.Time
-	shares []*quota.Share
+	shares []*quota.RateLimiter
 	states []*membership.State
 }
 
@@ -58,7 +58,7 @@
 	f := &shareFleet{now: time.Unix(1000, 0)}
 	for i := range n {
 		id := string(rune('a' + i))
-		f.shares = append(f.shares, quota.NewShare())
+		f.shares = append(f.shares, quota.NewRateLimiter())
 		f.states = append(f.states, membership.New(membership.Identity{ID: id, FailureDomain: "d", Address: id, Incarnation: 1}, rand.New(rand.NewPCG(uint64(i), 1)), f.now))
 		f.states[i].Hint([]membership.Candidate{{FailureDomain: "d", Address: "a"}})
 	}
--- a/internal/entry/link.go
+++ b/internal/entry/link.go
@@ -11,13 +11,13 @@
 // linkBudget guards the instance's part of the link between regions.
 type linkBudget struct {
 	mu      sync.Mutex
-	link    *quota.Link
+	link    *quota.LinkBudget
 	least   int
 	sharers int
 }
 
 func newLinkBudget(least int) *linkBudget {
-	return &linkBudget{link: quota.NewLink(0), least: least, sharers: least}
+	return &linkBudget{link: quota.NewLinkBudget(0), least: least, sharers: least}
 }
 
 // update takes the capacity of the link and the listed instances of the region.
@@ -42,7 +42,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.link.Room(bytes, l.share(), now)
+	return l.link.CanReserve(bytes, l.share(), now)
 }
 
 func (l *linkBudget) reserve(bytes int64, now time.Time) bool {
--- a/internal/entry/servers.go
+++ b/internal/entry/servers.go
@@ -108,7 +108,7 @@
 func (p *serverPool) divide(instance string, instances []routing.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.pool.Divide(instance, instances)
+	p.pool.SetInstances(instance, instances)
 }
 
 func (p *serverPool) update(servers []backend.Server, slots int, now time.Time) {
@@ -145,7 +145,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	q := p.query(query)
-	q.Link = s.link.room(query.LinkBytes, now)
+	q.AllowRemote = s.link.room(query.LinkBytes, now)
 	index, ok := p.pool.Pick(now, p.random, q)
 	if !ok {
 		return nil, false
@@ -160,7 +160,7 @@
 }
 
 func (p *serverPool) query(query Query) routing.Query {
-	q := routing.Query{Class: query.Class, Probe: query.Idempotent, Leave: query.Leave, Remaining: query.Remaining}
+	q := routing.Query{Class: query.Class, AllowProbe: query.Idempotent, PreferRemote: query.Leave, Remaining: query.Remaining}
 	if query.PrefixKey != "" {
 		q.Prefix = xxhash.Sum64String(query.PrefixKey)
 	}
--- a/internal/entry/serverviews.go
+++ b/internal/entry/serverviews.go
@@ -27,7 +27,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.hedger.Take()
+	return p.hedger.Allow()
 }
 
 // StageBudget returns the time one call of a stage may take.
@@ -74,7 +74,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.pool.RemoteRoom(now)
+	return p.pool.HasRemoteCapacity(now)
 }
 
 // PeerCounts takes the calls that another instance has in flight at the servers
@@ -83,7 +83,7 @@
 	if p := s.find(pool); p != nil {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.pool.PeerCounts(instance, counts, s.now())
+		p.pool.SetPeerCounts(instance, counts, s.now())
 	}
 }
 
@@ -122,7 +122,7 @@
 func (s *Servers) PeerStragglers(seen map[string]int) {
 	for _, p := range s.snapshot() {
 		p.mu.Lock()
-		p.pool.PeerStragglers(seen, s.now())
+		p.pool.SetPeerStragglers(seen, s.now())
 		p.mu.Unlock()
 	}
 }
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -203,5 +203,5 @@
 
 // plainQuery is the query of a plain request.
 func plainQuery(remaining time.Duration, excluded []routing.ServerIndex) routing.Query {
-	return routing.Query{Class: pipeline.ClassInteractive, Link: true, Remaining: remaining, Excluded: excluded}
+	return routing.Query{Class: pipeline.ClassInteractive, AllowRemote: true, Remaining: remaining, Excluded: excluded}
 }
--- a/internal/store/budget.go
+++ b/internal/store/budget.go
@@ -105,7 +105,7 @@
 func (b *Budgeted) wait(class quota.StoreClass, op quota.StoreOp, change int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.budget.Wait(class, op, change)
+	b.budget.AddWaiting(class, op, change)
 }
 
 func (b *Budgeted) finished(ctx context.Context, probe bool, err error) {
--- a/quota/share.go
+++ b/quota/ratelimiter.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// NamedOrganisations is the number of organisations that a summary names.
-const NamedOrganisations = 16
+// MaxListedOrganisations is the number of organisations that a summary names.
+const MaxListedOrganisations = 16
 
 // Demand is the requests per second of one organisation.
 type Demand struct {
@@ -42,8 +42,8 @@
 	demandAt time.Time
 }
 
-// Share enforces this instance's share of the organisations' rates.
-type Share struct {
+// RateLimiter enforces this instance's share of the organisations' rates.
+type RateLimiter struct {
 	organisations map[string]*organisation
 	// peers holds the demand of the other instances for the named organisations,
 	// less what unnamed already counts for them.
@@ -56,13 +56,13 @@
 	named map[string]bool
 }
 
-// NewShare returns a share of an instance that knows no other.
-func NewShare() *Share {
-	return &Share{organisations: map[string]*organisation{}, peers: map[string]float64{}, instances: 1, named: map[string]bool{}}
+// NewRateLimiter returns a share of an instance that knows no other.
+func NewRateLimiter() *RateLimiter {
+	return &RateLimiter{organisations: map[string]*organisation{}, peers: map[string]float64{}, instances: 1, named: map[string]bool{}}
 }
 
 // Observe counts n requests of an organisation, whether they are allowed or not.
-func (s *Share) Observe(name string, n float64, now time.Time) {
+func (s *RateLimiter) Observe(name string, n float64, now time.Time) {
 	o := s.get(name, now)
 	o.decay(now)
 	o.demand += n / demandWindow.Seconds()
@@ -78,7 +78,7 @@
 }
 
 // get returns the state of an organisation and makes room for a new one.
-func (s *Share) get(name string, now time.Time) *organisation {
+func (s *RateLimiter) get(name string, now time.Time) *organisation {
 	if o := s.organisations[name]; o != nil {
 		return o
 	}
@@ -95,7 +95,7 @@
 const evictShare = 16
 
 // evict drops organisations without recent demand, or some when all have some.
-func (s *Share) evict(now time.Time) {
+func (s *RateLimiter) evict(now time.Time) {
 	most := maxOrganisations - maxOrganisations/evictShare
 	for name, o := range s.organisations {
 		if now.Sub(o.demandAt) >= demandWindow {
@@ -113,8 +113,8 @@
 // Summary returns this instance's demand for its peers. It keeps the largest
 // while it walks the organisations: sorting 19,000 of them each second would use
 // more processor time than all control work may.
-func (s *Share) Summary(now time.Time) Summary {
-	largest := make([]Demand, 0, NamedOrganisations+1)
+func (s *RateLimiter) Summary(now time.Time) Summary {
+	largest := make([]Demand, 0, MaxListedOrganisations+1)
 	for name, o := range s.organisations {
 		o.decay(now)
 		if o.demand > 0 {
@@ -128,12 +128,12 @@
 // insertLargest inserts a demand in order and drops the smallest when there are
 // more than NamedOrganisations.
 func insertLargest(largest []Demand, d Demand) []Demand {
-	if len(largest) == NamedOrganisations && compareDemand(d, largest[len(largest)-1]) > 0 {
+	if len(largest) == MaxListedOrganisations && compareDemand(d, largest[len(largest)-1]) > 0 {
 		return largest
 	}
 	at, _ := slices.BinarySearchFunc(largest, d, compareDemand)
 	largest = slices.Insert(largest, at, d)
-	return largest[:min(len(largest), NamedOrganisations)]
+	return largest[:min(len(largest), MaxListedOrganisations)]
 }
 
 // compareDemand orders the larger demand first, and equal ones by name.
@@ -142,7 +142,7 @@
 }
 
 // name notes the organisations that the peers will know by name.
-func (s *Share) name(largest []Demand) {
+func (s *RateLimiter) name(largest []Demand) {
 	clear(s.named)
 	for _, d := range largest {
 		s.named[d.Organisation] = true
@@ -159,7 +159,7 @@
 }
 
 // SetPeers replaces what the other instances and failure domains report.
-func (s *Share) SetPeers(summaries []Summary) {
+func (s *RateLimiter) SetPeers(summaries []Summary) {
 	clear(s.peers)
 	s.instances, s.unnamed = 1, 0
 	for _, summary := range summaries {
@@ -174,7 +174,7 @@
 
 // Allow takes n requests from this instance's share of an organisation's rate,
 // or returns when there is room again. A rate of 0 is no limit.
-func (s *Share) Allow(name string, rate float64, burst int, n float64, now time.Time) (ok bool, retryAfter time.Duration) {
+func (s *RateLimiter) Allow(name string, rate float64, burst int, n float64, now time.Time) (ok bool, retryAfter time.Duration) {
 	if rate <= 0 {
 		return true, 0
 	}
@@ -190,7 +190,7 @@
 // instances lend their part, and an equal part otherwise. The parts of all
 // instances add up to at most 1 when their reports are current, since each one
 // counts at least the demand of the others.
-func (s *Share) share(name string, o *organisation, now time.Time) float64 {
+func (s *RateLimiter) share(name string, o *organisation, now time.Time) float64 {
 	others, named := s.peers[name]
 	if !named && !s.named[name] {
 		return 1 / float64(s.instances)
--- a/quota/share_test.go
+++ b/quota/ratelimiter_test.go
@@ -17,7 +17,7 @@
 func TestLinkBudgetHoldsInEverySecond(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const capacity = 1000.0
-		link, now := NewLink(capacity), shareBegan
+		link, now := NewLinkBudget(capacity), shareBegan
 		type spent struct {
 			at    time.Time
 			bytes int64
@@ -49,9 +49,9 @@
 // and against an instance without demand that holds back an equal share.
 func TestRateFollowsReportedDemand(t *testing.T) {
 	c := qt.New(t)
-	busy, quiet := NewShare(), NewShare()
+	busy, quiet := NewRateLimiter(), NewRateLimiter()
 	now := shareBegan
-	allowed := map[*Share]int{}
+	allowed := map[*RateLimiter]int{}
 	for step := range 2000 {
 		now = now.Add(10 * time.Millisecond)
 		if step%100 == 0 {
@@ -59,7 +59,7 @@
 			busy.SetPeers([]Summary{quietSummary})
 			quiet.SetPeers([]Summary{busySummary})
 		}
-		for _, s := range []*Share{busy, quiet} {
+		for _, s := range []*RateLimiter{busy, quiet} {
 			if s == quiet && step%9 != 0 {
 				continue
 			}
@@ -76,16 +76,16 @@
 
 // Guards against state that grows with the number of organisations ever seen.
 func TestOrganisationsAreBounded(t *testing.T) {
-	s := NewShare()
+	s := NewRateLimiter()
 	for i := range 2 * maxOrganisations {
 		s.Observe(fmt.Sprint(i), 1, shareBegan)
 	}
 	qt.Assert(t, len(s.organisations) <= maxOrganisations, qt.IsTrue)
-	qt.Assert(t, s.Summary(shareBegan).Largest, qt.HasLen, NamedOrganisations)
+	qt.Assert(t, s.Summary(shareBegan).Largest, qt.HasLen, MaxListedOrganisations)
 }
 
 func benchmarkShare(b *testing.B, organisations int) {
-	s, now := NewShare(), shareBegan
+	s, now := NewRateLimiter(), shareBegan
 	names := make([]string, organisations)
 	for i := range names {
 		names[i] = fmt.Sprint("organisation-", i)
@@ -108,12 +108,12 @@
 // in another order.
 func TestSummaryNamesTheLargest(t *testing.T) {
 	c := qt.New(t)
-	s := NewShare()
+	s := NewRateLimiter()
 	for i := range 100 {
 		s.Observe(fmt.Sprintf("o%02d", i), float64(1+i*37%50), shareBegan)
 	}
 	got := s.Summary(shareBegan).Largest
-	c.Assert(got, qt.HasLen, NamedOrganisations)
+	c.Assert(got, qt.HasLen, MaxListedOrganisations)
 	for i, demand := range got {
 		// Demands 50, 49, ... are held by two organisations each, 50 apart.
 		c.Assert(demand.PerSecond, qt.Equals, float64(50-i/2)/demandWindow.Seconds())
@@ -122,7 +122,7 @@
 }
 
 func benchmarkSummary(b *testing.B, organisations int) {
-	s := NewShare()
+	s := NewRateLimiter()
 	for i := range organisations {
 		s.Observe(fmt.Sprint("organisation-", i), float64(1+i%7), shareBegan)
 	}
@@ -140,11 +140,11 @@
 // nobody names and whose rate is granted by each instance.
 func TestSharesOfUnnamedOrganisations(t *testing.T) {
 	c := qt.New(t)
-	busy, quiet := NewShare(), NewShare()
+	busy, quiet := NewRateLimiter(), NewRateLimiter()
 	for range 10 {
 		busy.Observe("acme", 1, shareBegan)
 	}
-	for i := range NamedOrganisations {
+	for i := range MaxListedOrganisations {
 		quiet.Observe(fmt.Sprint(i), 5, shareBegan)
 	}
 	quiet.Observe("acme", 4, shareBegan)
--- a/quota/state.go
+++ b/quota/state.go
@@ -17,7 +17,7 @@
 }
 
 // Shares returns the organisations that this instance or a peer names, by name.
-func (s *Share) Shares(now time.Time) []OrganisationShare {
+func (s *RateLimiter) Shares(now time.Time) []OrganisationShare {
 	var shares []OrganisationShare
 	for name := range s.named {
 		shares = append(shares, s.shareOf(name, now))
@@ -31,7 +31,7 @@
 	return shares
 }
 
-func (s *Share) shareOf(name string, now time.Time) OrganisationShare {
+func (s *RateLimiter) shareOf(name string, now time.Time) OrganisationShare {
 	o := s.organisations[name]
 	if o == nil {
 		o = &organisation{demandAt: now}
@@ -41,4 +41,4 @@
 }
 
 // Instances is the number of instances that rates are divided among.
-func (s *Share) Instances() int { return s.instances }
+func (s *RateLimiter) Instances() int { return s.instances }
--- a/quota/storebudget.go
+++ b/quota/storebudget.go
@@ -120,8 +120,8 @@
 	return StoreVerdict{Granted: true, Probe: b.probing}
 }
 
-// Wait changes the number of calls of a class that wait for a token.
-func (b *StoreBudget) Wait(class StoreClass, op StoreOp, change int) {
+// AddWaiting changes the number of calls of a class that wait for a token.
+func (b *StoreBudget) AddWaiting(class StoreClass, op StoreOp, change int) {
 	b.waiting[op][class] += change
 }
 
--- a/quota/storebudget_test.go
+++ b/quota/storebudget_test.go
@@ -41,7 +41,7 @@
 	c.Assert(budget.Allow(start, StoreConfiguration, StoreWrite).Granted, qt.IsTrue)
 	verdict := budget.Allow(start, StoreClaims, StoreWrite)
 	c.Assert(verdict.Granted, qt.IsFalse)
-	budget.Wait(StoreClaims, StoreWrite, 1)
+	budget.AddWaiting(StoreClaims, StoreWrite, 1)
 	later := start.Add(verdict.RetryAfter)
 	for _, class := range []StoreClass{StoreConfiguration, StoreLeases, StoreJobs} {
 		c.Assert(budget.Allow(later, class, StoreWrite).Granted, qt.IsFalse)
@@ -55,7 +55,7 @@
 	c := qt.New(t)
 	for _, instances := range []int{3, 9, 390} {
 		budget := NewStoreBudget(DefaultStoreLimits, instances, start)
-		budget.Wait(StoreJobs, StoreWrite, 1)
+		budget.AddWaiting(StoreJobs, StoreWrite, 1)
 		now, kept, jobs := start, start, 0
 		for now.Sub(start) < time.Minute {
 			now = now.Add(10 * time.Millisecond)
@@ -68,10 +68,10 @@
 			}
 			if budget.Allow(now, StoreLeases, StoreWrite).Granted {
 				kept = now
-				budget.Wait(StoreLeases, StoreWrite, -budget.waiting[StoreWrite][StoreLeases])
+				budget.AddWaiting(StoreLeases, StoreWrite, -budget.waiting[StoreWrite][StoreLeases])
 				continue
 			}
-			budget.Wait(StoreLeases, StoreWrite, 1-budget.waiting[StoreWrite][StoreLeases])
+			budget.AddWaiting(StoreLeases, StoreWrite, 1-budget.waiting[StoreWrite][StoreLeases])
 			// A lease of 10 s with a margin of 3 s must not lapse.
 			c.Assert(now.Sub(kept) < 7*time.Second, qt.IsTrue, qt.Commentf("%d instances, %v", instances, now.Sub(kept)))
 		}
--- a/routing/hedge.go
+++ b/routing/hedge.go
@@ -41,8 +41,8 @@
 	return delay, delay > 0
 }
 
-// Take takes one hedge from the budget.
-func (h *Hedger) Take() bool {
+// Allow takes one hedge from the budget.
+func (h *Hedger) Allow() bool {
 	if h.tokens < 1 || h.pool.overloaded() {
 		return false
 	}
--- a/routing/home.go
+++ b/routing/home.go
@@ -15,11 +15,11 @@
 	FailureDomain string
 }
 
-// Divide sets the instances of the region, among which the slots of its servers
+// SetInstances sets the instances of the region, among which the slots of its servers
 // are divided. Each instance computes the same division from the same lists and
 // prefers its own home slots, so that instances do not all choose the same server.
 // Where lists differ, some slots have two owners for a while.
-func (p *Pool) Divide(self string, instances []Instance) {
+func (p *Pool) SetInstances(self string, instances []Instance) {
 	p.self = self
 	p.instances = slices.Clone(instances)
 	slices.SortFunc(p.instances, func(a, b Instance) int { return cmp.Compare(a.ID, b.ID) })
--- a/routing/home_test.go
+++ b/routing/home_test.go
@@ -27,7 +27,7 @@
 		owned, long := map[string]int{}, map[string]int{}
 		for _, instance := range instances {
 			pool, _ := newPool(nil)
-			pool.Divide(instance.ID, instances)
+			pool.SetInstances(instance.ID, instances)
 			pool.Update(list, began)
 			for i := range pool.servers {
 				owned[pool.servers[i].ID] += pool.servers[i].home
@@ -81,7 +81,7 @@
 	long := map[string]int{}
 	for _, instance := range instances {
 		pool, random := newPool(nil)
-		pool.Divide(instance.ID, instances)
+		pool.SetInstances(instance.ID, instances)
 		pool.Update(list, began)
 		for range perServer * len(list) / len(instances) {
 			i, _ := pool.Pick(began, random, Query{Class: pipeline.ClassLong})
@@ -98,7 +98,7 @@
 // slots of about the same score only.
 func TestPrefixDecidesAmongEqualHomeSlots(t *testing.T) {
 	pool, random := newPool(nil)
-	pool.Divide("i0", []Instance{{"i0", "r-a"}})
+	pool.SetInstances("i0", []Instance{{"i0", "r-a"}})
 	pool.Update(servers(8, "r-a"), began)
 	query := Query{Prefix: 4711}
 	first, _ := pool.Pick(began, random, query)
--- a/routing/pick.go
+++ b/routing/pick.go
@@ -106,7 +106,7 @@
 	if t >= p.overdueAt {
 		p.checkOverdue(t)
 	}
-	if q.Leave && q.Link {
+	if q.PreferRemote && q.AllowRemote {
 		if i := p.pickRemote(t, random, &q); i != none {
 			return i, true
 		}
@@ -142,8 +142,8 @@
 	return i
 }
 
-// RemoteRoom reports whether a server of another region is believed to have room.
-func (p *Pool) RemoteRoom(now time.Time) bool {
+// HasRemoteCapacity reports whether a server of another region is believed to have room.
+func (p *Pool) HasRemoteCapacity(now time.Time) bool {
 	for _, i := range p.ordered[p.tierEnd[tierRegion]:] {
 		if s := &p.servers[i]; !s.drained && s.level == 0 && !s.saturated(now.UnixNano()) {
 			return true
@@ -180,7 +180,7 @@
 // mayLeave reports whether a call may go to another region although local is
 // the best server of the own region.
 func (p *Pool) mayLeave(t int64, q *Query, local ServerIndex) bool {
-	if !q.Link {
+	if !q.AllowRemote {
 		return false
 	}
 	if local == none {
--- a/routing/pool.go
+++ b/routing/pool.go
@@ -212,8 +212,8 @@
 	return slots
 }
 
-// Random returns a random live server of the instance's region, for a load report.
-func (p *Pool) Random(random *rand.Rand) (ServerIndex, bool) {
+// RandomLocal returns a random live server of the instance's region, for a load report.
+func (p *Pool) RandomLocal(random *rand.Rand) (ServerIndex, bool) {
 	near := p.ordered[:p.tierEnd[tierRegion]]
 	if len(near) == 0 {
 		return none, false
@@ -276,9 +276,9 @@
 	s.unseenAt = now.UnixNano()
 }
 
-// PeerCounts replaces the counts that another instance last reported. The pool
+// SetPeerCounts replaces the counts that another instance last reported. The pool
 // keeps the slice.
-func (p *Pool) PeerCounts(instance string, counts []ServerCount, now time.Time) {
+func (p *Pool) SetPeerCounts(instance string, counts []ServerCount, now time.Time) {
 	p.peers[instance] = peerView{counts: counts, at: now.UnixNano()}
 }
 
--- a/routing/pool_test.go
+++ b/routing/pool_test.go
@@ -37,7 +37,7 @@
 func serve(pool *Pool, random *rand.Rand, now *time.Time, n int, latency func(ServerIndex) time.Duration) map[ServerIndex]int {
 	picked := map[ServerIndex]int{}
 	for range n {
-		i, ok := pool.Pick(*now, random, Query{Class: pipeline.ClassInteractive, Probe: true})
+		i, ok := pool.Pick(*now, random, Query{Class: pipeline.ClassInteractive, AllowProbe: true})
 		if !ok {
 			continue
 		}
@@ -104,10 +104,10 @@
 				drained[id] = pool.Drain(id) || drained[id]
 			case 2:
 				counts := []ServerCount{{ID: all[0].ID, InFlight: 5, Long: 2}}
-				pool.PeerCounts("peer", counts, now)
+				pool.SetPeerCounts("peer", counts, now)
 			case 3, 4, 5, 6:
 				class := rapid.SampledFrom([]pipeline.Class{pipeline.ClassInteractive, pipeline.ClassLong}).Draw(t, "class")
-				i, ok := pool.Pick(now, random, Query{Class: class, Probe: true, Link: rapid.Bool().Draw(t, "link"), Prefix: uint64(rapid.IntRange(0, 3).Draw(t, "prefix"))})
+				i, ok := pool.Pick(now, random, Query{Class: class, AllowProbe: true, AllowRemote: rapid.Bool().Draw(t, "link"), Prefix: uint64(rapid.IntRange(0, 3).Draw(t, "prefix"))})
 				if !ok {
 					continue
 				}
@@ -176,14 +176,14 @@
 	pool, random := newPool(append(near, far...))
 	now := began
 	for range 100 {
-		i, _ := pool.Pick(now, random, Query{Link: true, Remaining: time.Second})
+		i, _ := pool.Pick(now, random, Query{AllowRemote: true, Remaining: time.Second})
 		c.Assert(pool.Local(i), qt.IsTrue)
 		pool.Started(i, pipeline.ClassNormal, now)
 	}
 	pool.Update(far, now)
 	_, ok := pool.Pick(now, random, Query{})
 	c.Assert(ok, qt.IsFalse)
-	_, ok = pool.Pick(now, random, Query{Link: true})
+	_, ok = pool.Pick(now, random, Query{AllowRemote: true})
 	c.Assert(ok, qt.IsTrue)
 }
 
@@ -262,7 +262,7 @@
 		}
 		return counts
 	}
-	pool.PeerStragglers(seen, began)
+	pool.SetPeerStragglers(seen, began)
 	counts := picks()
 	c.Assert(2*counts[2] < counts[0], qt.IsTrue, qt.Commentf("%v", counts))
 	c.Assert(2*counts[4] > counts[0], qt.IsTrue, qt.Commentf("more than 30 %% held down: %v", counts))
@@ -294,10 +294,10 @@
 		}
 	}
 	pool.refresh(now.UnixNano())
-	pool.PeerStragglers(map[string]int{"r-a-2": 1}, now)
+	pool.SetPeerStragglers(map[string]int{"r-a-2": 1}, now)
 	c.Assert(pool.Lowered(), qt.Equals, 0)
 	seen := map[string]int{"r-a-2": 2, "r-a-3": 2, "r-a-4": 2}
-	pool.PeerStragglers(seen, now)
+	pool.SetPeerStragglers(seen, now)
 	c.Assert(pool.Lowered(), qt.Equals, 1)
 	c.Assert(pool.Stragglers(), qt.HasLen, 0)
 	for range 300 {
@@ -308,6 +308,6 @@
 	for range levelProbed * goodToRaise {
 		answer(2)
 	}
-	pool.PeerStragglers(seen, now)
+	pool.SetPeerStragglers(seen, now)
 	c.Assert(pool.Lowered(), qt.Equals, 0)
 }
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -37,15 +37,15 @@
 	Class pipeline.Class
 	// Prefix is the hash of the prompt prefix; 0 for none.
 	Prefix uint64
-	// Link is true when the call may leave the region and the link budget has
+	// AllowRemote is true when the call may leave the region and the link budget has
 	// room for it.
-	Link bool
-	// Leave is true when the own region cannot answer in time. It counts only
+	AllowRemote bool
+	// PreferRemote is true when the own region cannot answer in time. It counts only
 	// with Link.
-	Leave bool
-	// Probe is true when the call may go to a server with a lowered weight:
+	PreferRemote bool
+	// AllowProbe is true when the call may go to a server with a lowered weight:
 	// idempotent calls that can be hedged.
-	Probe bool
+	AllowProbe bool
 	// Remaining is the time left for the stage; 0 for no deadline.
 	Remaining time.Duration
 	// Excluded lists servers that were already tried.
--- a/routing/straggler.go
+++ b/routing/straggler.go
@@ -239,7 +239,7 @@
 // probe returns a server with a lowered weight that is due for a call.
 func (p *Pool) probe(t int64, q *Query) ServerIndex {
 	p.sinceProbe++
-	if p.lowered == 0 || !q.Probe || p.sinceProbe < picksPerProbe {
+	if p.lowered == 0 || !q.AllowProbe || p.sinceProbe < picksPerProbe {
 		return none
 	}
 	for _, i := range p.ordered[:p.tierEnd[tierRegion]] {
@@ -253,13 +253,13 @@
 	return none
 }
 
-// PeerStragglers replaces the servers that other instances see as stragglers, with
+// SetPeerStragglers replaces the servers that other instances see as stragglers, with
 // the number of these instances, at no more servers than may be lowered. A server
 // of which this instance has no evidence gets fewer calls while it is reported. A
 // server is lowered to probes once several instances agree, because own evidence is
 // older than theirs; probes restore it. Without that each instance finds a slow
 // server by slow calls of its own.
-func (p *Pool) PeerStragglers(seen map[string]int, now time.Time) {
+func (p *Pool) SetPeerStragglers(seen map[string]int, now time.Time) {
 	left := int(MaxLoweredShare * float64(len(p.ordered)))
 	// Under overload servers look slow because of their queues.
 	busy := p.overloaded()
