--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -2,27 +2,29 @@
 
 import "time"
 
-// bucket is a token bucket whose rate and size are arguments, because shares
-// change while it is in use.
+// bucket is a token bucket. Its rate in tokens per second and its size are
+// arguments of each call, because an instance's share changes over time.
 type bucket struct {
-	tokens float64
-	at     time.Time
+	tokens    float64
+	updatedAt time.Time
 }
 
-// refill adds the tokens of the time that passed. A new bucket is full.
+// refill adds the tokens for the time since the last refill, up to size. A new
+// bucket is full.
 func (b *bucket) refill(now time.Time, rate, size float64) {
-	if b.at.IsZero() {
-		b.tokens, b.at = size, now
+	if b.updatedAt.IsZero() {
+		b.tokens, b.updatedAt = size, now
 		return
 	}
-	if elapsed := now.Sub(b.at).Seconds(); elapsed > 0 {
+	if elapsed := now.Sub(b.updatedAt).Seconds(); elapsed > 0 {
 		b.tokens += elapsed * rate
-		b.at = now
+		b.updatedAt = now
 	}
 	b.tokens = min(b.tokens, size)
 }
 
-// take takes n tokens, or returns how long it takes until there are as many.
+// take removes n tokens. If there are too few, it removes none and returns the
+// time until there are n.
 func (b *bucket) take(n, rate float64) (ok bool, retryAfter time.Duration) {
 	if wait := b.wait(n, rate); wait > 0 {
 		return false, wait
@@ -31,7 +33,7 @@
 	return true, 0
 }
 
-// wait returns how long it takes until there are n tokens, 0 when there are.
+// wait returns the time until the bucket holds n tokens, or 0 when it does now.
 func (b *bucket) wait(n, rate float64) time.Duration {
 	if b.tokens >= n {
 		return 0
@@ -43,9 +45,9 @@
 	return time.Duration(min(missing, float64(maxRetryAfter))) + bucketMargin
 }
 
-// bucketMargin covers the rounding of a wait, so that a caller who comes back
-// after it finds the tokens there.
+// bucketMargin is added to a wait against rounding errors, so that the tokens are
+// available when the caller retries.
 const bucketMargin = time.Millisecond
 
-// maxRetryAfter bounds the time that a refused caller is told to wait.
+// maxRetryAfter is the longest retry delay that is returned to a refused caller.
 const maxRetryAfter = 30 * time.Second
--- a/quota/ratelimiter.go
+++ b/quota/ratelimiter.go
@@ -6,199 +6,208 @@
 	"time"
 )
 
-// MaxListedOrganisations is the number of organisations that a summary names.
+// MaxListedOrganisations is the maximum number of organisations that the summary of
+// one instance lists.
 const MaxListedOrganisations = 16
 
-// Demand is the requests per second of one organisation.
+// Demand is the request rate of one organisation.
 type Demand struct {
 	Organisation string
-	PerSecond    float64
+	// PerSecond is in requests per second, whether allowed or not.
+	PerSecond float64
 }
 
-// Summary is what one instance, or one failure domain, reports of its demand:
-// the largest organisations by name.
+// Summary is the demand that one instance, or one failure domain, reports to its
+// peers.
 type Summary struct {
 	// Instances is the number of instances that the summary covers.
 	Instances int
-	Largest   []Demand
-	// Incomplete reports that organisations that are not named may have demand,
-	// at most as much as the smallest one that is.
+	// Largest lists the organisations with the highest demand.
+	Largest []Demand
+	// Incomplete is true when organisations outside Largest may have demand too, each
+	// at most as much as the smallest in Largest.
 	Incomplete bool
 }
 
 const (
-	// maxOrganisations bounds the organisations with state. It is above the
-	// number in steady use, so that only idle ones are dropped.
+	// maxOrganisations is the maximum number of organisations with state. It is above
+	// the number that are active at a time, so that only idle ones are evicted.
 	maxOrganisations = 1 << 15
-	// demandWindow is the time over which demand is averaged.
+	// demandWindow is the period over which demand is averaged.
 	demandWindow = 5 * time.Second
 )
 
-// organisation is the state of one organisation that was seen recently.
-type organisation struct {
+// organisationState is the rate and demand state of one organisation.
+type organisationState struct {
 	bucket bucket
-	// demand is in requests per second, decaying over demandWindow.
-	demand   float64
-	demandAt time.Time
+	// demand is in requests per second and decays over demandWindow.
+	demand          float64
+	demandUpdatedAt time.Time
 }
 
-// RateLimiter enforces this instance's share of the organisations' rates.
+// RateLimiter limits the requests of organisations to this instance's share of their
+// configured rates. It is not safe for concurrent use.
 type RateLimiter struct {
-	organisations map[string]*organisation
-	// peers holds the demand of the other instances for the named organisations,
-	// less what unnamed already counts for them.
-	peers map[string]float64
-	// unnamed bounds the demand of the other instances for an organisation that
-	// no peer names.
-	unnamed   float64
-	instances int
-	// named holds the organisations of the last own summary.
-	named map[string]bool
-}
-
-// NewRateLimiter returns a share of an instance that knows no other.
+	organisations map[string]*organisationState
+	// peerDemand is the demand at the other instances for the organisations that they
+	// list, less the part that unlistedDemand already includes.
+	peerDemand map[string]float64
+	// unlistedDemand is an upper bound of the demand at the other instances for an
+	// organisation that none of them lists.
+	unlistedDemand float64
+	instances      int
+	// listed holds the organisations in this instance's last summary.
+	listed map[string]bool
+}
+
+// NewRateLimiter returns the rate limiter of an instance without peers.
 func NewRateLimiter() *RateLimiter {
-	return &RateLimiter{organisations: map[string]*organisation{}, peers: map[string]float64{}, instances: 1, named: map[string]bool{}}
+	return &RateLimiter{organisations: map[string]*organisationState{}, peerDemand: map[string]float64{}, instances: 1, listed: map[string]bool{}}
 }
 
 // Observe counts n requests of an organisation, whether they are allowed or not.
-func (s *RateLimiter) Observe(name string, n float64, now time.Time) {
-	o := s.get(name, now)
+func (l *RateLimiter) Observe(name string, n float64, now time.Time) {
+	o := l.getOrCreate(name, now)
 	o.decay(now)
 	o.demand += n / demandWindow.Seconds()
 }
 
-func (o *organisation) decay(now time.Time) {
-	elapsed := now.Sub(o.demandAt).Seconds()
+func (o *organisationState) decay(now time.Time) {
+	elapsed := now.Sub(o.demandUpdatedAt).Seconds()
 	if elapsed <= 0 {
 		return
 	}
 	o.demand *= max(0, 1-elapsed/demandWindow.Seconds())
-	o.demandAt = now
+	o.demandUpdatedAt = now
 }
 
-// get returns the state of an organisation and makes room for a new one.
-func (s *RateLimiter) get(name string, now time.Time) *organisation {
-	if o := s.organisations[name]; o != nil {
+// getOrCreate returns the state of an organisation. It evicts others if there is no
+// room for a new one.
+func (l *RateLimiter) getOrCreate(name string, now time.Time) *organisationState {
+	if o := l.organisations[name]; o != nil {
 		return o
 	}
-	if len(s.organisations) >= maxOrganisations {
-		s.evict(now)
+	if len(l.organisations) >= maxOrganisations {
+		l.evict(now)
 	}
-	o := &organisation{demandAt: now}
-	s.organisations[name] = o
+	o := &organisationState{demandUpdatedAt: now}
+	l.organisations[name] = o
 	return o
 }
 
-// evictShare is the part of the organisations that is dropped when all have
-// demand, so that the search for idle ones is rare.
-const evictShare = 16
+// evictDivisor sets how many organisations are evicted at once when all have demand:
+// one in evictDivisor, so that the scan for idle ones is rare.
+const evictDivisor = 16
 
-// evict drops organisations without recent demand, or some when all have some.
-func (s *RateLimiter) evict(now time.Time) {
-	most := maxOrganisations - maxOrganisations/evictShare
-	for name, o := range s.organisations {
-		if now.Sub(o.demandAt) >= demandWindow {
-			delete(s.organisations, name)
+// evict removes the organisations without recent demand, and arbitrary ones if too
+// many remain.
+func (l *RateLimiter) evict(now time.Time) {
+	target := maxOrganisations - maxOrganisations/evictDivisor
+	for name, o := range l.organisations {
+		if now.Sub(o.demandUpdatedAt) >= demandWindow {
+			delete(l.organisations, name)
 		}
 	}
-	for name := range s.organisations {
-		if len(s.organisations) <= most {
+	for name := range l.organisations {
+		if len(l.organisations) <= target {
 			return
 		}
-		delete(s.organisations, name)
+		delete(l.organisations, name)
 	}
 }
 
-// Summary returns this instance's demand for its peers. It keeps the largest
-// while it walks the organisations: sorting 19,000 of them each second would use
-// more processor time than all control work may.
-func (s *RateLimiter) Summary(now time.Time) Summary {
+// Summary returns this instance's demand, to be reported to its peers. It selects
+// the largest organisations in one pass: sorting 19,000 of them each second would
+// exceed the processor time that is allowed for all control-plane work.
+func (l *RateLimiter) Summary(now time.Time) Summary {
 	largest := make([]Demand, 0, MaxListedOrganisations+1)
-	for name, o := range s.organisations {
+	for name, o := range l.organisations {
 		o.decay(now)
 		if o.demand > 0 {
 			largest = insertLargest(largest, Demand{Organisation: name, PerSecond: o.demand})
 		}
 	}
-	s.name(largest)
+	l.setListed(largest)
 	return Summary{Instances: 1, Largest: largest}
 }
 
-// insertLargest inserts a demand in order and drops the smallest when there are
-// more than NamedOrganisations.
+// insertLargest inserts a demand into a sorted list and drops the smallest when there
+// are more than MaxListedOrganisations.
 func insertLargest(largest []Demand, d Demand) []Demand {
 	if len(largest) == MaxListedOrganisations && compareDemand(d, largest[len(largest)-1]) > 0 {
 		return largest
 	}
-	at, _ := slices.BinarySearchFunc(largest, d, compareDemand)
-	largest = slices.Insert(largest, at, d)
+	index, _ := slices.BinarySearchFunc(largest, d, compareDemand)
+	largest = slices.Insert(largest, index, d)
 	return largest[:min(len(largest), MaxListedOrganisations)]
 }
 
-// compareDemand orders the larger demand first, and equal ones by name.
+// compareDemand sorts by descending demand, then by name.
 func compareDemand(a, b Demand) int {
 	return cmp.Or(cmp.Compare(b.PerSecond, a.PerSecond), cmp.Compare(a.Organisation, b.Organisation))
 }
 
-// name notes the organisations that the peers will know by name.
-func (s *RateLimiter) name(largest []Demand) {
-	clear(s.named)
+// setListed records the organisations that this instance's summary lists.
+func (l *RateLimiter) setListed(largest []Demand) {
+	clear(l.listed)
 	for _, d := range largest {
-		s.named[d.Organisation] = true
+		l.listed[d.Organisation] = true
 	}
 }
 
-// unnamed bounds the demand of an organisation that the summary does not name.
-func (s Summary) unnamed() float64 {
+// maxUnlistedDemand returns an upper bound of the demand of an organisation that the
+// summary does not list.
+func (s Summary) maxUnlistedDemand() float64 {
 	if !s.Incomplete || len(s.Largest) == 0 {
 		return 0
 	}
-	least := func(a, b Demand) int { return cmp.Compare(a.PerSecond, b.PerSecond) }
-	return slices.MinFunc(s.Largest, least).PerSecond
+	byDemand := func(a, b Demand) int { return cmp.Compare(a.PerSecond, b.PerSecond) }
+	return slices.MinFunc(s.Largest, byDemand).PerSecond
 }
 
-// SetPeers replaces what the other instances and failure domains report.
-func (s *RateLimiter) SetPeers(summaries []Summary) {
-	clear(s.peers)
-	s.instances, s.unnamed = 1, 0
+// SetPeers replaces the summaries of the other instances and failure domains.
+func (l *RateLimiter) SetPeers(summaries []Summary) {
+	clear(l.peerDemand)
+	l.instances, l.unlistedDemand = 1, 0
 	for _, summary := range summaries {
-		s.instances += summary.Instances
-		floor := summary.unnamed()
-		s.unnamed += floor
+		l.instances += summary.Instances
+		maxUnlisted := summary.maxUnlistedDemand()
+		l.unlistedDemand += maxUnlisted
 		for _, demand := range summary.Largest {
-			s.peers[demand.Organisation] += demand.PerSecond - floor
+			l.peerDemand[demand.Organisation] += demand.PerSecond - maxUnlisted
 		}
 	}
 }
 
-// Allow takes n requests from this instance's share of an organisation's rate,
-// or returns when there is room again. A rate of 0 is no limit.
-func (s *RateLimiter) Allow(name string, rate float64, burst int, n float64, now time.Time) (ok bool, retryAfter time.Duration) {
+// Allow takes n requests from this instance's share of an organisation's rate, in
+// requests per second. If the share is used up, it returns the time until the
+// requests fit. A rate of 0 means no limit.
+func (l *RateLimiter) Allow(name string, rate float64, burst int, n float64, now time.Time) (ok bool, retryAfter time.Duration) {
 	if rate <= 0 {
 		return true, 0
 	}
-	o := s.get(name, now)
-	share := s.share(name, o, now)
+	o := l.getOrCreate(name, now)
+	share := l.share(name, o, now)
 	size := max(1, share*float64(max(burst, 1)))
 	o.bucket.refill(now, rate*share, size)
 	return o.bucket.take(n, rate*share)
 }
 
-// share is the part of an organisation's rate that is this instance's: its part
-// of the demand when this instance or a peer names the organisation, so that idle
-// instances lend their part, and an equal part otherwise. The parts of all
-// instances add up to at most 1 when their reports are current, since each one
-// counts at least the demand of the others.
-func (s *RateLimiter) share(name string, o *organisation, now time.Time) float64 {
-	others, named := s.peers[name]
-	if !named && !s.named[name] {
-		return 1 / float64(s.instances)
+// share returns the fraction of an organisation's rate that this instance may use.
+// If this instance or a peer lists the organisation, the share is proportional to
+// this instance's part of the demand, so that idle instances leave their part to the
+// others; otherwise all instances have equal shares. The shares of all instances add
+// up to at most 1 when their summaries are current, since each instance counts at
+// least the demand of the others.
+func (l *RateLimiter) share(name string, o *organisationState, now time.Time) float64 {
+	others, listed := l.peerDemand[name]
+	if !listed && !l.listed[name] {
+		return 1 / float64(l.instances)
 	}
-	others += s.unnamed
+	others += l.unlistedDemand
 	o.decay(now)
 	if o.demand+others <= 0 {
-		return 1 / float64(s.instances)
+		return 1 / float64(l.instances)
 	}
 	return o.demand / (o.demand + others)
 }
--- a/quota/ratelimiter_test.go
+++ b/quota/ratelimiter_test.go
@@ -11,18 +11,18 @@
 	_ "github.com/coltsfootdrift/coltsfootdrift/internal/fixedseed"
 )
 
-var shareBegan = time.Unix(1000, 0)
+var limiterStart = time.Unix(1000, 0)
 
-// Guards against bytes of one second that exceed the budget of the link.
+// Guards against more bytes within any one second than the capacity of the link.
 func TestLinkBudgetHoldsInEverySecond(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const capacity = 1000.0
-		link, now := NewLinkBudget(capacity), shareBegan
-		type spent struct {
+		link, now := NewLinkBudget(capacity), limiterStart
+		type transfer struct {
 			at    time.Time
 			bytes int64
 		}
-		var all []spent
+		var transfers []transfer
 		for range 200 {
 			now = now.Add(time.Duration(rapid.IntRange(0, 100).Draw(t, "ms")) * time.Millisecond)
 			bytes := int64(rapid.IntRange(1, 250).Draw(t, "bytes"))
@@ -31,9 +31,9 @@
 			}
 			used := bytes - int64(rapid.IntRange(0, int(bytes)).Draw(t, "unused"))
 			link.Settle(LinkUse{}, bytes, used)
-			all = append(all, spent{now, used})
+			transfers = append(transfers, transfer{now, used})
 			var second int64
-			for _, s := range all {
+			for _, s := range transfers {
 				if now.Sub(s.at) < time.Second {
 					second += s.bytes
 				}
@@ -46,11 +46,11 @@
 }
 
 // Guards against instances that together allow more than an organisation's rate,
-// and against an instance without demand that holds back an equal share.
+// and against an instance with little demand that keeps an equal share unused.
 func TestRateFollowsReportedDemand(t *testing.T) {
 	c := qt.New(t)
 	busy, quiet := NewRateLimiter(), NewRateLimiter()
-	now := shareBegan
+	now := limiterStart
 	allowed := map[*RateLimiter]int{}
 	for step := range 2000 {
 		now = now.Add(10 * time.Millisecond)
@@ -59,13 +59,13 @@
 			busy.SetPeers([]Summary{quietSummary})
 			quiet.SetPeers([]Summary{busySummary})
 		}
-		for _, s := range []*RateLimiter{busy, quiet} {
-			if s == quiet && step%9 != 0 {
+		for _, limiter := range []*RateLimiter{busy, quiet} {
+			if limiter == quiet && step%9 != 0 {
 				continue
 			}
-			s.Observe("acme", 1, now)
-			if ok, _ := s.Allow("acme", 20, 5, 1, now); ok && step >= 1000 {
-				allowed[s]++
+			limiter.Observe("acme", 1, now)
+			if ok, _ := limiter.Allow("acme", 20, 5, 1, now); ok && step >= 1000 {
+				allowed[limiter]++
 			}
 		}
 	}
@@ -74,18 +74,18 @@
 	c.Assert(allowed[busy] > 4*allowed[quiet], qt.IsTrue)
 }
 
-// Guards against state that grows with the number of organisations ever seen.
+// Guards against memory use that grows with the number of organisations ever seen.
 func TestOrganisationsAreBounded(t *testing.T) {
 	s := NewRateLimiter()
 	for i := range 2 * maxOrganisations {
-		s.Observe(fmt.Sprint(i), 1, shareBegan)
+		s.Observe(fmt.Sprint(i), 1, limiterStart)
 	}
 	qt.Assert(t, len(s.organisations) <= maxOrganisations, qt.IsTrue)
-	qt.Assert(t, s.Summary(shareBegan).Largest, qt.HasLen, MaxListedOrganisations)
+	qt.Assert(t, s.Summary(limiterStart).Largest, qt.HasLen, MaxListedOrganisations)
 }
 
-func benchmarkShare(b *testing.B, organisations int) {
-	s, now := NewRateLimiter(), shareBegan
+func benchmarkRateLimiter(b *testing.B, organisations int) {
+	s, now := NewRateLimiter(), limiterStart
 	names := make([]string, organisations)
 	for i := range names {
 		names[i] = fmt.Sprint("organisation-", i)
@@ -101,21 +101,21 @@
 	}
 }
 
-func BenchmarkShare5(b *testing.B)     { benchmarkShare(b, 5) }
-func BenchmarkShare19000(b *testing.B) { benchmarkShare(b, 19000) }
+func BenchmarkRateLimiter5(b *testing.B)     { benchmarkRateLimiter(b, 5) }
+func BenchmarkRateLimiter19000(b *testing.B) { benchmarkRateLimiter(b, 19000) }
 
-// Guards against a summary that names other organisations than the largest, or
-// in another order.
-func TestSummaryNamesTheLargest(t *testing.T) {
+// Guards against a summary that lists organisations other than the largest, or in
+// the wrong order.
+func TestSummaryListsTheLargest(t *testing.T) {
 	c := qt.New(t)
 	s := NewRateLimiter()
 	for i := range 100 {
-		s.Observe(fmt.Sprintf("o%02d", i), float64(1+i*37%50), shareBegan)
+		s.Observe(fmt.Sprintf("o%02d", i), float64(1+i*37%50), limiterStart)
 	}
-	got := s.Summary(shareBegan).Largest
+	got := s.Summary(limiterStart).Largest
 	c.Assert(got, qt.HasLen, MaxListedOrganisations)
 	for i, demand := range got {
-		// Demands 50, 49, ... are held by two organisations each, 50 apart.
+		// Each of the demands 50, 49, ... belongs to two organisations, 50 apart.
 		c.Assert(demand.PerSecond, qt.Equals, float64(50-i/2)/demandWindow.Seconds())
 		c.Assert(i%2 == 0 || demand.Organisation > got[i-1].Organisation, qt.IsTrue)
 	}
@@ -124,36 +124,36 @@
 func benchmarkSummary(b *testing.B, organisations int) {
 	s := NewRateLimiter()
 	for i := range organisations {
-		s.Observe(fmt.Sprint("organisation-", i), float64(1+i%7), shareBegan)
+		s.Observe(fmt.Sprint("organisation-", i), float64(1+i%7), limiterStart)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		s.Summary(shareBegan)
+		s.Summary(limiterStart)
 	}
 }
 
 func BenchmarkSummary5(b *testing.B)     { benchmarkSummary(b, 5) }
 func BenchmarkSummary19000(b *testing.B) { benchmarkSummary(b, 19000) }
 
-// Guards against shares of one rate that add up to more than 1 because a peer's
-// list is full and leaves the organisation out, and against an organisation that
-// nobody names and whose rate is granted by each instance.
-func TestSharesOfUnnamedOrganisations(t *testing.T) {
+// Guards against shares of one rate that add up to more than 1: because a peer's
+// list is full and omits the organisation, or because no instance lists it and each
+// one grants the whole rate.
+func TestSharesOfUnlistedOrganisations(t *testing.T) {
 	c := qt.New(t)
 	busy, quiet := NewRateLimiter(), NewRateLimiter()
 	for range 10 {
-		busy.Observe("acme", 1, shareBegan)
+		busy.Observe("acme", 1, limiterStart)
 	}
 	for i := range MaxListedOrganisations {
-		quiet.Observe(fmt.Sprint(i), 5, shareBegan)
+		quiet.Observe(fmt.Sprint(i), 5, limiterStart)
 	}
-	quiet.Observe("acme", 4, shareBegan)
-	full := quiet.Summary(shareBegan)
+	quiet.Observe("acme", 4, limiterStart)
+	full := quiet.Summary(limiterStart)
 	full.Incomplete = true
 	busy.SetPeers([]Summary{full})
-	quiet.SetPeers([]Summary{busy.Summary(shareBegan)})
+	quiet.SetPeers([]Summary{busy.Summary(limiterStart)})
 	sum := func(name string) float64 {
-		return busy.share(name, busy.get(name, shareBegan), shareBegan) + quiet.share(name, quiet.get(name, shareBegan), shareBegan)
+		return busy.share(name, busy.getOrCreate(name, limiterStart), limiterStart) + quiet.share(name, quiet.getOrCreate(name, limiterStart), limiterStart)
 	}
 	c.Assert(sum("acme") > 0.5 && sum("acme") <= 1, qt.IsTrue, qt.Commentf("%v", sum("acme")))
 	c.Assert(sum("idle"), qt.Equals, 1.0)
--- a/quota/storebudget_test.go
+++ b/quota/storebudget_test.go
@@ -13,8 +13,8 @@
 
 var start = time.Unix(1000, 0)
 
-// Guards against an instance that exceeds its share, and against shares whose
-// sum exceeds the limit of the store.
+// Guards against an instance that exceeds its share, and against shares that
+// together exceed the store's limit.
 func TestSharesStayWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		instances := rapid.IntRange(1, 390).Draw(t, "instances")
@@ -34,7 +34,7 @@
 	})
 }
 
-// Guards against a lower class that takes the token for which a claim waits.
+// Guards against a call of a lower class that takes the token a waiting claim needs.
 func TestHigherClassGetsTheNextToken(t *testing.T) {
 	c := qt.New(t)
 	budget := NewStoreBudget(DefaultStoreLimits, 140, start)
@@ -49,37 +49,37 @@
 	c.Assert(budget.Allow(later, StoreClaims, StoreWrite).Granted, qt.IsTrue)
 }
 
-// Guards against durable work that keeps its instance's lease from being kept
-// alive: without the lease no job may be written.
+// Guards against job writes that use up the tokens for the keep-alives of the
+// instance's lease: without the lease no job may be written.
 func TestWaitingJobsLeaveRoomForTheLease(t *testing.T) {
 	c := qt.New(t)
 	for _, instances := range []int{3, 9, 390} {
 		budget := NewStoreBudget(DefaultStoreLimits, instances, start)
 		budget.AddWaiting(StoreJobs, StoreWrite, 1)
-		now, kept, jobs := start, start, 0
+		now, renewed, jobs := start, start, 0
 		for now.Sub(start) < time.Minute {
 			now = now.Add(10 * time.Millisecond)
 			if budget.Allow(now, StoreJobs, StoreWrite).Granted {
 				jobs++
 			}
 			// A keep-alive is due every 4 s and waits until it is granted.
-			if now.Sub(kept) < 4*time.Second {
+			if now.Sub(renewed) < 4*time.Second {
 				continue
 			}
 			if budget.Allow(now, StoreLeases, StoreWrite).Granted {
-				kept = now
+				renewed = now
 				budget.AddWaiting(StoreLeases, StoreWrite, -budget.waiting[StoreWrite][StoreLeases])
 				continue
 			}
 			budget.AddWaiting(StoreLeases, StoreWrite, 1-budget.waiting[StoreWrite][StoreLeases])
-			// A lease of 10 s with a margin of 3 s must not lapse.
-			c.Assert(now.Sub(kept) < 7*time.Second, qt.IsTrue, qt.Commentf("%d instances, %v", instances, now.Sub(kept)))
+			// A lease of 10 s with a safety margin of 3 s must not expire.
+			c.Assert(now.Sub(renewed) < 7*time.Second, qt.IsTrue, qt.Commentf("%d instances, %v", instances, now.Sub(renewed)))
 		}
 		c.Assert(jobs > 0, qt.IsTrue)
 	}
 }
 
-// Guards against instances that all call a store that is down, and against a
+// Guards against more than one call at a time to a store that is down, and against a
 // backoff outside its bounds.
 func TestOneProbeAtATimeAfterAnOutage(t *testing.T) {
 	c := qt.New(t)
