--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,7 +1,7 @@
-// Package admission decides when requests start. A Queue guards one pool: it
-// holds requests by class, priority and organisation, starts them within an
-// adaptive concurrency limit, and refuses at once those that cannot be answered
-// by their deadline. It does no I/O and reads no clock.
+// Package admission implements admission control for pools of backend servers. A
+// Queue serves one pool: it queues requests by class, priority and organisation,
+// admits them within an adaptive concurrency limit, and refuses at once those that
+// cannot be answered by their deadline. The package does no I/O and reads no clock.
 package admission
 
 import (
@@ -10,16 +10,16 @@
 	"github.com/coltsfootdrift/coltsfootdrift/pipeline"
 )
 
-// Ticket is a request that asks to start.
+// Ticket describes a request to the queue that decides on its admission.
 type Ticket struct {
 	// ID is unique among the tickets of a queue and not 0.
 	ID           uint64
 	Class        pipeline.Class
 	Priority     int
 	Organisation string
-	// Weight is the organisation's share under contention; 0 means 1.
+	// Weight is the organisation's relative share when organisations compete; 0 means 1.
 	Weight int
-	// Deadline is when the whole answer is needed.
+	// Deadline is when the complete answer must be available.
 	Deadline time.Time
 }
 
@@ -28,49 +28,50 @@
 
 // Verdicts.
 const (
-	// Waiting tickets get another decision later.
+	// Waiting tickets are queued and get a final decision later.
 	Waiting Verdict = iota
-	// Admitted tickets start, and are released when they end.
+	// Admitted tickets may start. The caller releases them when they end.
 	Admitted
 	// Refused tickets never start.
 	Refused
 )
 
-// Reason says why a ticket was refused.
+// Reason is why a ticket was refused.
 type Reason string
 
 // Reasons of a refusal.
 const (
 	// ReasonDeadline means that the answer would come too late.
 	ReasonDeadline Reason = "deadline"
-	// ReasonFull means that the queue is as long as it may be.
+	// ReasonFull means that the queue has reached its maximum length.
 	ReasonFull Reason = "queue_full"
 	// ReasonNoServer means that the pool has no server.
 	ReasonNoServer Reason = "no_server"
 )
 
-// Decision is what becomes of a ticket.
+// Decision is the queue's decision on a ticket.
 type Decision struct {
 	TicketID uint64
 	Verdict  Verdict
 	Reason   Reason
-	// RetryAfter is when a refused caller may come back.
+	// RetryAfter is the delay after which a refused caller may retry.
 	RetryAfter time.Duration
 }
 
-// Result is the end of an admitted request.
+// Result is how an admitted request ended.
 type Result struct {
-	// Duration is the time since the admission.
+	// Duration is the time from the admission to the end.
 	Duration time.Duration
-	// Completed is true when the request has its whole answer.
+	// Completed is true when the request was answered completely.
 	Completed bool
 }
 
-// Shares of the limit.
+// Fractions of the concurrency limit.
 const (
-	// LongShare is the share that long work may take.
+	// LongShare is the most that requests of the long class may use.
 	LongShare = 0.6
-	// LongReserve is the share that waiting long work gets before any other.
+	// LongReserve is the part that waiting requests of the long class get before those
+	// of any other class.
 	LongReserve = 0.2
 )
 
--- a/admission/fair.go
+++ b/admission/fair.go
@@ -2,108 +2,111 @@
 
 import "slices"
 
-// fair holds the waiting tickets of one class and priority. Organisations take
-// turns by deficit round robin; one without waiting tickets leaves the round, so
-// that the others use its share.
-type fair struct {
+// fairQueue holds the waiting tickets of one class and priority. It schedules
+// organisations by deficit round robin; one without waiting tickets is removed from
+// the rotation, so that the others use its share.
+type fairQueue struct {
 	priority int
-	round    []*backlog
-	byName   map[string]*backlog
-	size     int
+	// active lists the organisations with waiting tickets; the first one has its turn.
+	active         []*organisationQueue
+	byOrganisation map[string]*organisationQueue
+	size           int
 }
 
-// backlog is the waiting tickets of one organisation, oldest first.
-type backlog struct {
+// organisationQueue holds the waiting tickets of one organisation, oldest first.
+type organisationQueue struct {
 	organisation string
 	weight       int
-	// credit is the number of tickets that may start in this turn.
-	credit  int
+	// deficit is the number of tickets that may still start in the current turn.
+	deficit int
 	tickets []Ticket
 }
 
-func (f *fair) push(t Ticket) {
-	b := f.byName[t.Organisation]
-	if b == nil {
-		b = &backlog{organisation: t.Organisation}
-		f.byName[t.Organisation] = b
-		f.round = append(f.round, b)
+func (f *fairQueue) push(t Ticket) {
+	queue := f.byOrganisation[t.Organisation]
+	if queue == nil {
+		queue = &organisationQueue{organisation: t.Organisation}
+		f.byOrganisation[t.Organisation] = queue
+		f.active = append(f.active, queue)
 	}
-	b.weight = max(1, t.Weight)
-	b.tickets = append(b.tickets, t)
+	queue.weight = max(1, t.Weight)
+	queue.tickets = append(queue.tickets, t)
 	f.size++
 }
 
-// pop removes the next ticket.
-func (f *fair) pop() Ticket {
-	b := f.round[0]
-	if b.credit <= 0 {
-		b.credit = b.weight
+// pop removes and returns the next ticket. The queue must not be empty.
+func (f *fairQueue) pop() Ticket {
+	queue := f.active[0]
+	if queue.deficit <= 0 {
+		queue.deficit = queue.weight
 	}
-	t := b.tickets[0]
-	b.tickets = b.tickets[1:]
-	b.credit--
+	ticket := queue.tickets[0]
+	queue.tickets = queue.tickets[1:]
+	queue.deficit--
 	f.size--
 	switch {
-	case len(b.tickets) == 0:
-		f.leave(0)
-	case b.credit == 0:
-		copy(f.round, f.round[1:])
-		f.round[len(f.round)-1] = b
+	case len(queue.tickets) == 0:
+		f.removeAt(0)
+	case queue.deficit == 0:
+		copy(f.active, f.active[1:])
+		f.active[len(f.active)-1] = queue
 	}
-	return t
+	return ticket
 }
 
-// leave takes an organisation without waiting tickets out of the round.
-func (f *fair) leave(place int) {
-	delete(f.byName, f.round[place].organisation)
-	f.round = slices.Delete(f.round, place, place+1)
+// removeAt removes an organisation without waiting tickets from the rotation.
+func (f *fairQueue) removeAt(index int) {
+	delete(f.byOrganisation, f.active[index].organisation)
+	f.active = slices.Delete(f.active, index, index+1)
 }
 
-// removeIf removes the tickets for which drop is true.
-func (f *fair) removeIf(drop func(Ticket) bool) {
-	for place := len(f.round) - 1; place >= 0; place-- {
-		b := f.round[place]
-		before := len(b.tickets)
-		b.tickets = slices.DeleteFunc(b.tickets, drop)
-		f.size -= before - len(b.tickets)
-		if len(b.tickets) == 0 {
-			f.leave(place)
+// removeIf removes the tickets for which drop returns true.
+func (f *fairQueue) removeIf(drop func(Ticket) bool) {
+	for index := len(f.active) - 1; index >= 0; index-- {
+		queue := f.active[index]
+		before := len(queue.tickets)
+		queue.tickets = slices.DeleteFunc(queue.tickets, drop)
+		f.size -= before - len(queue.tickets)
+		if len(queue.tickets) == 0 {
+			f.removeAt(index)
 		}
 	}
 }
 
-// levels holds the waiting tickets of one class, highest priority first.
-type levels struct {
-	fair []*fair
-	size int
+// classQueue holds the waiting tickets of one class, highest priority first.
+type classQueue struct {
+	byPriority []*fairQueue
+	size       int
 }
 
-func (l *levels) push(t Ticket) {
-	place, found := slices.BinarySearchFunc(l.fair, t.Priority, func(f *fair, priority int) int {
+func (c *classQueue) push(t Ticket) {
+	index, found := slices.BinarySearchFunc(c.byPriority, t.Priority, func(f *fairQueue, priority int) int {
 		return priority - f.priority
 	})
 	if !found {
-		l.fair = slices.Insert(l.fair, place, &fair{priority: t.Priority, byName: map[string]*backlog{}})
+		c.byPriority = slices.Insert(c.byPriority, index, &fairQueue{priority: t.Priority, byOrganisation: map[string]*organisationQueue{}})
 	}
-	l.fair[place].push(t)
-	l.size++
+	c.byPriority[index].push(t)
+	c.size++
 }
 
-// pop removes the next ticket of the highest priority that waits.
-func (l *levels) pop() (Ticket, bool) {
-	for _, f := range l.fair {
+// pop removes and returns the next ticket of the highest priority, and false when
+// none waits.
+func (c *classQueue) pop() (Ticket, bool) {
+	for _, f := range c.byPriority {
 		if f.size > 0 {
-			l.size--
+			c.size--
 			return f.pop(), true
 		}
 	}
 	return Ticket{}, false
 }
 
-// ahead is the number of tickets that go before a new one of a priority.
-func (l *levels) ahead(priority int) int {
+// countAhead returns the number of waiting tickets that precede a new one of the
+// given priority.
+func (c *classQueue) countAhead(priority int) int {
 	ahead := 0
-	for _, f := range l.fair {
+	for _, f := range c.byPriority {
 		if f.priority >= priority {
 			ahead += f.size
 		}
@@ -111,11 +114,11 @@
 	return ahead
 }
 
-func (l *levels) removeIf(drop func(Ticket) bool) {
-	l.size = 0
-	for _, f := range l.fair {
+func (c *classQueue) removeIf(drop func(Ticket) bool) {
+	c.size = 0
+	for _, f := range c.byPriority {
 		f.removeIf(drop)
-		l.size += f.size
+		c.size += f.size
 	}
-	l.fair = slices.DeleteFunc(l.fair, func(f *fair) bool { return f.size == 0 })
+	c.byPriority = slices.DeleteFunc(c.byPriority, func(f *fairQueue) bool { return f.size == 0 })
 }
--- a/admission/limiter.go
+++ b/admission/limiter.go
@@ -3,46 +3,52 @@
 import "time"
 
 const (
-	// windowLength is the time after which the limit is adapted.
+	// windowLength is the interval at which the limit is adapted.
 	windowLength = 200 * time.Millisecond
-	// minWindow is the number of answers without which a window says nothing.
-	minWindow = 5
-	// slowFactor is the multiple of the usual duration above which the limit shrinks.
+	// minWindowSamples is the number of answers below which a window is not evaluated.
+	minWindowSamples = 5
+	// slowFactor is the multiple of the baseline duration above which the limit shrinks.
 	slowFactor = 2.0
-	shrink     = 0.9
-	growth     = 0.05
-	// Bounds of the limit as multiples of the share of slots. With a floor of 0.5
-	// a pool that was slow for another reason than its load refused a third of
-	// the requests at 58 % load.
-	leastShare = 0.8
-	mostShare  = 1.0
-	// usualRise per window lets the usual duration follow a pool that stays slow.
-	usualRise = 1.005
+	// shrinkFactor multiplies the factor of the limit after a slow window; growthStep
+	// is added to it after any other window with enough answers.
+	shrinkFactor = 0.9
+	growthStep   = 0.05
+	// Bounds of the limit as multiples of the instance's share of the slots. With a
+	// minimum of 0.5, a pool that was slow for a reason other than load refused a third
+	// of its requests at 58 % load.
+	minFactor = 0.8
+	maxFactor = 1.0
+	// baselineRise multiplies the baseline in each window, so that it adapts to a pool
+	// that remains slow.
+	baselineRise = 1.005
 )
 
-// limiter adapts the number of requests that run at once: it starts at the
-// instance's share of the slots, shrinks while requests take much longer than
-// usual, and grows back.
+// limiter adapts the number of requests that run concurrently. The limit starts at
+// the instance's share of the pool's slots, shrinks while requests take much longer
+// than the baseline, and then grows back.
 type limiter struct {
-	share   float64
-	factor  float64
-	windows [classCount]window
-	endsAt  time.Time
+	// share is the instance's share of the pool's slots, in slots.
+	share float64
+	// factor multiplies share to give the limit.
+	factor    float64
+	windows   [classCount]window
+	windowEnd time.Time
 }
 
-// window is the durations of one class since the limit was last adapted.
+// window aggregates the durations of one class since the limit was last adapted.
 type window struct {
 	count int
-	sum   float64
-	// usual is the lowest recent mean in seconds.
-	usual float64
+	// sum is the total duration in seconds.
+	sum float64
+	// baseline is the lowest recent mean duration in seconds.
+	baseline float64
 }
 
 func newLimiter(share float64) limiter {
-	return limiter{share: share, factor: mostShare}
+	return limiter{share: share, factor: maxFactor}
 }
 
-// limit is the number of requests that may run at once.
+// limit returns the number of requests that may run concurrently.
 func (l *limiter) limit() int {
 	if l.share <= 0 {
 		return 0
@@ -55,31 +61,31 @@
 	l.windows[class].sum += d.Seconds()
 }
 
-// adapt ends a window.
+// adapt evaluates the current window if it is over, and starts the next one.
 func (l *limiter) adapt(now time.Time) {
-	if now.Before(l.endsAt) {
+	if now.Before(l.windowEnd) {
 		return
 	}
-	l.endsAt = now.Add(windowLength)
-	slow, known := false, false
+	l.windowEnd = now.Add(windowLength)
+	slow, measured := false, false
 	for i := range l.windows {
 		w := &l.windows[i]
-		if w.count < minWindow {
+		if w.count < minWindowSamples {
 			continue
 		}
-		known = true
+		measured = true
 		mean := w.sum / float64(w.count)
-		if w.usual == 0 || mean < w.usual {
-			w.usual = mean
+		if w.baseline == 0 || mean < w.baseline {
+			w.baseline = mean
 		}
-		slow = slow || mean > slowFactor*w.usual
-		w.usual *= usualRise
+		slow = slow || mean > slowFactor*w.baseline
+		w.baseline *= baselineRise
 		w.count, w.sum = 0, 0
 	}
 	switch {
 	case slow:
-		l.factor = max(leastShare, l.factor*shrink)
-	case known:
-		l.factor = min(mostShare, l.factor+growth)
+		l.factor = max(minFactor, l.factor*shrinkFactor)
+	case measured:
+		l.factor = min(maxFactor, l.factor+growthStep)
 	}
 }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -7,42 +7,45 @@
 )
 
 const (
-	// maxWaiting bounds the queue; the deadline refuses far earlier in practice.
+	// maxWaiting is the maximum length of the queue. In practice, requests are refused
+	// because of their deadlines long before it is reached.
 	maxWaiting = 10000
-	// waitShare is the part of the spare time that a request may be expected to
-	// wait, because the drain rate is an estimate.
-	waitShare = 0.7
-	// Bounds of Retry-After, and the part of it that is random.
+	// maxWaitFraction is the largest fraction of a request's slack that its estimated
+	// wait may use. It is below 1 because the completion rate is an estimate.
+	maxWaitFraction = 0.7
+	// Bounds of Retry-After before jitter, and the largest jitter as a fraction of it.
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
 	retryJitter   = 0.5
-	// borrowShare is the part of the limit that interactive requests may borrow.
-	borrowShare = 0.25
-	// durationGain is the weight of a new duration in its mean.
+	// borrowFraction is the fraction of the limit by which interactive requests may
+	// exceed it.
+	borrowFraction = 0.25
+	// durationGain is the weight of a new duration in the moving average.
 	durationGain = 0.1
 )
 
-// Queue admits the requests of one pool.
+// Queue is the admission queue of one pool. It is not safe for concurrent use.
 type Queue struct {
 	random  *rand.Rand
 	limiter limiter
-	waiting [classCount]levels
+	waiting [classCount]classQueue
 	running [classCount]int
-	// expected is the mean duration of completed requests by class, in seconds.
-	expected [classCount]float64
-	drain    drainRate
+	// expected is the moving average of the duration by class, in seconds.
+	expected    [classCount]float64
+	completions completionRate
 }
 
-// NewQueue returns a queue for an instance whose share of the pool is a number
-// of slots.
+// NewQueue returns a queue for an instance whose share of the pool is the given
+// number of slots.
 func NewQueue(share float64, random *rand.Rand) *Queue {
 	return &Queue{random: random, limiter: newLimiter(share)}
 }
 
-// SetShare sets the instance's share of the pool's slots.
+// SetShare sets the instance's share of the pool, in slots.
 func (q *Queue) SetShare(share float64) { q.limiter.share = share }
 
-// Limit is the number of requests that may run at once now.
+// Limit returns the number of requests that may currently run at once. Interactive
+// requests may exceed it by a fixed fraction.
 func (q *Queue) Limit() int { return q.limiter.limit() }
 
 // Load returns the number of running and of waiting requests.
@@ -60,41 +63,42 @@
 	if q.Limit() == 0 {
 		return q.refuse(t, ReasonNoServer, 0)
 	}
-	if q.waiting[class].size == 0 && q.mayStart(class) {
-		if !q.inTime(now, t, 0) {
+	if q.waiting[class].size == 0 && q.canStart(class) {
+		if !q.canMeetDeadline(now, t, 0) {
 			return q.refuse(t, ReasonDeadline, 0)
 		}
 		q.running[class]++
 		return Decision{TicketID: t.ID, Verdict: Admitted}
 	}
 	if _, waiting := q.Load(); waiting >= maxWaiting {
-		return q.refuse(t, ReasonFull, q.wait(now, t))
+		return q.refuse(t, ReasonFull, q.estimateWait(now, t))
 	}
-	if wait := q.wait(now, t); !q.inTime(now, t, wait) {
+	if wait := q.estimateWait(now, t); !q.canMeetDeadline(now, t, wait) {
 		return q.refuse(t, ReasonDeadline, wait)
 	}
 	q.waiting[class].push(t)
 	return Decision{TicketID: t.ID, Verdict: Waiting}
 }
 
-// Release ends an admitted ticket. The caller then calls Tick.
+// Release records the end of an admitted ticket. The caller then calls Tick.
 func (q *Queue) Release(now time.Time, t Ticket, result Result) {
 	class := classIndex(t.Class)
 	if q.running[class] == 0 {
 		return
 	}
 	q.running[class]--
-	q.drain.add(now)
-	q.learn(class, result)
+	q.completions.add(now)
+	q.updateExpected(class, result)
 	if result.Completed {
 		q.limiter.record(class, result.Duration)
 	}
 }
 
-// learn updates the expected duration. A request without an answer would have
-// taken longer than it did. The answer to a request that ran alone replaces an
-// expectation that was far too long.
-func (q *Queue) learn(class int, result Result) {
+// updateExpected updates the expected duration of a class. A request that did not
+// complete would have taken longer than it did, so that it counts only if it took
+// longer than expected. The duration of a request that ran alone in its class replaces
+// an expected duration that is more than twice as long.
+func (q *Queue) updateExpected(class int, result Result) {
 	seconds := result.Duration.Seconds()
 	expected := q.expected[class]
 	switch {
@@ -114,19 +118,19 @@
 	return level.size < before
 }
 
-// Tick returns the decisions on waiting tickets that are due: those that start,
-// and those whose deadline can no longer be met.
+// Tick adapts the limit, admits waiting tickets while there is room, and refuses those
+// among them whose deadline can no longer be met. It returns the decisions.
 func (q *Queue) Tick(now time.Time) []Decision {
 	q.limiter.adapt(now)
 	var decisions []Decision
 	for {
-		class, ok := q.next()
+		class, ok := q.nextClass()
 		if !ok {
 			return decisions
 		}
 		t, _ := q.waiting[class].pop()
-		if !q.inTime(now, t, 0) {
-			decisions = append(decisions, q.refuse(t, ReasonDeadline, q.wait(now, t)))
+		if !q.canMeetDeadline(now, t, 0) {
+			decisions = append(decisions, q.refuse(t, ReasonDeadline, q.estimateWait(now, t)))
 			continue
 		}
 		q.running[class]++
@@ -134,41 +138,43 @@
 	}
 }
 
-// Expire refuses the waiting tickets whose deadline can no longer be met.
+// Expire refuses all waiting tickets whose deadline can no longer be met and returns
+// the decisions.
 func (q *Queue) Expire(now time.Time) []Decision {
 	var decisions []Decision
 	for class := range q.waiting {
 		q.waiting[class].removeIf(func(t Ticket) bool {
-			if q.inTime(now, t, 0) {
+			if q.canMeetDeadline(now, t, 0) {
 				return false
 			}
-			decisions = append(decisions, q.refuse(t, ReasonDeadline, q.wait(now, t)))
+			decisions = append(decisions, q.refuse(t, ReasonDeadline, q.estimateWait(now, t)))
 			return true
 		})
 	}
 	return decisions
 }
 
-// next chooses the class of the next ticket to start: long work while it has
-// less than its reserve, then by precedence.
-func (q *Queue) next() (class int, ok bool) {
-	if q.waiting[classLong].size > 0 && q.running[classLong] < q.reserve() && q.mayStart(classLong) {
+// nextClass returns the class of the next ticket to start: the long class while it
+// runs fewer requests than its reserve, otherwise the first class with a waiting ticket
+// that may start.
+func (q *Queue) nextClass() (class int, ok bool) {
+	if q.waiting[classLong].size > 0 && q.running[classLong] < q.reserve() && q.canStart(classLong) {
 		return classLong, true
 	}
 	for class := range classCount {
-		if q.waiting[class].size > 0 && q.mayStart(class) {
+		if q.waiting[class].size > 0 && q.canStart(class) {
 			return class, true
 		}
 	}
 	return 0, false
 }
 
-// mayStart reports whether the limit has room for one more request of a class.
-func (q *Queue) mayStart(class int) bool {
+// canStart reports whether the limit has room for one more request of a class.
+func (q *Queue) canStart(class int) bool {
 	running, _ := q.Load()
 	limit := q.Limit()
 	if class == classInteractive {
-		return running < limit+q.borrow()
+		return running < limit+q.borrowable()
 	}
 	if running >= limit {
 		return false
@@ -179,48 +185,48 @@
 	return true
 }
 
-// borrow is the number of interactive requests that may start above the limit,
-// in slots that other instances probably leave free. There are none while
-// requests take longer than usual, nor while long work waits for its reserve:
-// it starts within the limit only, and would starve behind borrowed slots.
-func (q *Queue) borrow() int {
+// borrowable returns the number of interactive requests that may run above the limit,
+// in slots that other instances probably leave free. It is 0 while the limit is
+// reduced, and while requests of the long class wait for their reserve: they start
+// only within the limit and would starve if interactive requests ran above it.
+func (q *Queue) borrowable() int {
 	starved := q.waiting[classLong].size > 0 && q.running[classLong] < q.reserve()
-	if starved || q.limiter.factor < mostShare {
+	if starved || q.limiter.factor < maxFactor {
 		return 0
 	}
-	return int(math.Ceil(borrowShare * float64(q.Limit())))
+	return int(math.Ceil(borrowFraction * float64(q.Limit())))
 }
 
-// reserve is the number of long requests that start before any other.
+// reserve returns the number of slots reserved for requests of the long class.
 func (q *Queue) reserve() int {
 	return max(1, int(LongReserve*float64(q.Limit())))
 }
 
-// inTime reports whether a ticket that waits this long can be answered by its
-// deadline. The expected duration is not held against a request that would run
-// alone in its class, so that an expectation from an overload is corrected.
-func (q *Queue) inTime(now time.Time, t Ticket, wait time.Duration) bool {
-	spare := t.Deadline.Sub(now)
+// canMeetDeadline reports whether a ticket that starts after the given wait can be
+// answered by its deadline. The expected duration is ignored if no other request of the
+// class runs, so that one that an overload made too long is corrected.
+func (q *Queue) canMeetDeadline(now time.Time, t Ticket, wait time.Duration) bool {
+	slack := t.Deadline.Sub(now)
 	if q.running[classIndex(t.Class)] > 0 {
-		spare -= q.expect(t)
+		slack -= q.expectedDuration(t)
 	}
-	return spare >= 0 && float64(wait) <= waitShare*float64(spare)
+	return slack >= 0 && float64(wait) <= maxWaitFraction*float64(slack)
 }
 
-func (q *Queue) expect(t Ticket) time.Duration {
+func (q *Queue) expectedDuration(t Ticket) time.Duration {
 	return time.Duration(q.expected[classIndex(t.Class)] * float64(time.Second))
 }
 
-// wait estimates how long a new ticket waits until it starts.
-func (q *Queue) wait(now time.Time, t Ticket) time.Duration {
+// estimateWait estimates how long a new ticket would wait until it starts.
+func (q *Queue) estimateWait(now time.Time, t Ticket) time.Duration {
 	class := classIndex(t.Class)
-	ahead := 1 + q.waiting[class].ahead(t.Priority)
-	for before := range class {
-		ahead += q.waiting[before].size
+	ahead := 1 + q.waiting[class].countAhead(t.Priority)
+	for higher := range class {
+		ahead += q.waiting[higher].size
 	}
-	perSecond := q.drain.perSecond(now)
+	perSecond := q.completions.perSecond(now)
 	if perSecond == 0 {
-		perSecond = q.perSecond(class)
+		perSecond = q.limitRate(class)
 	}
 	if perSecond == 0 {
 		return 0
@@ -228,16 +234,17 @@
 	return time.Duration(float64(ahead) / perSecond * float64(time.Second))
 }
 
-// perSecond is the drain rate that follows from the limit and the durations.
-func (q *Queue) perSecond(class int) float64 {
+// limitRate returns the completion rate, in requests per second, that follows from the
+// limit and the expected duration; 0 when the duration is unknown.
+func (q *Queue) limitRate(class int) float64 {
 	if q.expected[class] == 0 {
 		return 0
 	}
 	return float64(q.Limit()) / q.expected[class]
 }
 
-// refuse returns a refusal. The time to come back is the wait with jitter, so
-// that refused callers do not come back together.
+// refuse returns a refusal. RetryAfter is the wait plus jitter, so that refused callers
+// do not all retry at the same time.
 func (q *Queue) refuse(t Ticket, reason Reason, wait time.Duration) Decision {
 	wait = min(maxRetryAfter, max(minRetryAfter, wait))
 	wait += time.Duration(retryJitter * q.random.Float64() * float64(wait))
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -14,19 +14,20 @@
 	"github.com/coltsfootdrift/coltsfootdrift/pipeline"
 )
 
-var began = time.Unix(1000, 0)
+var startTime = time.Unix(1000, 0)
 
 func newQueue(share float64) *Queue { return NewQueue(share, rand.New(rand.NewPCG(1, 2))) }
 
-// Guards against a refused ticket that is admitted later, a ticket with two final
-// decisions, more running requests than the limit, and long work above its share.
+// Guards against a ticket with two final decisions, such as one admitted after its
+// refusal, against more running requests than the limit, and against more requests of
+// the long class than its share.
 func TestDecisionsAreFinal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := newQueue(float64(rapid.IntRange(1, 12).Draw(t, "share")))
-		now, id := began, uint64(0)
+		now, id := startTime, uint64(0)
 		final, tickets := map[uint64]Verdict{}, map[uint64]Ticket{}
 		var running []Ticket
-		take := func(decisions ...Decision) {
+		record := func(decisions ...Decision) {
 			for _, d := range decisions {
 				if d.Verdict == Waiting {
 					continue
@@ -38,7 +39,7 @@
 				if d.Verdict == Admitted {
 					running = append(running, tickets[d.TicketID])
 				} else if d.RetryAfter <= 0 {
-					t.Fatalf("refusal without a time to come back")
+					t.Fatalf("refusal without a retry delay")
 				}
 			}
 		}
@@ -53,16 +54,16 @@
 					Organisation: fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "organisation")),
 					Deadline:     now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "deadline")) * time.Millisecond),
 				}
-				take(q.Offer(now, tickets[id]))
+				record(q.Offer(now, tickets[id]))
 			case 2:
 				if len(running) > 0 {
 					k := rapid.IntRange(0, len(running)-1).Draw(t, "end")
 					q.Release(now, running[k], Result{Duration: time.Duration(rapid.IntRange(1, 500).Draw(t, "took")) * time.Millisecond, Completed: rapid.Bool().Draw(t, "completed")})
 					running = append(running[:k], running[k+1:]...)
 				}
-				take(q.Tick(now)...)
+				record(q.Tick(now)...)
 			case 3:
-				take(q.Expire(now)...)
+				record(q.Expire(now)...)
 			default:
 				if _, done := final[id]; !done && id > 0 && q.Cancel(tickets[id]) {
 					final[id] = Refused
@@ -71,7 +72,7 @@
 			count, waiting := q.Load()
 			share := q.limiter.share
 			interactive := q.running[classInteractive]
-			if count != len(running) || float64(count) > share+math.Ceil(borrowShare*share) || (interactive == 0 && float64(count) > share) || len(final)+waiting != len(tickets) {
+			if count != len(running) || float64(count) > share+math.Ceil(borrowFraction*share) || (interactive == 0 && float64(count) > share) || len(final)+waiting != len(tickets) {
 				t.Fatalf("%d counted, %d running, limit %d", count, len(running), q.Limit())
 			}
 			if float64(q.running[classLong]) > max(1, LongShare*q.limiter.share) {
@@ -81,11 +82,12 @@
 	})
 }
 
-// Guards against long work that starves behind an endless queue of short work.
-func TestLongWorkDoesNotStarve(t *testing.T) {
+// Guards against requests of the long class that starve while interactive ones always
+// wait.
+func TestLongClassDoesNotStarve(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := newQueue(float64(rapid.IntRange(1, 20).Draw(t, "share")))
-		now, id := began, uint64(0)
+		now, id := startTime, uint64(0)
 		offer := func(class pipeline.Class) Ticket {
 			id++
 			ticket := Ticket{ID: id, Class: class, Deadline: now.Add(time.Hour)}
@@ -96,9 +98,9 @@
 			offer(pipeline.ClassInteractive)
 		}
 		long := offer(pipeline.ClassLong)
-		// A reserve of at least one slot gives the next free slot to long work, once
-		// the borrowed ones are given back.
-		borrowed := int(math.Ceil(borrowShare * float64(q.Limit())))
+		// The reserve is at least one slot, so that the long class gets the next free
+		// slot once no interactive request runs above the limit.
+		borrowed := int(math.Ceil(borrowFraction * float64(q.Limit())))
 		for range 1 + borrowed {
 			offer(pipeline.ClassInteractive)
 			q.Release(now, Ticket{Class: pipeline.ClassInteractive}, Result{Duration: time.Millisecond, Completed: true})
@@ -108,15 +110,15 @@
 				}
 			}
 		}
-		t.Fatalf("long work still waits after %d slots became free", 1+borrowed)
+		t.Fatalf("long request still waits after %d slots became free", 1+borrowed)
 	})
 }
 
-// Guards against an overload whose refusals outlast it, because the expected
-// duration stays too long when nothing is admitted any more.
-func TestOverloadEnds(t *testing.T) {
+// Guards against refusals that continue after an overload has ended, because the
+// expected duration stays too long when no request is admitted that could correct it.
+func TestRefusalsEndAfterOverload(t *testing.T) {
 	q := newQueue(4)
-	now := began
+	now := startTime
 	ticket := Ticket{ID: 1, Class: pipeline.ClassInteractive}
 	run := func(took time.Duration, completed bool) bool {
 		ticket.Deadline = now.Add(time.Second)
@@ -141,8 +143,8 @@
 	qt.Assert(t, q.expected[classInteractive] < 0.1, qt.IsTrue)
 }
 
-// Guards against one organisation that takes the whole pool, and against a share
-// that nobody else may use while its owner is idle.
+// Guards against one organisation that uses the whole pool, and against the share of
+// an idle organisation staying unused.
 func TestOrganisationsShareByWeight(t *testing.T) {
 	c := qt.New(t)
 	q := newQueue(1)
@@ -151,7 +153,7 @@
 	offer := func(organisation string, weight int) {
 		id++
 		owner[id] = organisation
-		q.Offer(began, Ticket{ID: id, Class: pipeline.ClassNormal, Organisation: organisation, Weight: weight, Deadline: began.Add(time.Hour)})
+		q.Offer(startTime, Ticket{ID: id, Class: pipeline.ClassNormal, Organisation: organisation, Weight: weight, Deadline: startTime.Add(time.Hour)})
 	}
 	for range 300 {
 		offer("heavy", 1)
@@ -161,8 +163,8 @@
 	}
 	started := map[string]int{}
 	next := func() {
-		q.Release(began, Ticket{Class: pipeline.ClassNormal}, Result{})
-		for _, d := range q.Tick(began) {
+		q.Release(startTime, Ticket{Class: pipeline.ClassNormal}, Result{})
+		for _, d := range q.Tick(startTime) {
 			started[owner[d.TicketID]]++
 		}
 	}
@@ -182,7 +184,7 @@
 	for i := range names {
 		names[i] = fmt.Sprint("organisation-", i)
 	}
-	now := began
+	now := startTime
 	ticket := Ticket{Class: pipeline.ClassInteractive}
 	n := 0
 	offer := func() {
