--- a/routing/affinity.go
+++ b/routing/affinity.go
@@ -1,8 +1,8 @@
 package routing
 
-// affine returns the first server in rendezvous order whose load is within the
+// pickByPrefix returns the first server in rendezvous order whose load is within the
 // bound.
-func (p *Pool) affine(t int64, q *Query, mode strictness, candidates []ServerIndex) ServerIndex {
+func (p *Pool) pickByPrefix(t int64, q *Query, mode eligibilityMode, candidates []ServerIndex) ServerIndex {
 	load, slots := 1.0, 0.0
 	for _, i := range candidates {
 		s := &p.servers[i]
@@ -10,20 +10,20 @@
 		slots += float64(s.Slots)
 	}
 	bound := BoundedLoad * load / slots
-	best := none
+	best := noServer
 	var bestHash uint64
 	for _, i := range candidates {
 		hash := mix(p.servers[i].hash ^ q.Prefix)
-		if (best == none || hash > bestHash) && p.within(t, i, q, mode, bound) {
+		if (best == noServer || hash > bestHash) && p.withinBound(t, i, q, mode, bound) {
 			best, bestHash = i, hash
 		}
 	}
 	return best
 }
 
-// within reports whether a server may take one more call of a shared prefix. A
-// call to an idle server is always within the bound.
-func (p *Pool) within(t int64, i ServerIndex, q *Query, mode strictness, bound float64) bool {
+// withinBound reports whether a server may take one more call of a shared prefix. A
+// call to an idle server is always withinBound the bound.
+func (p *Pool) withinBound(t int64, i ServerIndex, q *Query, mode eligibilityMode, bound float64) bool {
 	s := &p.servers[i]
 	load := s.load(t)
 	fits := load < 1 || (load+1)/float64(s.Slots) <= bound
--- a/routing/hedge.go
+++ b/routing/hedge.go
@@ -9,8 +9,8 @@
 const (
 	// HedgeBudget is the share of calls that may be hedged.
 	HedgeBudget = 0.05
-	// hedgeBurst bounds the hedges that a quiet time saves up.
-	hedgeBurst = 10
+	// maxSavedHedges bounds the hedges that a quiet time saves up.
+	maxSavedHedges = 10
 	// hedgeQuantile of the pool's latency is the delay before a hedge.
 	hedgeQuantile = 0.95
 	// hedgeMinSamples is the number of answers below which there is no delay.
@@ -32,12 +32,12 @@
 // the pool is overloaded or too little is known. It counts a call that could be
 // hedged.
 func (h *Hedger) Delay(class pipeline.Class) (time.Duration, bool) {
-	h.tokens = min(hedgeBurst, h.tokens+HedgeBudget)
+	h.tokens = min(maxSavedHedges, h.tokens+HedgeBudget)
 	c := classIndex(class)
-	if c == longIndex || h.pool.whole[c].total < hedgeMinSamples || h.pool.overloaded() {
+	if c == longIndex || h.pool.totalLatency[c].total < hedgeMinSamples || h.pool.overloaded() {
 		return 0, false
 	}
-	delay := h.pool.hedgeAfter[c]
+	delay := h.pool.hedgeDelay[c]
 	return delay, delay > 0
 }
 
@@ -55,7 +55,7 @@
 	load := 0.0
 	for _, index := range p.ordered {
 		s := &p.servers[index]
-		load += float64(s.inFlight) + s.peers
+		load += float64(s.inFlight) + s.peerInFlight
 	}
 	return load > hedgeMaxLoad*float64(p.slots)
 }
--- a/routing/histogram.go
+++ b/routing/histogram.go
@@ -9,7 +9,7 @@
 // above 20 minutes.
 const (
 	histogramBuckets = 128
-	histogramFirst   = 10 * time.Microsecond
+	histogramMin     = 10 * time.Microsecond
 	histogramGrowth  = 1.16
 )
 
@@ -28,10 +28,10 @@
 }
 
 func bucketOf(d time.Duration) int {
-	if d <= histogramFirst {
+	if d <= histogramMin {
 		return 0
 	}
-	bucket := int(math.Log(float64(d)/float64(histogramFirst))*inverseLogGrowth) + 1
+	bucket := int(math.Log(float64(d)/float64(histogramMin))*inverseLogGrowth) + 1
 	return min(bucket, histogramBuckets-1)
 }
 
@@ -53,12 +53,12 @@
 	for i, count := range h.counts {
 		rest -= count
 		if rest <= 0 && count > 0 {
-			return upperEdge(i)
+			return upperBound(i)
 		}
 	}
-	return upperEdge(histogramBuckets - 1)
+	return upperBound(histogramBuckets - 1)
 }
 
-func upperEdge(bucket int) time.Duration {
-	return time.Duration(float64(histogramFirst) * math.Pow(histogramGrowth, float64(bucket)))
+func upperBound(bucket int) time.Duration {
+	return time.Duration(float64(histogramMin) * math.Pow(histogramGrowth, float64(bucket)))
 }
--- a/routing/home.go
+++ b/routing/home.go
@@ -28,17 +28,17 @@
 // slotAllocator hands out slots in turns.
 type slotAllocator struct {
 	instances []Instance
-	// left is how many slots each instance still gets.
-	left []int
-	next int
+	// remaining is how many slots each instance still gets.
+	remaining []int
+	next      int
 }
 
 func newSlotAllocator(instances []Instance, slots int) *slotAllocator {
-	d := &slotAllocator{instances: instances, left: make([]int, len(instances))}
-	for i := range d.left {
-		d.left[i] = slots / len(instances)
+	d := &slotAllocator{instances: instances, remaining: make([]int, len(instances))}
+	for i := range d.remaining {
+		d.remaining[i] = slots / len(instances)
 		if i < slots%len(instances) {
-			d.left[i]++
+			d.remaining[i]++
 		}
 	}
 	return d
@@ -50,18 +50,18 @@
 	for range d.instances {
 		i := d.next % len(d.instances)
 		d.next++
-		if d.left[i] > 0 && (failureDomain == "" || d.instances[i].FailureDomain == failureDomain) {
-			d.left[i]--
+		if d.remaining[i] > 0 && (failureDomain == "" || d.instances[i].FailureDomain == failureDomain) {
+			d.remaining[i]--
 			return d.instances[i].ID, true
 		}
 	}
 	return "", false
 }
 
-// divide allocates the slots of the region's servers, first to instances of the
+// assignHomeSlots allocates the slots of the region's servers, first to instances of the
 // server's failure domain. Slots of a server that long kinds may use are allocated
 // one by one, so that long calls of all instances keep to their share of it.
-func (p *Pool) divide() {
+func (p *Pool) assignHomeSlots() {
 	p.home = p.home[:0]
 	p.homeSlots = 0
 	if len(p.instances) == 0 {
@@ -79,12 +79,12 @@
 		more = false
 		for _, i := range near {
 			s := &p.servers[i]
-			if number >= s.Slots || s.drained {
+			if number >= s.Slots || s.draining {
 				continue
 			}
 			more = true
 			if owner, ok := d.allocate(s.FailureDomain); ok {
-				p.own(i, number, owner)
+				p.addHomeSlot(i, number, owner)
 				continue
 			}
 			rest = append(rest, slot{i, number})
@@ -92,13 +92,13 @@
 	}
 	for _, left := range rest {
 		if owner, ok := d.allocate(""); ok {
-			p.own(left.server, left.number, owner)
+			p.addHomeSlot(left.server, left.number, owner)
 		}
 	}
 }
 
-// own notes a home slot when the owner is this instance.
-func (p *Pool) own(i ServerIndex, number int, owner string) {
+// addHomeSlot notes a home slot when the owner is this instance.
+func (p *Pool) addHomeSlot(i ServerIndex, number int, owner string) {
 	if owner != p.self {
 		return
 	}
@@ -106,7 +106,7 @@
 	if s.home == 0 {
 		p.home = append(p.home, i)
 	}
-	s.numbers = append(s.numbers, number)
+	s.homeNumbers = append(s.homeNumbers, number)
 	s.home++
 	p.homeSlots++
 	if float64(number) < s.longLimit() {
@@ -129,30 +129,30 @@
 func (p *Pool) pickHome(t int64, q *Query) ServerIndex {
 	lowest := math.Inf(1)
 	for _, i := range p.home {
-		if p.servers[i].homeFree(i, q) {
+		if p.servers[i].hasFreeHomeSlot(i, q) {
 			lowest = min(lowest, p.servers[i].homeScore(t, q.Class))
 		}
 	}
-	best := none
+	best := noServer
 	bestRank := 0.0
 	for _, i := range p.home {
 		s := &p.servers[i]
-		if !s.homeFree(i, q) {
+		if !s.hasFreeHomeSlot(i, q) {
 			continue
 		}
 		rank := s.homeScore(t, q.Class)
 		if q.Prefix != 0 && rank <= BoundedLoad*lowest {
 			rank = -float64(mix(s.hash ^ q.Prefix))
 		}
-		if best == none || rank < bestRank {
+		if best == noServer || rank < bestRank {
 			best, bestRank = i, rank
 		}
 	}
 	return best
 }
 
-// homeFree reports whether a server has a free home slot for the call.
-func (s *server) homeFree(i ServerIndex, q *Query) bool {
+// hasFreeHomeSlot reports whether a server has a free home slot for the call.
+func (s *server) hasFreeHomeSlot(i ServerIndex, q *Query) bool {
 	if s.inFlight >= s.home || s.level > 0 || s.slowStartFrom != 0 || !s.eligible(i, q, strict) {
 		return false
 	}
@@ -164,23 +164,23 @@
 // numbers. All instances do so, which spreads the long calls evenly over the
 // servers although each instance sees only its own.
 func (s *server) homeScore(t int64, class pipeline.Class) float64 {
-	place := s.numbers[s.long]
+	place := s.homeNumbers[s.long]
 	if classIndex(class) != longIndex {
-		place = s.Slots - 1 - s.numbers[s.home-1-max(0, s.inFlight-s.long)]
+		place = s.Slots - 1 - s.homeNumbers[s.home-1-max(0, s.inFlight-s.long)]
 	}
-	return (float64(place+1) + s.excess(t)) * s.scale
+	return (float64(place+1) + s.excessLoad(t)) * s.scale
 }
 
-// suspectAge is the multiple of the pool's 95th percentile after which a single
+// overdueFactor is the multiple of the pool's 95th percentile after which a single
 // running call is evidence against its server.
-const suspectAge = 1.5
+const overdueFactor = 1.5
 
 // overdue reports whether the mean running call of a class is far older than
 // nearly all answers of the pool.
 func (p *Pool) overdue(s *server, t int64) bool {
 	for class := range classCount {
-		one := &s.latency[seriesWhole][class]
-		limit := max(suspectAge*float64(p.hedgeAfter[class]), lowerAbove*p.medians[seriesWhole][class])
+		one := &s.latency[seriesTotal][class]
+		limit := max(overdueFactor*float64(p.hedgeDelay[class]), lowerAbove*p.medians[seriesTotal][class])
 		if one.running > 0 && limit > 0 && float64(t-one.startSum/int64(one.running)) > limit {
 			return true
 		}
@@ -188,17 +188,17 @@
 	return false
 }
 
-// overdueEvery is how often running calls are looked at.
-const overdueEvery = int64(20 * time.Millisecond)
+// overdueCheckInterval is how often running calls are looked at.
+const overdueCheckInterval = int64(20 * time.Millisecond)
 
 // checkOverdue lowers servers with overdue calls without waiting for their end.
 func (p *Pool) checkOverdue(t int64) {
-	p.overdueAt = t + overdueEvery
+	p.nextOverdueCheck = t + overdueCheckInterval
 	for _, i := range p.ordered {
 		s := &p.servers[i]
-		if s.level < levelProbed && s.inFlight > 0 && p.overdue(s, t) {
-			p.lower(s, t)
-			s.scale = mostRelative / (weights[s.level] * float64(s.Slots))
+		if s.level < levelProbeOnly && s.inFlight > 0 && p.overdue(s, t) {
+			p.lowerWeight(s, t)
+			s.scale = maxRelative / (weights[s.level] * float64(s.Slots))
 		}
 	}
 }
--- a/routing/home_test.go
+++ b/routing/home_test.go
@@ -28,13 +28,13 @@
 		for _, instance := range instances {
 			pool, _ := newPool(nil)
 			pool.SetInstances(instance.ID, instances)
-			pool.Update(list, began)
+			pool.Update(list, startTime)
 			for i := range pool.servers {
 				owned[pool.servers[i].ID] += pool.servers[i].home
 			}
 			for range pool.homeSlots {
-				if i := pool.pickHome(began.UnixNano(), &Query{Class: pipeline.ClassLong}); i != none {
-					pool.Started(i, pipeline.ClassLong, began)
+				if i := pool.pickHome(startTime.UnixNano(), &Query{Class: pipeline.ClassLong}); i != noServer {
+					pool.Started(i, pipeline.ClassLong, startTime)
 					long[pool.ID(i)]++
 				}
 			}
@@ -50,7 +50,7 @@
 // Guards against a slow server that is noticed only when its first call ends.
 func TestOverdueCallLowersItsServer(t *testing.T) {
 	pool, random := newPool(servers(12, "r-a"))
-	now := began
+	now := startTime
 	serve(pool, random, &now, 500, func(ServerIndex) time.Duration { return 10 * time.Millisecond })
 	pool.Started(3, pipeline.ClassInteractive, now)
 	now = now.Add(60 * time.Millisecond)
@@ -62,9 +62,9 @@
 // never shows a slow answer and keeps its share of the calls.
 func TestRescuedCallsLowerTheirServer(t *testing.T) {
 	pool, random := newPool(servers(12, "r-a"))
-	now := began
+	now := startTime
 	serve(pool, random, &now, 500, func(ServerIndex) time.Duration { return 10 * time.Millisecond })
-	for range suspectsToLower {
+	for range abandonedToLower {
 		pool.Started(3, pipeline.ClassInteractive, now)
 		now = now.Add(15 * time.Millisecond)
 		pool.Finished(3, pipeline.ClassInteractive, Result{Abandoned, 15 * time.Millisecond}, now)
@@ -82,10 +82,10 @@
 	for _, instance := range instances {
 		pool, random := newPool(nil)
 		pool.SetInstances(instance.ID, instances)
-		pool.Update(list, began)
+		pool.Update(list, startTime)
 		for range perServer * len(list) / len(instances) {
-			i, _ := pool.Pick(began, random, Query{Class: pipeline.ClassLong})
-			pool.Started(i, pipeline.ClassLong, began)
+			i, _ := pool.Pick(startTime, random, Query{Class: pipeline.ClassLong})
+			pool.Started(i, pipeline.ClassLong, startTime)
 			long[pool.ID(i)]++
 		}
 	}
@@ -99,12 +99,12 @@
 func TestPrefixDecidesAmongEqualHomeSlots(t *testing.T) {
 	pool, random := newPool(nil)
 	pool.SetInstances("i0", []Instance{{"i0", "r-a"}})
-	pool.Update(servers(8, "r-a"), began)
+	pool.Update(servers(8, "r-a"), startTime)
 	query := Query{Prefix: 4711}
-	first, _ := pool.Pick(began, random, query)
-	again, _ := pool.Pick(began, random, query)
+	first, _ := pool.Pick(startTime, random, query)
+	again, _ := pool.Pick(startTime, random, query)
 	qt.Check(t, again, qt.Equals, first)
-	pool.Started(first, pipeline.ClassInteractive, began)
-	other, _ := pool.Pick(began, random, query)
+	pool.Started(first, pipeline.ClassInteractive, startTime)
+	other, _ := pool.Pick(startTime, random, query)
 	qt.Check(t, other, qt.Not(qt.Equals), first)
 }
--- a/routing/latency.go
+++ b/routing/latency.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// series is the latency of one class at one server. mean and samples decay, so
+// latencySeries is the latency of one class at one server. mean and samples decay, so
 // that old evidence lapses.
-type series struct {
+type latencySeries struct {
 	mean    float64
 	samples float64
 	// running calls and the sum of their start times; their mean age is evidence
@@ -25,25 +25,25 @@
 	minRunning = 2
 )
 
-func (s *series) add(latency time.Duration) {
+func (s *latencySeries) add(latency time.Duration) {
 	gain := max(meanGain, 1/(s.samples+1))
 	s.mean += gain * (float64(latency) - s.mean)
 	s.samples++
 }
 
 // addAtLeast takes a call that would have lasted longer than latency.
-func (s *series) addAtLeast(latency time.Duration) {
+func (s *latencySeries) addAtLeast(latency time.Duration) {
 	if float64(latency) > s.mean {
 		s.add(latency)
 	}
 }
 
-func (s *series) started(t int64) {
+func (s *latencySeries) started(t int64) {
 	s.running++
 	s.startSum += t
 }
 
-func (s *series) finished(start int64) {
+func (s *latencySeries) finished(start int64) {
 	s.running--
 	s.startSum -= start
 	if s.running == 0 {
@@ -52,7 +52,7 @@
 }
 
 // estimate is the latency that the evidence shows, and whether there is enough.
-func (s *series) estimate(t int64) (float64, bool) {
+func (s *latencySeries) estimate(t int64) (float64, bool) {
 	estimate, enough := s.mean, s.samples >= minSamples
 	if s.running < minRunning {
 		return estimate, enough
@@ -64,22 +64,22 @@
 	return estimate, enough
 }
 
-func (p *Pool) agePeers(t int64) {
+func (p *Pool) decayPeerCounts(t int64) {
 	for _, index := range p.ordered {
 		s := &p.servers[index]
-		s.peers, s.peersLong = 0, 0
+		s.peerInFlight, s.peerLong = 0, 0
 	}
-	for instance, view := range p.peers {
-		age := t - view.at
-		if age >= peerLife {
-			delete(p.peers, instance)
+	for instance, view := range p.peerReports {
+		age := t - view.receivedAt
+		if age >= peerLifetime {
+			delete(p.peerReports, instance)
 			continue
 		}
-		share := min(1, float64(peerLife-age)/float64(peerLife-peerFresh))
+		share := min(1, float64(peerLifetime-age)/float64(peerLifetime-peerFreshness))
 		for _, count := range view.counts {
 			if index, ok := p.byID[count.ID]; ok {
-				p.servers[index].peers += share * float64(count.InFlight)
-				p.servers[index].peersLong += share * float64(count.Long)
+				p.servers[index].peerInFlight += share * float64(count.InFlight)
+				p.servers[index].peerLong += share * float64(count.Long)
 			}
 		}
 	}
--- a/routing/pick.go
+++ b/routing/pick.go
@@ -10,7 +10,7 @@
 
 // Tiers of distance.
 const (
-	tierDomain = iota
+	tierFailureDomain = iota
 	tierRegion
 	tierRemote
 	tierCount
@@ -19,7 +19,7 @@
 func (p *Pool) tier(s Server) int {
 	switch {
 	case s.FailureDomain == p.location.FailureDomain:
-		return tierDomain
+		return tierFailureDomain
 	case s.Region == p.location.Region:
 		return tierRegion
 	default:
@@ -27,20 +27,20 @@
 	}
 }
 
-const none ServerIndex = -1
+const noServer ServerIndex = -1
 
-// unseenLife is the time over which the correction of a load report ages out.
-const unseenLife = int64(2 * time.Second)
+// excessLifetime is the time over which the correction of a load report ages out.
+const excessLifetime = int64(2 * time.Second)
 
 // load is the number of calls that the server is believed to hold.
 func (s *server) load(t int64) float64 {
-	return float64(s.inFlight) + s.peers + s.excess(t)
+	return float64(s.inFlight) + s.peerInFlight + s.excessLoad(t)
 }
 
-// excess is the load that the last report showed beyond the counts.
-func (s *server) excess(t int64) float64 {
-	if age := t - s.unseenAt; s.unseen > 0 && age < unseenLife {
-		return s.unseen * (1 - float64(age)/float64(unseenLife))
+// excessLoad is the load that the last report showed beyond the counts.
+func (s *server) excessLoad(t int64) float64 {
+	if age := t - s.excessAt; s.excess > 0 && age < excessLifetime {
+		return s.excess * (1 - float64(age)/float64(excessLifetime))
 	}
 	return 0
 }
@@ -70,21 +70,21 @@
 	return max(1, float64(int(LongShare*float64(s.Slots))))
 }
 
-// strictness is how much of what is known about servers excludes them.
-type strictness int
+// eligibilityMode is how much of what is known about servers excludes them.
+type eligibilityMode int
 
 const (
 	// strict excludes stragglers and counts the long calls of all instances.
-	strict strictness = iota
+	strict eligibilityMode = iota
 	// relaxed counts only the long calls of this instance.
 	relaxed
 )
 
-func (s *server) eligible(i ServerIndex, q *Query, mode strictness) bool {
-	if s.drained || slices.Contains(q.Excluded, i) {
+func (s *server) eligible(i ServerIndex, q *Query, mode eligibilityMode) bool {
+	if s.draining || slices.Contains(q.Excluded, i) {
 		return false
 	}
-	if mode == strict && s.level >= levelProbed {
+	if mode == strict && s.level >= levelProbeOnly {
 		return false
 	}
 	if q.Class != pipeline.ClassLong {
@@ -92,7 +92,7 @@
 	}
 	long := float64(s.long)
 	if mode == strict {
-		long += s.peersLong
+		long += s.peerLong
 	}
 	return long < s.longLimit()
 }
@@ -100,21 +100,21 @@
 // Pick chooses a server for a call. It does not count the call; Started does.
 func (p *Pool) Pick(now time.Time, random *rand.Rand, q Query) (ServerIndex, bool) {
 	t := now.UnixNano()
-	if t >= p.maintainAt {
-		p.refresh(t)
+	if t >= p.nextMaintenance {
+		p.maintain(t)
 	}
-	if t >= p.overdueAt {
+	if t >= p.nextOverdueCheck {
 		p.checkOverdue(t)
 	}
 	if q.PreferRemote && q.AllowRemote {
-		if i := p.pickRemote(t, random, &q); i != none {
+		if i := p.pickRemote(t, random, &q); i != noServer {
 			return i, true
 		}
 	}
-	if i := p.probe(t, &q); i != none {
+	if i := p.pickProbe(t, &q); i != noServer {
 		return i, true
 	}
-	if i := p.pickHome(t, &q); i != none {
+	if i := p.pickHome(t, &q); i != noServer {
 		return i, true
 	}
 	if len(p.home) > 0 {
@@ -122,22 +122,22 @@
 		q.Prefix = 0
 	}
 	for mode := strict; mode <= relaxed; mode++ {
-		if i := p.pickByTier(t, random, &q, mode); i != none {
+		if i := p.pickByTier(t, random, &q, mode); i != noServer {
 			return i, true
 		}
 	}
-	return none, false
+	return noServer, false
 }
 
 // pickRemote chooses a server of another region that has room.
 func (p *Pool) pickRemote(t int64, random *rand.Rand, q *Query) ServerIndex {
 	far := p.ordered[p.tierEnd[tierRegion]:]
 	if len(far) == 0 {
-		return none
+		return noServer
 	}
 	i := p.choose(t, random, q, strict, far)
-	if i == none || p.servers[i].saturated(t) {
-		return none
+	if i == noServer || p.servers[i].saturated(t) {
+		return noServer
 	}
 	return i
 }
@@ -145,7 +145,7 @@
 // HasRemoteCapacity reports whether a server of another region is believed to have room.
 func (p *Pool) HasRemoteCapacity(now time.Time) bool {
 	for _, i := range p.ordered[p.tierEnd[tierRegion]:] {
-		if s := &p.servers[i]; !s.drained && s.level == 0 && !s.saturated(now.UnixNano()) {
+		if s := &p.servers[i]; !s.draining && s.level == 0 && !s.saturated(now.UnixNano()) {
 			return true
 		}
 	}
@@ -154,20 +154,20 @@
 
 // pickByTier takes the nearest tier that has room. Another region is used only
 // when the own region has no server or cannot answer within the deadline.
-func (p *Pool) pickByTier(t int64, random *rand.Rand, q *Query, mode strictness) ServerIndex {
-	best := none
+func (p *Pool) pickByTier(t int64, random *rand.Rand, q *Query, mode eligibilityMode) ServerIndex {
+	best := noServer
 	from := 0
 	for tier := range tierCount {
 		candidates := p.ordered[from:p.tierEnd[tier]]
 		from = p.tierEnd[tier]
-		if len(candidates) == 0 || (tier == tierRemote && !p.mayLeave(t, q, best)) {
+		if len(candidates) == 0 || (tier == tierRemote && !p.mayUseRemote(t, q, best)) {
 			continue
 		}
 		chosen := p.choose(t, random, q, mode, candidates)
-		if chosen == none {
+		if chosen == noServer {
 			continue
 		}
-		if best == none || p.servers[chosen].score(t) < p.servers[best].score(t) {
+		if best == noServer || p.servers[chosen].score(t) < p.servers[best].score(t) {
 			best = chosen
 		}
 		if !p.servers[best].saturated(t) {
@@ -177,53 +177,53 @@
 	return best
 }
 
-// mayLeave reports whether a call may go to another region although local is
+// mayUseRemote reports whether a call may go to another region although local is
 // the best server of the own region.
-func (p *Pool) mayLeave(t int64, q *Query, local ServerIndex) bool {
+func (p *Pool) mayUseRemote(t int64, q *Query, local ServerIndex) bool {
 	if !q.AllowRemote {
 		return false
 	}
-	if local == none {
+	if local == noServer {
 		return true
 	}
-	return q.Remaining > 0 && p.expected(t, local, q.Class) > q.Remaining
+	return q.Remaining > 0 && p.expectedDuration(t, local, q.Class) > q.Remaining
 }
 
-// expected estimates how long a call to a server would take.
-func (p *Pool) expected(t int64, i ServerIndex, class pipeline.Class) time.Duration {
+// expectedDuration estimates how long a call to a server would take.
+func (p *Pool) expectedDuration(t int64, i ServerIndex, class pipeline.Class) time.Duration {
 	s := &p.servers[i]
 	waiting := max(0, s.load(t)+1-float64(s.Slots))
-	median := p.medians[seriesWhole][classIndex(class)]
+	median := p.medians[seriesTotal][classIndex(class)]
 	return time.Duration(median * s.relative * (1 + waiting/float64(s.Slots)))
 }
 
 // choose compares random candidates, or follows the prompt prefix.
-func (p *Pool) choose(t int64, random *rand.Rand, q *Query, mode strictness, candidates []ServerIndex) ServerIndex {
+func (p *Pool) choose(t int64, random *rand.Rand, q *Query, mode eligibilityMode, candidates []ServerIndex) ServerIndex {
 	if q.Prefix != 0 {
-		if i := p.affine(t, q, mode, candidates); i != none {
+		if i := p.pickByPrefix(t, q, mode, candidates); i != noServer {
 			return i
 		}
 	}
-	best := none
+	best := noServer
 	bestScore := 0.0
 	for range p.choices {
 		i := p.sample(random, q, mode, candidates, best)
-		if i == none {
+		if i == noServer {
 			break
 		}
-		if score := p.servers[i].score(t); best == none || score < bestScore {
+		if score := p.servers[i].score(t); best == noServer || score < bestScore {
 			best, bestScore = i, score
 		}
 	}
-	if best != none && p.servers[best].saturated(t) {
-		return p.least(t, random, q, mode, candidates)
+	if best != noServer && p.servers[best].saturated(t) {
+		return p.lowestScore(t, random, q, mode, candidates)
 	}
 	return best
 }
 
 // sample returns a random eligible server other than not. It walks on from a
 // random place, so that it finds one whenever there is one.
-func (p *Pool) sample(random *rand.Rand, q *Query, mode strictness, candidates []ServerIndex, not ServerIndex) ServerIndex {
+func (p *Pool) sample(random *rand.Rand, q *Query, mode eligibilityMode, candidates []ServerIndex, not ServerIndex) ServerIndex {
 	start := random.IntN(len(candidates))
 	for step := range candidates {
 		place := start + step
@@ -235,13 +235,13 @@
 			return i
 		}
 	}
-	return none
+	return noServer
 }
 
-// least returns the eligible server with the lowest score, the first one from a
+// lowestScore returns the eligible server with the lowest score, the first one from a
 // random place among equals.
-func (p *Pool) least(t int64, random *rand.Rand, q *Query, mode strictness, candidates []ServerIndex) ServerIndex {
-	best := none
+func (p *Pool) lowestScore(t int64, random *rand.Rand, q *Query, mode eligibilityMode, candidates []ServerIndex) ServerIndex {
+	best := noServer
 	bestScore := 0.0
 	start := random.IntN(len(candidates))
 	for step := range candidates {
@@ -254,7 +254,7 @@
 		if !s.eligible(i, q, mode) {
 			continue
 		}
-		if score := s.score(t); best == none || score < bestScore {
+		if score := s.score(t); best == noServer || score < bestScore {
 			best, bestScore = i, score
 		}
 	}
--- a/routing/plan.go
+++ b/routing/plan.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// timesMinSamples is the number of answers below which a duration is unknown.
-	timesMinSamples = 10
+	// stageTimesMinSamples is the number of answers below which a duration is unknown.
+	stageTimesMinSamples = 10
 	// fastQuantile of the durations is what a stage needs at the very least.
 	fastQuantile    = 0.1
 	typicalQuantile = 0.5
@@ -30,14 +30,14 @@
 
 // computeTimes updates what is derived from the histograms.
 func (p *Pool) computeTimes() {
-	for class := range p.whole {
-		h := &p.whole[class]
+	for class := range p.totalLatency {
+		h := &p.totalLatency[class]
 		p.times[class] = StageTimes{
 			Fast:    h.quantile(fastQuantile),
 			Typical: h.quantile(typicalQuantile),
-			Known:   h.total >= timesMinSamples,
+			Known:   h.total >= stageTimesMinSamples,
 		}
-		p.hedgeAfter[class] = h.quantile(hedgeQuantile)
+		p.hedgeDelay[class] = h.quantile(hedgeQuantile)
 	}
 }
 
@@ -45,10 +45,10 @@
 // order in which they run.
 type Plan []StageTimes
 
-// leastMultiple of its typical duration is what a stage may use if the later
+// minBudgetMultiple of its typical duration is what a stage may use if the later
 // ones still have their typical time, so that a short stage is not cut off by
 // an ordinary delay.
-const leastMultiple = 4
+const minBudgetMultiple = 4
 
 // StageBudget returns the share of the remaining time that a stage may use: as
 // much as its typical duration has of the typical rest. It returns remaining
@@ -66,7 +66,7 @@
 	}
 	own := p[stage].Typical
 	share := time.Duration(float64(remaining) * float64(own) / float64(rest))
-	return max(share, min(leastMultiple*own, remaining-(rest-own)))
+	return max(share, min(minBudgetMultiple*own, remaining-(rest-own)))
 }
 
 // Feasible reports whether the remaining time can be enough for a stage and
--- a/routing/pool.go
+++ b/routing/pool.go
@@ -13,8 +13,8 @@
 
 // Latency series of a server.
 const (
-	seriesFirst = iota
-	seriesWhole
+	seriesFirstByte = iota
+	seriesTotal
 	seriesCount
 )
 
@@ -26,33 +26,33 @@
 	// home is the number of home slots of this instance, homeLong of those that
 	// long kinds may use.
 	home, homeLong int
-	// numbers are those of the home slots at the server, lowest first.
-	numbers []int
+	// homeNumbers are those of the home slots at the server, lowest first.
+	homeNumbers []int
 	// tier is the distance class of the server.
 	tier int
-	// drained is true from a drain marker until the next incarnation.
-	drained bool
+	// draining is true from a drain marker until the next incarnation.
+	draining bool
 	// slowStartFrom is when the slow start began; 0 for a server that is warm.
 	slowStartFrom int64
 	inFlight      int
 	long          int
-	// peers and peersLong are the aged counts of the other instances.
-	peers     float64
-	peersLong float64
-	// unseen is the load of the last report that no count explained.
-	unseen   float64
-	unseenAt int64
-	latency  [seriesCount][classCount]series
-	straggler
+	// peerInFlight and peersLong are the aged counts of the other instances.
+	peerInFlight float64
+	peerLong     float64
+	// excess is the load of the last report that no count explained.
+	excess   float64
+	excessAt int64
+	latency  [seriesCount][classCount]latencySeries
+	stragglerState
 	// scale multiplies the load in the score: latency relative to the pool
 	// divided by weight and slots.
 	scale float64
 }
 
-// peerView is what another instance last said.
-type peerView struct {
-	counts []ServerCount
-	at     int64
+// peerReport is what another instance last said.
+type peerReport struct {
+	counts     []ServerCount
+	receivedAt int64
 }
 
 // Pool is the servers of one pool as one instance sees them.
@@ -63,9 +63,9 @@
 	servers []server
 	byID    map[string]ServerIndex
 	// ordered holds the live servers by tier; tierEnd is the end of each tier.
-	ordered []ServerIndex
-	tierEnd [tierCount]int
-	peers   map[string]peerView
+	ordered     []ServerIndex
+	tierEnd     [tierCount]int
+	peerReports map[string]peerReport
 	// slots is the sum over live servers.
 	slots     int
 	self      string
@@ -74,16 +74,16 @@
 	home      []ServerIndex
 	homeSlots int
 
-	maintainAt int64
-	overdueAt  int64
-	halveAt    int64
-	medians    [seriesCount][classCount]float64
-	whole      [classCount]histogram
-	times      [classCount]StageTimes
-	hedgeAfter [classCount]time.Duration
-	scratch    []float64
-	lowered    int
-	sinceProbe int
+	nextMaintenance  int64
+	nextOverdueCheck int64
+	nextHalving      int64
+	medians          [seriesCount][classCount]float64
+	totalLatency     [classCount]histogram
+	times            [classCount]StageTimes
+	hedgeDelay       [classCount]time.Duration
+	scratch          []float64
+	lowered          int
+	picksSinceProbe  int
 }
 
 // Choices is the number of random candidates that a decision compares.
@@ -92,10 +92,10 @@
 // NewPool returns an empty pool for an instance at location.
 func NewPool(location Location) *Pool {
 	return &Pool{
-		location: location,
-		choices:  Choices,
-		byID:     map[string]ServerIndex{},
-		peers:    map[string]peerView{},
+		location:    location,
+		choices:     Choices,
+		byID:        map[string]ServerIndex{},
+		peerReports: map[string]peerReport{},
 	}
 }
 
@@ -106,14 +106,14 @@
 	first := len(p.ordered) == 0
 	for i := range p.servers {
 		s := &p.servers[i]
-		s.live, s.home, s.homeLong, s.numbers = false, 0, 0, s.numbers[:0]
+		s.live, s.home, s.homeLong, s.homeNumbers = false, 0, 0, s.homeNumbers[:0]
 	}
 	for _, listed := range servers {
 		p.update(listed, first, t)
 	}
 	p.reorder()
-	p.divide()
-	p.refresh(t)
+	p.assignHomeSlots()
+	p.maintain(t)
 }
 
 func (p *Pool) update(listed Server, first bool, t int64) {
@@ -125,7 +125,7 @@
 		return
 	}
 	if !known {
-		index = p.allocate()
+		index = p.allocateIndex()
 		p.byID[listed.ID] = index
 	}
 	s := &p.servers[index]
@@ -138,8 +138,8 @@
 	}
 }
 
-// allocate returns the index of a slot that no call uses.
-func (p *Pool) allocate() ServerIndex {
+// allocateIndex returns the index of a slot that no call uses.
+func (p *Pool) allocateIndex() ServerIndex {
 	for i := range p.servers {
 		s := &p.servers[i]
 		if s.ID == "" {
@@ -205,7 +205,7 @@
 func (p *Pool) slotsOf(servers []ServerIndex) int {
 	slots := 0
 	for _, index := range servers {
-		if !p.servers[index].drained {
+		if !p.servers[index].draining {
 			slots += p.servers[index].Slots
 		}
 	}
@@ -216,7 +216,7 @@
 func (p *Pool) RandomLocal(random *rand.Rand) (ServerIndex, bool) {
 	near := p.ordered[:p.tierEnd[tierRegion]]
 	if len(near) == 0 {
-		return none, false
+		return noServer, false
 	}
 	return near[random.IntN(len(near))], true
 }
@@ -229,12 +229,12 @@
 	if c == longIndex {
 		s.long++
 	}
-	s.latency[seriesWhole][c].started(now.UnixNano())
+	s.latency[seriesTotal][c].started(now.UnixNano())
 }
 
 // FirstByte records the time from the start of a call to the first byte of its answer.
 func (p *Pool) FirstByte(i ServerIndex, class pipeline.Class, latency time.Duration) {
-	p.servers[i].latency[seriesFirst][classIndex(class)].add(latency)
+	p.servers[i].latency[seriesFirstByte][classIndex(class)].add(latency)
 }
 
 // Finished ends a call that was started.
@@ -248,38 +248,38 @@
 	if c == longIndex && s.long > 0 {
 		s.long--
 	}
-	whole := &s.latency[seriesWhole][c]
+	whole := &s.latency[seriesTotal][c]
 	whole.finished(now.Add(-result.Latency).UnixNano())
 	switch result.Outcome {
 	case Answered:
 		whole.add(result.Latency)
-		s.suspects = 0
+		s.abandonedSlow = 0
 	case Failed:
 		whole.addAtLeast(result.Latency)
 	case Abandoned:
-		whole.addAtLeast(p.suspect(s, c, result.Latency, now.UnixNano()))
+		whole.addAtLeast(p.recordAbandoned(s, c, result.Latency, now.UnixNano()))
 	case Refused:
 		return
 	case Unreachable:
-		p.lowerFully(s, now.UnixNano())
+		p.lowerToMinimum(s, now.UnixNano())
 		return
 	}
-	p.judge(s, c, result, now.UnixNano())
+	p.recordResult(s, c, result, now.UnixNano())
 }
 
 // Report takes a server's own load report. Load beyond the counts of all
 // instances is a correction that ages out, because reports lag.
 func (p *Pool) Report(i ServerIndex, report LoadReport, now time.Time) {
 	s := &p.servers[i]
-	known := float64(s.inFlight) + s.peers
-	s.unseen = max(0, float64(report.Running+report.Waiting)-known)
-	s.unseenAt = now.UnixNano()
+	known := float64(s.inFlight) + s.peerInFlight
+	s.excess = max(0, float64(report.Running+report.Waiting)-known)
+	s.excessAt = now.UnixNano()
 }
 
 // SetPeerCounts replaces the counts that another instance last reported. The pool
 // keeps the slice.
 func (p *Pool) SetPeerCounts(instance string, counts []ServerCount, now time.Time) {
-	p.peers[instance] = peerView{counts: counts, at: now.UnixNano()}
+	p.peerReports[instance] = peerReport{counts: counts, receivedAt: now.UnixNano()}
 }
 
 // Counts returns the calls in flight of this instance, for its peers.
@@ -297,9 +297,9 @@
 // incarnation of the server.
 func (p *Pool) Drain(id string) bool {
 	index, ok := p.byID[id]
-	if !ok || p.servers[index].drained {
+	if !ok || p.servers[index].draining {
 		return false
 	}
-	p.servers[index].drained = true
+	p.servers[index].draining = true
 	return true
 }
--- a/routing/pool_test.go
+++ b/routing/pool_test.go
@@ -14,8 +14,8 @@
 )
 
 var (
-	began = time.Unix(1000, 0)
-	here  = Location{Region: "r", FailureDomain: "r-a"}
+	startTime = time.Unix(1000, 0)
+	here      = Location{Region: "r", FailureDomain: "r-a"}
 )
 
 // servers returns n servers of one failure domain.
@@ -29,7 +29,7 @@
 
 func newPool(list []Server) (*Pool, *rand.Rand) {
 	pool := NewPool(here)
-	pool.Update(list, began)
+	pool.Update(list, startTime)
 	return pool, rand.New(rand.NewPCG(1, 2))
 }
 
@@ -55,7 +55,7 @@
 func TestStragglerIsLoweredAndComesBack(t *testing.T) {
 	c := qt.New(t)
 	pool, random := newPool(servers(12, "r-a"))
-	now := began
+	now := startTime
 	slow := func(i ServerIndex) time.Duration {
 		if i < 2 {
 			return 100 * time.Millisecond
@@ -73,7 +73,7 @@
 // Guards against a pool that is slow as a whole and takes out its own servers.
 func TestSlowPoolLowersNoServer(t *testing.T) {
 	pool, random := newPool(servers(12, "r-a"))
-	now := began
+	now := startTime
 	serve(pool, random, &now, 500, func(ServerIndex) time.Duration { return 10 * time.Millisecond })
 	serve(pool, random, &now, 500, func(ServerIndex) time.Duration { return 200 * time.Millisecond })
 	qt.Assert(t, pool.Lowered(), qt.Equals, 0)
@@ -86,7 +86,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		all := append(servers(rapid.IntRange(1, 14).Draw(t, "near"), "r-a"), servers(4, "s-a")...)
 		pool, random := newPool(all)
-		now, listed, drained := began, all, map[string]bool{}
+		now, listed, drained := startTime, all, map[string]bool{}
 		type call struct {
 			i     ServerIndex
 			class pipeline.Class
@@ -112,8 +112,8 @@
 					continue
 				}
 				s := &pool.servers[i]
-				if !s.live || s.drained {
-					t.Fatalf("picked %q: live %v, drained %v", s.ID, s.live, s.drained)
+				if !s.live || s.draining {
+					t.Fatalf("picked %q: live %v, drained %v", s.ID, s.live, s.draining)
 				}
 				pool.Started(i, class, now)
 				if float64(s.long) > max(1, LongShare*float64(s.Slots)) {
@@ -157,14 +157,14 @@
 	pool, random := newPool(servers(6, "r-a"))
 	dead := 0
 	for range 100 {
-		i, _ := pool.Pick(began, random, Query{})
-		pool.Started(i, pipeline.ClassNormal, began)
+		i, _ := pool.Pick(startTime, random, Query{})
+		pool.Started(i, pipeline.ClassNormal, startTime)
 		outcome := Answered
 		if i == 3 {
 			dead++
 			outcome = Unreachable
 		}
-		pool.Finished(i, pipeline.ClassNormal, Result{outcome, time.Millisecond}, began)
+		pool.Finished(i, pipeline.ClassNormal, Result{outcome, time.Millisecond}, startTime)
 	}
 	qt.Assert(t, dead, qt.Equals, 1)
 }
@@ -174,7 +174,7 @@
 	c := qt.New(t)
 	near, far := servers(2, "r-a"), servers(2, "s-a")
 	pool, random := newPool(append(near, far...))
-	now := began
+	now := startTime
 	for range 100 {
 		i, _ := pool.Pick(now, random, Query{AllowRemote: true, Remaining: time.Second})
 		c.Assert(pool.Local(i), qt.IsTrue)
@@ -192,14 +192,14 @@
 	c := qt.New(t)
 	pool, random := newPool(servers(8, "r-a"))
 	q := Query{Prefix: 77}
-	first, _ := pool.Pick(began, random, q)
+	first, _ := pool.Pick(startTime, random, q)
 	for range 16 {
-		again, _ := pool.Pick(began, random, q)
+		again, _ := pool.Pick(startTime, random, q)
 		c.Assert(again, qt.Equals, first)
 	}
 	for range 64 {
-		i, _ := pool.Pick(began, random, q)
-		pool.Started(i, pipeline.ClassNormal, began)
+		i, _ := pool.Pick(startTime, random, q)
+		pool.Started(i, pipeline.ClassNormal, startTime)
 	}
 	for i := range pool.servers {
 		c.Assert(pool.servers[i].inFlight <= 11, qt.IsTrue, qt.Commentf("%d calls", pool.servers[i].inFlight))
@@ -208,7 +208,7 @@
 
 func benchmarkPick(b *testing.B, n int, q Query) {
 	pool, random := newPool(servers(n, "r-a"))
-	now := began
+	now := startTime
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
@@ -228,7 +228,7 @@
 // Guards against a decision that allocates.
 func TestDecisionAllocatesNothing(t *testing.T) {
 	pool, random := newPool(servers(56, "r-a"))
-	now := began
+	now := startTime
 	allocated := testing.AllocsPerRun(1000, func() {
 		now = now.Add(10 * time.Millisecond)
 		i, _ := pool.Pick(now, random, Query{Prefix: 3})
@@ -249,27 +249,27 @@
 		seen[id] = 1
 	}
 	picks := func() (counts [6]int) {
-		pool.refresh(began.UnixNano())
+		pool.maintain(startTime.UnixNano())
 		for range 600 {
-			i, _ := pool.Pick(began, random, Query{})
+			i, _ := pool.Pick(startTime, random, Query{})
 			counts[i]++
-			pool.Started(i, pipeline.ClassNormal, began)
+			pool.Started(i, pipeline.ClassNormal, startTime)
 		}
 		for i, n := range counts {
 			for range n {
-				pool.Finished(ServerIndex(i), pipeline.ClassNormal, Result{Refused, 0}, began)
+				pool.Finished(ServerIndex(i), pipeline.ClassNormal, Result{Refused, 0}, startTime)
 			}
 		}
 		return counts
 	}
-	pool.SetPeerStragglers(seen, began)
+	pool.SetPeerStragglers(seen, startTime)
 	counts := picks()
 	c.Assert(2*counts[2] < counts[0], qt.IsTrue, qt.Commentf("%v", counts))
 	c.Assert(2*counts[4] > counts[0], qt.IsTrue, qt.Commentf("more than 30 %% held down: %v", counts))
 	for i := range ServerIndex(6) {
 		for range minSamples {
-			pool.Started(i, pipeline.ClassNormal, began)
-			pool.Finished(i, pipeline.ClassNormal, Result{Answered, time.Millisecond}, began)
+			pool.Started(i, pipeline.ClassNormal, startTime)
+			pool.Finished(i, pipeline.ClassNormal, Result{Answered, time.Millisecond}, startTime)
 		}
 	}
 	counts = picks()
@@ -283,7 +283,7 @@
 func TestReportedServerIsLoweredToProbes(t *testing.T) {
 	c := qt.New(t)
 	pool, random := newPool(servers(6, "r-a"))
-	now := began
+	now := startTime
 	answer := func(i ServerIndex) {
 		pool.Started(i, pipeline.ClassNormal, now)
 		pool.Finished(i, pipeline.ClassNormal, Result{Answered, time.Millisecond}, now)
@@ -293,7 +293,7 @@
 			answer(i)
 		}
 	}
-	pool.refresh(now.UnixNano())
+	pool.maintain(now.UnixNano())
 	pool.SetPeerStragglers(map[string]int{"r-a-2": 1}, now)
 	c.Assert(pool.Lowered(), qt.Equals, 0)
 	seen := map[string]int{"r-a-2": 2, "r-a-3": 2, "r-a-4": 2}
@@ -305,7 +305,7 @@
 		c.Assert(i, qt.Not(qt.Equals), ServerIndex(2))
 		answer(i)
 	}
-	for range levelProbed * goodToRaise {
+	for range levelProbeOnly * goodAnswersToRaise {
 		answer(2)
 	}
 	pool.SetPeerStragglers(seen, now)
--- a/routing/state.go
+++ b/routing/state.go
@@ -22,8 +22,8 @@
 	for _, index := range p.ordered {
 		s := &p.servers[index]
 		states = append(states, ServerState{
-			ID: s.ID, Local: p.Local(index), InFlight: s.inFlight, PeersInFlight: s.peers, Weight: weights[s.level],
-			Reported: s.reported, Draining: s.drained, SlowStart: s.slowStartFrom != 0,
+			ID: s.ID, Local: p.Local(index), InFlight: s.inFlight, PeersInFlight: s.peerInFlight, Weight: weights[s.level],
+			Reported: s.reported, Draining: s.draining, SlowStart: s.slowStartFrom != 0,
 		})
 	}
 	return states
