--- a/routing/affinity.go
+++ b/routing/affinity.go
@@ -1,7 +1,7 @@
 package routing
 
-// pickByPrefix returns the first server in rendezvous order whose load is within the
-// bound.
+// pickByPrefix returns the first server in the rendezvous order of the prompt prefix
+// whose load is within the bound, or noServer.
 func (p *Pool) pickByPrefix(t int64, q *Query, mode eligibilityMode, candidates []ServerIndex) ServerIndex {
 	load, slots := 1.0, 0.0
 	for _, i := range candidates {
@@ -21,8 +21,8 @@
 	return best
 }
 
-// withinBound reports whether a server may take one more call of a shared prefix. A
-// call to an idle server is always withinBound the bound.
+// withinBound reports whether a server may take one more call with the prefix. The
+// load bound always admits a call to an idle server.
 func (p *Pool) withinBound(t int64, i ServerIndex, q *Query, mode eligibilityMode, bound float64) bool {
 	s := &p.servers[i]
 	load := s.load(t)
@@ -30,7 +30,7 @@
 	return fits && s.level == 0 && s.slowStartFrom == 0 && s.eligible(i, q, mode)
 }
 
-// mix is the finalizer of SplitMix64.
+// mix is the finalizer of the SplitMix64 generator.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/routing/hedge.go
+++ b/routing/hedge.go
@@ -7,19 +7,22 @@
 )
 
 const (
-	// HedgeBudget is the share of calls that may be hedged.
+	// HedgeBudget is the fraction of calls that may be hedged.
 	HedgeBudget = 0.05
-	// maxSavedHedges bounds the hedges that a quiet time saves up.
+	// maxSavedHedges is the maximum number of unused hedges that accumulate.
 	maxSavedHedges = 10
-	// hedgeQuantile of the pool's latency is the delay before a hedge.
+	// hedgeQuantile is the quantile of the pool's latency after which a call is
+	// hedged.
 	hedgeQuantile = 0.95
-	// hedgeMinSamples is the number of answers below which there is no delay.
+	// hedgeMinSamples is the number of answers below which calls are not hedged.
 	hedgeMinSamples = 20
-	// hedgeMaxLoad is the share of the pool's slots above which there are no hedges.
+	// hedgeMaxLoad is the fraction of the pool's slots in use above which calls are
+	// not hedged.
 	hedgeMaxLoad = 0.8
 )
 
-// Hedger decides on second calls to a pool. Only idempotent calls may ask it.
+// Hedger decides whether a call to a pool is hedged, that is, sent to a second
+// server as well. It must be used for idempotent calls only.
 type Hedger struct {
 	pool   *Pool
 	tokens float64
@@ -28,9 +31,10 @@
 // NewHedger returns a hedger for a pool.
 func NewHedger(pool *Pool) *Hedger { return &Hedger{pool: pool} }
 
-// Delay returns how long the first call may take before a hedge, and false when
-// the pool is overloaded or too little is known. It counts a call that could be
-// hedged.
+// Delay returns the time after which a call is hedged if it has not been answered,
+// and false when it must not be hedged: calls of the long class, and any call while
+// the pool is overloaded or has too few latency samples. Each call of Delay adds
+// HedgeBudget to the budget.
 func (h *Hedger) Delay(class pipeline.Class) (time.Duration, bool) {
 	h.tokens = min(maxSavedHedges, h.tokens+HedgeBudget)
 	c := classIndex(class)
@@ -41,7 +45,7 @@
 	return delay, delay > 0
 }
 
-// Allow takes one hedge from the budget.
+// Allow takes one hedge from the budget and reports whether there was one.
 func (h *Hedger) Allow() bool {
 	if h.tokens < 1 || h.pool.overloaded() {
 		return false
@@ -50,7 +54,8 @@
 	return true
 }
 
-// overloaded reports whether little of the pool is free for second calls.
+// overloaded reports whether the calls in flight use more of the slots than
+// hedgeMaxLoad.
 func (p *Pool) overloaded() bool {
 	load := 0.0
 	for _, index := range p.ordered {
--- a/routing/histogram.go
+++ b/routing/histogram.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Buckets of a histogram grow by a fixed factor from 10 µs; the last one starts
-// above 20 minutes.
+// Bucket bounds of a histogram grow by a fixed factor from 10 µs; the last bucket
+// starts above 20 minutes.
 const (
 	histogramBuckets = 128
 	histogramMin     = 10 * time.Microsecond
 	histogramGrowth  = 1.16
 )
 
-// histogram counts durations in buckets of equal relative width and forgets old
-// ones by halving all counts.
+// histogram counts durations in buckets of equal relative width. Halving all counts
+// from time to time reduces the weight of old samples.
 type histogram struct {
 	counts [histogramBuckets]float64
 	total  float64
@@ -43,8 +43,8 @@
 	}
 }
 
-// quantile returns the upper edge of the bucket that holds quantile q; 0 without
-// samples.
+// quantile returns the upper bound of the bucket that contains quantile q, or 0
+// without samples.
 func (h *histogram) quantile(q float64) time.Duration {
 	if h.total == 0 {
 		return 0
--- a/routing/home.go
+++ b/routing/home.go
@@ -15,89 +15,91 @@
 	FailureDomain string
 }
 
-// SetInstances sets the instances of the region, among which the slots of its servers
-// are divided. Each instance computes the same division from the same lists and
-// prefers its own home slots, so that instances do not all choose the same server.
-// Where lists differ, some slots have two owners for a while.
+// SetInstances sets the entry instances of the region. The next Update divides the
+// slots of the region's servers among them. The slots assigned to this instance are
+// its home slots: it prefers them, so that instances do not all choose the same
+// server. Each instance computes the same division from the same lists of instances
+// and servers. While their lists differ, some slots are assigned to two instances.
 func (p *Pool) SetInstances(self string, instances []Instance) {
 	p.self = self
 	p.instances = slices.Clone(instances)
 	slices.SortFunc(p.instances, func(a, b Instance) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// slotAllocator hands out slots in turns.
+// slotAllocator assigns slots to instances in round-robin order.
 type slotAllocator struct {
 	instances []Instance
-	// remaining is how many slots each instance still gets.
+	// remaining is the number of slots that each instance has yet to get.
 	remaining []int
 	next      int
 }
 
 func newSlotAllocator(instances []Instance, slots int) *slotAllocator {
-	d := &slotAllocator{instances: instances, remaining: make([]int, len(instances))}
-	for i := range d.remaining {
-		d.remaining[i] = slots / len(instances)
+	a := &slotAllocator{instances: instances, remaining: make([]int, len(instances))}
+	for i := range a.remaining {
+		a.remaining[i] = slots / len(instances)
 		if i < slots%len(instances) {
-			d.remaining[i]++
+			a.remaining[i]++
 		}
 	}
-	return d
+	return a
 }
 
-// allocate gives a slot to the next instance that wants one, of a failure domain or
-// of any when it is empty.
-func (d *slotAllocator) allocate(failureDomain string) (owner string, ok bool) {
-	for range d.instances {
-		i := d.next % len(d.instances)
-		d.next++
-		if d.remaining[i] > 0 && (failureDomain == "" || d.instances[i].FailureDomain == failureDomain) {
-			d.remaining[i]--
-			return d.instances[i].ID, true
+// allocate assigns a slot to the next instance with slots remaining in a failure
+// domain, or in any if failureDomain is empty. It returns false if there is none.
+func (a *slotAllocator) allocate(failureDomain string) (owner string, ok bool) {
+	for range a.instances {
+		i := a.next % len(a.instances)
+		a.next++
+		if a.remaining[i] > 0 && (failureDomain == "" || a.instances[i].FailureDomain == failureDomain) {
+			a.remaining[i]--
+			return a.instances[i].ID, true
 		}
 	}
 	return "", false
 }
 
-// assignHomeSlots allocates the slots of the region's servers, first to instances of the
-// server's failure domain. Slots of a server that long kinds may use are allocated
-// one by one, so that long calls of all instances keep to their share of it.
+// assignHomeSlots divides the slots of the region's servers among the instances,
+// preferring those in the server's failure domain. Each slot that the long class may
+// use is assigned to one instance, so that the long calls of all instances together
+// stay within that class's share of a server.
 func (p *Pool) assignHomeSlots() {
 	p.home = p.home[:0]
 	p.homeSlots = 0
 	if len(p.instances) == 0 {
 		return
 	}
-	near := slices.Clone(p.ordered[:p.tierEnd[tierRegion]])
-	slices.SortFunc(near, func(a, b ServerIndex) int { return cmp.Compare(p.servers[a].ID, p.servers[b].ID) })
-	d := newSlotAllocator(p.instances, p.slotsOf(near))
+	local := slices.Clone(p.ordered[:p.tierEnd[tierRegion]])
+	slices.SortFunc(local, func(a, b ServerIndex) int { return cmp.Compare(p.servers[a].ID, p.servers[b].ID) })
+	allocator := newSlotAllocator(p.instances, p.slotsOf(local))
 	type slot struct {
 		server ServerIndex
 		number int
 	}
-	var rest []slot
+	var unassigned []slot
 	for number, more := 0, true; more; number++ {
 		more = false
-		for _, i := range near {
+		for _, i := range local {
 			s := &p.servers[i]
 			if number >= s.Slots || s.draining {
 				continue
 			}
 			more = true
-			if owner, ok := d.allocate(s.FailureDomain); ok {
+			if owner, ok := allocator.allocate(s.FailureDomain); ok {
 				p.addHomeSlot(i, number, owner)
 				continue
 			}
-			rest = append(rest, slot{i, number})
+			unassigned = append(unassigned, slot{i, number})
 		}
 	}
-	for _, left := range rest {
-		if owner, ok := d.allocate(""); ok {
-			p.addHomeSlot(left.server, left.number, owner)
+	for _, free := range unassigned {
+		if owner, ok := allocator.allocate(""); ok {
+			p.addHomeSlot(free.server, free.number, owner)
 		}
 	}
 }
 
-// addHomeSlot notes a home slot when the owner is this instance.
+// addHomeSlot records a home slot if the owner is this instance.
 func (p *Pool) addHomeSlot(i ServerIndex, number int, owner string) {
 	if owner != p.self {
 		return
@@ -114,8 +116,8 @@
 	}
 }
 
-// HomeSlots returns the number of this instance's home slots, or an equal part
-// of all slots when it has none.
+// HomeSlots returns the number of this instance's home slots, or its equal share of
+// Slots when it has none.
 func (p *Pool) HomeSlots() float64 {
 	if p.homeSlots > 0 {
 		return float64(p.homeSlots)
@@ -123,9 +125,9 @@
 	return float64(p.Slots()) / float64(max(1, len(p.instances)))
 }
 
-// pickHome returns the best server with a free home slot for the call. Among
-// those whose score is within BoundedLoad of the lowest one, the prompt prefix
-// decides by rendezvous hashing.
+// pickHome returns the best server with a free home slot for the call, or noServer.
+// Among servers whose score is at most BoundedLoad times the lowest one, the prompt
+// prefix decides by rendezvous hashing.
 func (p *Pool) pickHome(t int64, q *Query) ServerIndex {
 	lowest := math.Inf(1)
 	for _, i := range p.home {
@@ -159,24 +161,25 @@
 	return classIndex(q.Class) != longIndex || s.long < s.homeLong
 }
 
-// homeScore is the place of the next home slot, times the relative latency.
-// Long calls take slots with low numbers first and others those with high
-// numbers. All instances do so, which spreads the long calls evenly over the
-// servers although each instance sees only its own.
+// homeScore is the position of the server's next home slot plus its excess load,
+// scaled by relative latency; lower is better. Long calls use slots with low numbers
+// first, other calls those with high numbers. All instances do so, which spreads
+// long calls evenly over the servers although each instance knows only its own
+// calls.
 func (s *server) homeScore(t int64, class pipeline.Class) float64 {
-	place := s.homeNumbers[s.long]
+	position := s.homeNumbers[s.long]
 	if classIndex(class) != longIndex {
-		place = s.Slots - 1 - s.homeNumbers[s.home-1-max(0, s.inFlight-s.long)]
+		position = s.Slots - 1 - s.homeNumbers[s.home-1-max(0, s.inFlight-s.long)]
 	}
-	return (float64(place+1) + s.excessLoad(t)) * s.scale
+	return (float64(position+1) + s.excessLoad(t)) * s.scale
 }
 
-// overdueFactor is the multiple of the pool's 95th percentile after which a single
-// running call is evidence against its server.
+// overdueFactor is the multiple of the pool's 95th percentile latency above which
+// even a single running call counts as a sign of a slow server.
 const overdueFactor = 1.5
 
-// overdue reports whether the mean running call of a class is far older than
-// nearly all answers of the pool.
+// overdue reports whether the mean age of a server's running calls of one class is
+// far above the latency of nearly all answers of the pool.
 func (p *Pool) overdue(s *server, t int64) bool {
 	for class := range classCount {
 		one := &s.latency[seriesTotal][class]
@@ -188,10 +191,12 @@
 	return false
 }
 
-// overdueCheckInterval is how often running calls are looked at.
+// overdueCheckInterval is the interval at which the age of running calls is checked,
+// in nanoseconds.
 const overdueCheckInterval = int64(20 * time.Millisecond)
 
-// checkOverdue lowers servers with overdue calls without waiting for their end.
+// checkOverdue lowers the weight of servers with overdue calls, without waiting for
+// these calls to end.
 func (p *Pool) checkOverdue(t int64) {
 	p.nextOverdueCheck = t + overdueCheckInterval
 	for _, i := range p.ordered {
--- a/routing/home_test.go
+++ b/routing/home_test.go
@@ -11,9 +11,9 @@
 	"github.com/coltsfootdrift/coltsfootdrift/pipeline"
 )
 
-// Guards against slots that two instances own or none, and against long calls
-// of all instances together above their share of a server.
-func TestHomeSlotsAreDividedWhole(t *testing.T) {
+// Guards against slots that are home slots of two instances or of none, and against
+// long calls of all instances that together exceed their share of a server.
+func TestEveryHomeSlotHasOneOwner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		domains := []string{"r-a", "r-b"}
 		var list []Server
@@ -47,7 +47,7 @@
 	})
 }
 
-// Guards against a slow server that is noticed only when its first call ends.
+// Guards against a slow server that is detected only when its first call ends.
 func TestOverdueCallLowersItsServer(t *testing.T) {
 	pool, random := newPool(servers(12, "r-a"))
 	now := startTime
@@ -58,9 +58,9 @@
 	qt.Assert(t, pool.Lowered(), qt.Equals, 1)
 }
 
-// Guards against a slow server whose calls are all rescued by hedges, so that it
-// never shows a slow answer and keeps its share of the calls.
-func TestRescuedCallsLowerTheirServer(t *testing.T) {
+// Guards against a slow server that keeps its share of the calls because all of them
+// are hedged and cancelled, so that it never returns a slow answer.
+func TestHedgedCallsLowerTheirServer(t *testing.T) {
 	pool, random := newPool(servers(12, "r-a"))
 	now := startTime
 	serve(pool, random, &now, 500, func(ServerIndex) time.Duration { return 10 * time.Millisecond })
@@ -72,8 +72,8 @@
 	qt.Assert(t, pool.Lowered(), qt.Equals, 1)
 }
 
-// Guards against instances that, unable to see each other's calls, put their
-// long calls on the same servers.
+// Guards against instances that put their long calls on the same servers because
+// they do not know each other's calls.
 func TestLongCallsOfAllInstancesSpreadOverServers(t *testing.T) {
 	list := servers(8, "r-a")
 	instances := []Instance{{"i0", "r-a"}, {"i1", "r-a"}, {"i2", "r-a"}, {"i3", "r-a"}}
@@ -94,8 +94,8 @@
 	}
 }
 
-// Guards against a prompt prefix that overrules the load: it decides among home
-// slots of about the same score only.
+// Guards against a prompt prefix that takes precedence over load: it decides only
+// among home slots with about the same score.
 func TestPrefixDecidesAmongEqualHomeSlots(t *testing.T) {
 	pool, random := newPool(nil)
 	pool.SetInstances("i0", []Instance{{"i0", "r-a"}})
--- a/routing/latency.go
+++ b/routing/latency.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// latencySeries is the latency of one class at one server. mean and samples decay, so
-// that old evidence lapses.
+// latencySeries tracks the latency of one class at one server, in nanoseconds. mean
+// is a moving average and samples decays, so that old measurements expire.
 type latencySeries struct {
 	mean    float64
 	samples float64
-	// running calls and the sum of their start times; their mean age is evidence
-	// before the first slow call ends.
+	// running is the number of running calls and startSum the sum of their start times.
+	// Their mean age shows a slow server before its first slow call ends.
 	running  int
 	startSum int64
 }
 
 const (
-	// meanGain is the weight of a new sample in the mean.
+	// meanGain is the weight of a new sample in the moving average.
 	meanGain = 0.2
-	// minSamples is the number of samples below which a mean is no evidence.
+	// minSamples is the number of samples below which the mean is not used.
 	minSamples = 4
-	// minRunning is the number of running calls whose mean age is evidence.
+	// minRunning is the number of running calls below which their mean age is not
+	// used.
 	minRunning = 2
 )
 
@@ -31,7 +32,8 @@
 	s.samples++
 }
 
-// addAtLeast takes a call that would have lasted longer than latency.
+// addAtLeast records a call that would have taken longer than latency. It is ignored
+// if latency does not exceed the mean.
 func (s *latencySeries) addAtLeast(latency time.Duration) {
 	if float64(latency) > s.mean {
 		s.add(latency)
@@ -51,7 +53,7 @@
 	}
 }
 
-// estimate is the latency that the evidence shows, and whether there is enough.
+// estimate returns the estimated latency, and whether there is enough data for it.
 func (s *latencySeries) estimate(t int64) (float64, bool) {
 	estimate, enough := s.mean, s.samples >= minSamples
 	if s.running < minRunning {
@@ -64,19 +66,21 @@
 	return estimate, enough
 }
 
+// decayPeerCounts recomputes each server's calls in flight from other instances,
+// weighted by the age of their reports. It removes expired reports.
 func (p *Pool) decayPeerCounts(t int64) {
 	for _, index := range p.ordered {
 		s := &p.servers[index]
 		s.peerInFlight, s.peerLong = 0, 0
 	}
-	for instance, view := range p.peerReports {
-		age := t - view.receivedAt
+	for instance, report := range p.peerReports {
+		age := t - report.receivedAt
 		if age >= peerLifetime {
 			delete(p.peerReports, instance)
 			continue
 		}
 		share := min(1, float64(peerLifetime-age)/float64(peerLifetime-peerFreshness))
-		for _, count := range view.counts {
+		for _, count := range report.counts {
 			if index, ok := p.byID[count.ID]; ok {
 				p.servers[index].peerInFlight += share * float64(count.InFlight)
 				p.servers[index].peerLong += share * float64(count.Long)
@@ -85,7 +89,7 @@
 	}
 }
 
-// computeMedians sets the pool median of each series.
+// computeMedians computes the median over the servers for each latency series.
 func (p *Pool) computeMedians(t int64) {
 	for kind := range seriesCount {
 		for class := range classCount {
@@ -100,7 +104,8 @@
 	}
 }
 
-// median of values, which it sorts; the lower one of two. 0 without values.
+// median sorts values and returns their median, the lower of the two middle ones, or
+// 0 without values.
 func median(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/routing/pick.go
+++ b/routing/pick.go
@@ -8,7 +8,7 @@
 	"github.com/coltsfootdrift/coltsfootdrift/pipeline"
 )
 
-// Tiers of distance.
+// Tiers of distance, nearest first.
 const (
 	tierFailureDomain = iota
 	tierRegion
@@ -27,17 +27,20 @@
 	}
 }
 
+// noServer is returned when no server is eligible.
 const noServer ServerIndex = -1
 
-// excessLifetime is the time over which the correction of a load report ages out.
+// excessLifetime is the time over which the excess load of a load report decays to
+// 0, in nanoseconds.
 const excessLifetime = int64(2 * time.Second)
 
-// load is the number of calls that the server is believed to hold.
+// load returns the estimated number of calls at the server.
 func (s *server) load(t int64) float64 {
 	return float64(s.inFlight) + s.peerInFlight + s.excessLoad(t)
 }
 
-// excessLoad is the load that the last report showed beyond the counts.
+// excessLoad returns the load that the last load report showed beyond the known
+// calls, decayed by its age.
 func (s *server) excessLoad(t int64) float64 {
 	if age := t - s.excessAt; s.excess > 0 && age < excessLifetime {
 		return s.excess * (1 - float64(age)/float64(excessLifetime))
@@ -45,7 +48,7 @@
 	return 0
 }
 
-// score is the relative time that one more call would take; lower is better.
+// score returns the expected relative duration of one more call; lower is better.
 func (s *server) score(t int64) float64 {
 	score := (s.load(t) + 1) * s.scale
 	if s.slowStartFrom != 0 {
@@ -54,29 +57,29 @@
 	return score
 }
 
-// slowStart is the weight of a server that joined recently.
+// slowStart returns the weight of a server during its slow start, from 0.1 to 1.
 func (s *server) slowStart(t int64) float64 {
-	const least = 0.1
-	return min(1, max(least, float64(t-s.slowStartFrom)/float64(SlowStart)))
+	const minWeight = 0.1
+	return min(1, max(minWeight, float64(t-s.slowStartFrom)/float64(SlowStart)))
 }
 
-// saturated reports whether the server's slots are believed to be taken.
+// saturated reports whether the estimated load fills the server's slots.
 func (s *server) saturated(t int64) bool {
 	return s.load(t) >= float64(s.Slots)
 }
 
-// longLimit is the number of slots that long kinds may take.
+// longLimit returns the number of slots that calls of the long class may use.
 func (s *server) longLimit() float64 {
 	return max(1, float64(int(LongShare*float64(s.Slots))))
 }
 
-// eligibilityMode is how much of what is known about servers excludes them.
+// eligibilityMode is how strictly servers are excluded.
 type eligibilityMode int
 
 const (
 	// strict excludes stragglers and counts the long calls of all instances.
 	strict eligibilityMode = iota
-	// relaxed counts only the long calls of this instance.
+	// relaxed includes stragglers and counts the long calls of this instance only.
 	relaxed
 )
 
@@ -97,7 +100,8 @@
 	return long < s.longLimit()
 }
 
-// Pick chooses a server for a call. It does not count the call; Started does.
+// Pick chooses a server for a call. It returns false if no server is eligible. It
+// does not count the call as in flight; Started does.
 func (p *Pool) Pick(now time.Time, random *rand.Rand, q Query) (ServerIndex, bool) {
 	t := now.UnixNano()
 	if t >= p.nextMaintenance {
@@ -118,7 +122,8 @@
 		return i, true
 	}
 	if len(p.home) > 0 {
-		// Beyond their home slots, all instances would follow the prefix to one server.
+		// Outside home slots, the prefix would send the calls of all instances to one
+		// server.
 		q.Prefix = 0
 	}
 	for mode := strict; mode <= relaxed; mode++ {
@@ -129,20 +134,22 @@
 	return noServer, false
 }
 
-// pickRemote chooses a server of another region that has room.
+// pickRemote returns an eligible server of another region with a free slot, or
+// noServer.
 func (p *Pool) pickRemote(t int64, random *rand.Rand, q *Query) ServerIndex {
-	far := p.ordered[p.tierEnd[tierRegion]:]
-	if len(far) == 0 {
+	remote := p.ordered[p.tierEnd[tierRegion]:]
+	if len(remote) == 0 {
 		return noServer
 	}
-	i := p.choose(t, random, q, strict, far)
+	i := p.choose(t, random, q, strict, remote)
 	if i == noServer || p.servers[i].saturated(t) {
 		return noServer
 	}
 	return i
 }
 
-// HasRemoteCapacity reports whether a server of another region is believed to have room.
+// HasRemoteCapacity reports whether a server of another region, at full weight, is
+// estimated to have a free slot.
 func (p *Pool) HasRemoteCapacity(now time.Time) bool {
 	for _, i := range p.ordered[p.tierEnd[tierRegion]:] {
 		if s := &p.servers[i]; !s.draining && s.level == 0 && !s.saturated(now.UnixNano()) {
@@ -152,8 +159,9 @@
 	return false
 }
 
-// pickByTier takes the nearest tier that has room. Another region is used only
-// when the own region has no server or cannot answer within the deadline.
+// pickByTier returns a server of the nearest tier with a free slot, or the one with
+// the lowest score if all are saturated. Another region is used only when this
+// instance's region has no eligible server or cannot answer within the deadline.
 func (p *Pool) pickByTier(t int64, random *rand.Rand, q *Query, mode eligibilityMode) ServerIndex {
 	best := noServer
 	from := 0
@@ -177,8 +185,8 @@
 	return best
 }
 
-// mayUseRemote reports whether a call may go to another region although local is
-// the best server of the own region.
+// mayUseRemote reports whether a call may go to another region. local is the best
+// server of this instance's region, or noServer.
 func (p *Pool) mayUseRemote(t int64, q *Query, local ServerIndex) bool {
 	if !q.AllowRemote {
 		return false
@@ -189,7 +197,8 @@
 	return q.Remaining > 0 && p.expectedDuration(t, local, q.Class) > q.Remaining
 }
 
-// expectedDuration estimates how long a call to a server would take.
+// expectedDuration estimates how long a call to a server would take, including the
+// wait for a slot.
 func (p *Pool) expectedDuration(t int64, i ServerIndex, class pipeline.Class) time.Duration {
 	s := &p.servers[i]
 	waiting := max(0, s.load(t)+1-float64(s.Slots))
@@ -197,7 +206,9 @@
 	return time.Duration(median * s.relative * (1 + waiting/float64(s.Slots)))
 }
 
-// choose compares random candidates, or follows the prompt prefix.
+// choose returns the server that prefix affinity selects, or else the best of a few
+// random candidates. If that one is saturated, it returns the best of all
+// candidates.
 func (p *Pool) choose(t int64, random *rand.Rand, q *Query, mode eligibilityMode, candidates []ServerIndex) ServerIndex {
 	if q.Prefix != 0 {
 		if i := p.pickByPrefix(t, q, mode, candidates); i != noServer {
@@ -221,35 +232,36 @@
 	return best
 }
 
-// sample returns a random eligible server other than not. It walks on from a
-// random place, so that it finds one whenever there is one.
-func (p *Pool) sample(random *rand.Rand, q *Query, mode eligibilityMode, candidates []ServerIndex, not ServerIndex) ServerIndex {
+// sample returns a random eligible server other than exclude, or noServer. It scans
+// from a random position, so that it finds a server whenever there is one.
+func (p *Pool) sample(random *rand.Rand, q *Query, mode eligibilityMode, candidates []ServerIndex, exclude ServerIndex) ServerIndex {
 	start := random.IntN(len(candidates))
 	for step := range candidates {
-		place := start + step
-		if place >= len(candidates) {
-			place -= len(candidates)
+		position := start + step
+		if position >= len(candidates) {
+			position -= len(candidates)
 		}
-		i := candidates[place]
-		if i != not && p.servers[i].eligible(i, q, mode) {
+		i := candidates[position]
+		if i != exclude && p.servers[i].eligible(i, q, mode) {
 			return i
 		}
 	}
 	return noServer
 }
 
-// lowestScore returns the eligible server with the lowest score, the first one from a
-// random place among equals.
+// lowestScore returns the eligible server with the lowest score, or noServer. The
+// scan starts at a random position, so that ties do not always go to the same
+// server.
 func (p *Pool) lowestScore(t int64, random *rand.Rand, q *Query, mode eligibilityMode, candidates []ServerIndex) ServerIndex {
 	best := noServer
 	bestScore := 0.0
 	start := random.IntN(len(candidates))
 	for step := range candidates {
-		place := start + step
-		if place >= len(candidates) {
-			place -= len(candidates)
+		position := start + step
+		if position >= len(candidates) {
+			position -= len(candidates)
 		}
-		i := candidates[place]
+		i := candidates[position]
 		s := &p.servers[i]
 		if !s.eligible(i, q, mode) {
 			continue
--- a/routing/pool.go
+++ b/routing/pool.go
@@ -11,7 +11,7 @@
 	"github.com/coltsfootdrift/coltsfootdrift/pipeline"
 )
 
-// Latency series of a server.
+// Latencies that are measured per server: to the first byte and of the total call.
 const (
 	seriesFirstByte = iota
 	seriesTotal
@@ -23,54 +23,57 @@
 	Server
 	hash uint64
 	live bool
-	// home is the number of home slots of this instance, homeLong of those that
-	// long kinds may use.
+	// home is the number of this instance's home slots at the server, and homeLong of
+	// those that the long class may use.
 	home, homeLong int
-	// homeNumbers are those of the home slots at the server, lowest first.
+	// homeNumbers lists the slot numbers of the home slots, lowest first.
 	homeNumbers []int
-	// tier is the distance class of the server.
+	// tier is the distance of the server.
 	tier int
 	// draining is true from a drain marker until the next incarnation.
 	draining bool
-	// slowStartFrom is when the slow start began; 0 for a server that is warm.
+	// slowStartFrom is when the slow start began; 0 if there is none in progress.
 	slowStartFrom int64
-	inFlight      int
-	long          int
-	// peerInFlight and peersLong are the aged counts of the other instances.
+	// inFlight counts this instance's calls, long those of the long class among them.
+	inFlight int
+	long     int
+	// peerInFlight and peerLong are the calls that other instances reported,
+	// weighted by the age of the reports.
 	peerInFlight float64
 	peerLong     float64
-	// excess is the load of the last report that no count explained.
+	// excess is the load in the last load report beyond the known calls.
 	excess   float64
 	excessAt int64
 	latency  [seriesCount][classCount]latencySeries
 	stragglerState
-	// scale multiplies the load in the score: latency relative to the pool
-	// divided by weight and slots.
+	// scale multiplies the load in the score. It is the latency relative to the
+	// pool, divided by weight and slots.
 	scale float64
 }
 
-// peerReport is what another instance last said.
+// peerReport is the last report of another instance.
 type peerReport struct {
 	counts     []ServerCount
 	receivedAt int64
 }
 
-// Pool is the servers of one pool as one instance sees them.
+// Pool holds the servers of one pool as seen by one instance. Times are in
+// nanoseconds.
 type Pool struct {
 	location Location
-	// choices is the number of random candidates of one decision.
+	// choices is the number of random candidates that a decision compares.
 	choices int
 	servers []server
 	byID    map[string]ServerIndex
-	// ordered holds the live servers by tier; tierEnd is the end of each tier.
+	// ordered lists the live servers by tier; tierEnd is the end of each tier in it.
 	ordered     []ServerIndex
 	tierEnd     [tierCount]int
 	peerReports map[string]peerReport
-	// slots is the sum over live servers.
+	// slots is the sum of the slots of the live servers.
 	slots     int
 	self      string
 	instances []Instance
-	// home lists the servers with home slots of this instance.
+	// home lists the servers at which this instance has home slots.
 	home      []ServerIndex
 	homeSlots int
 
@@ -99,8 +102,8 @@
 	}
 }
 
-// Update replaces the servers of the pool. Servers that are new to a pool that
-// already has some, and restarted ones, go through a slow start.
+// Update replaces the list of servers. Servers added to a pool that already has
+// some, and restarted ones, go through a slow start.
 func (p *Pool) Update(servers []Server, now time.Time) {
 	t := now.UnixNano()
 	first := len(p.ordered) == 0
@@ -138,7 +141,7 @@
 	}
 }
 
-// allocateIndex returns the index of a slot that no call uses.
+// allocateIndex returns the index of an unused entry of servers.
 func (p *Pool) allocateIndex() ServerIndex {
 	for i := range p.servers {
 		s := &p.servers[i]
@@ -150,7 +153,8 @@
 	return ServerIndex(len(p.servers) - 1)
 }
 
-// reorder sorts the live servers by tier and frees slots of gone ones.
+// reorder sorts the live servers by tier and ID, and clears the entries of removed
+// servers that have no calls in flight.
 func (p *Pool) reorder() {
 	p.ordered = p.ordered[:0]
 	p.slots = 0
@@ -181,7 +185,7 @@
 	}
 }
 
-// Index returns the index of a server by its ID.
+// Index returns the index of the server with the given ID.
 func (p *Pool) Index(id string) (ServerIndex, bool) {
 	index, ok := p.byID[id]
 	return index, ok
@@ -193,8 +197,8 @@
 // Local reports whether a server is in the instance's region.
 func (p *Pool) Local(i ServerIndex) bool { return p.servers[i].tier < tierRemote }
 
-// Slots returns the sum of the slots of the servers in the instance's region, or
-// in all regions when its own has none.
+// Slots returns the sum of the slots of the servers in the instance's region, or in
+// all regions if its own has none. Draining servers do not count.
 func (p *Pool) Slots() int {
 	if slots := p.slotsOf(p.ordered[:p.tierEnd[tierRegion]]); slots > 0 {
 		return slots
@@ -212,16 +216,17 @@
 	return slots
 }
 
-// RandomLocal returns a random live server of the instance's region, for a load report.
+// RandomLocal returns a random live server of the instance's region. The caller
+// queries its load report.
 func (p *Pool) RandomLocal(random *rand.Rand) (ServerIndex, bool) {
-	near := p.ordered[:p.tierEnd[tierRegion]]
-	if len(near) == 0 {
+	local := p.ordered[:p.tierEnd[tierRegion]]
+	if len(local) == 0 {
 		return noServer, false
 	}
-	return near[random.IntN(len(near))], true
+	return local[random.IntN(len(local))], true
 }
 
-// Started counts a call in flight.
+// Started counts a call as in flight.
 func (p *Pool) Started(i ServerIndex, class pipeline.Class, now time.Time) {
 	s := &p.servers[i]
 	c := classIndex(class)
@@ -232,12 +237,13 @@
 	s.latency[seriesTotal][c].started(now.UnixNano())
 }
 
-// FirstByte records the time from the start of a call to the first byte of its answer.
+// FirstByte records the time from the start of a call to the first byte of its
+// answer.
 func (p *Pool) FirstByte(i ServerIndex, class pipeline.Class, latency time.Duration) {
 	p.servers[i].latency[seriesFirstByte][classIndex(class)].add(latency)
 }
 
-// Finished ends a call that was started.
+// Finished records the end of a call that Started counted.
 func (p *Pool) Finished(i ServerIndex, class pipeline.Class, result Result, now time.Time) {
 	s := &p.servers[i]
 	c := classIndex(class)
@@ -267,8 +273,8 @@
 	p.recordResult(s, c, result, now.UnixNano())
 }
 
-// Report takes a server's own load report. Load beyond the counts of all
-// instances is a correction that ages out, because reports lag.
+// Report records a server's own load report. Load beyond the known calls of all
+// instances is added to the server's load and decays, because load reports lag.
 func (p *Pool) Report(i ServerIndex, report LoadReport, now time.Time) {
 	s := &p.servers[i]
 	known := float64(s.inFlight) + s.peerInFlight
@@ -276,13 +282,13 @@
 	s.excessAt = now.UnixNano()
 }
 
-// SetPeerCounts replaces the counts that another instance last reported. The pool
-// keeps the slice.
+// SetPeerCounts replaces the calls in flight that another instance reported. The
+// pool keeps the slice.
 func (p *Pool) SetPeerCounts(instance string, counts []ServerCount, now time.Time) {
 	p.peerReports[instance] = peerReport{counts: counts, receivedAt: now.UnixNano()}
 }
 
-// Counts returns the calls in flight of this instance, for its peers.
+// Counts returns this instance's calls in flight, to be reported to its peers.
 func (p *Pool) Counts() []ServerCount {
 	var counts []ServerCount
 	for _, index := range p.ordered {
@@ -293,8 +299,8 @@
 	return counts
 }
 
-// Drain marks a server that is leaving. The marker ends with the next
-// incarnation of the server.
+// Drain marks a server as draining. It returns false if the server is unknown or
+// already marked. The mark ends with the next incarnation of the server.
 func (p *Pool) Drain(id string) bool {
 	index, ok := p.byID[id]
 	if !ok || p.servers[index].draining {
--- a/routing/pool_test.go
+++ b/routing/pool_test.go
@@ -14,8 +14,8 @@
 )
 
 var (
-	startTime = time.Unix(1000, 0)
-	here      = Location{Region: "r", FailureDomain: "r-a"}
+	startTime    = time.Unix(1000, 0)
+	testLocation = Location{Region: "r", FailureDomain: "r-a"}
 )
 
 // servers returns n servers of one failure domain.
@@ -28,12 +28,13 @@
 }
 
 func newPool(list []Server) (*Pool, *rand.Rand) {
-	pool := NewPool(here)
+	pool := NewPool(testLocation)
 	pool.Update(list, startTime)
 	return pool, rand.New(rand.NewPCG(1, 2))
 }
 
-// serve runs n calls one after another, each with the latency of its server.
+// serve runs n calls one after another, each with the latency of its server, and
+// returns the number of calls per server.
 func serve(pool *Pool, random *rand.Rand, now *time.Time, n int, latency func(ServerIndex) time.Duration) map[ServerIndex]int {
 	picked := map[ServerIndex]int{}
 	for range n {
@@ -51,8 +52,8 @@
 }
 
 // Guards against stragglers that keep their share of the calls, and against ones
-// that never come back after they recovered.
-func TestStragglerIsLoweredAndComesBack(t *testing.T) {
+// that are never restored after they have recovered.
+func TestStragglerIsLoweredAndRecovers(t *testing.T) {
 	c := qt.New(t)
 	pool, random := newPool(servers(12, "r-a"))
 	now := startTime
@@ -70,7 +71,7 @@
 	c.Assert(pool.Lowered(), qt.Equals, 0)
 }
 
-// Guards against a pool that is slow as a whole and takes out its own servers.
+// Guards against a pool that lowers its own servers because all of them are slow.
 func TestSlowPoolLowersNoServer(t *testing.T) {
 	pool, random := newPool(servers(12, "r-a"))
 	now := startTime
@@ -79,9 +80,9 @@
 	qt.Assert(t, pool.Lowered(), qt.Equals, 0)
 }
 
-// Guards against more than 30 % of a pool held down, negative counts, a pick of a
-// draining or unlisted server, and long work above its share of a server's slots,
-// under any order of calls and changes.
+// Guards against more than 30 % of a pool lowered, negative counts, a pick of a
+// draining or unlisted server, and more long calls than their share of a server's
+// slots, under any order of calls and changes.
 func TestPoolInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := append(servers(rapid.IntRange(1, 14).Draw(t, "near"), "r-a"), servers(4, "s-a")...)
@@ -152,24 +153,25 @@
 	})
 }
 
-// Guards against a dead server that attracts calls because it fails fast.
+// Guards against an unreachable server that attracts calls because it fails fast.
 func TestUnreachableServerIsLowered(t *testing.T) {
 	pool, random := newPool(servers(6, "r-a"))
-	dead := 0
+	unreachable := 0
 	for range 100 {
 		i, _ := pool.Pick(startTime, random, Query{})
 		pool.Started(i, pipeline.ClassNormal, startTime)
 		outcome := Answered
 		if i == 3 {
-			dead++
+			unreachable++
 			outcome = Unreachable
 		}
 		pool.Finished(i, pipeline.ClassNormal, Result{outcome, time.Millisecond}, startTime)
 	}
-	qt.Assert(t, dead, qt.Equals, 1)
+	qt.Assert(t, unreachable, qt.Equals, 1)
 }
 
-// Guards against calls that leave the region without need or without budget.
+// Guards against calls to another region that are not needed or not within the link
+// budget.
 func TestLinkIsLastResort(t *testing.T) {
 	c := qt.New(t)
 	near, far := servers(2, "r-a"), servers(2, "s-a")
@@ -225,7 +227,7 @@
 func BenchmarkDecisionPrefix1000(b *testing.B) { benchmarkPick(b, 1000, Query{Prefix: 77}) }
 func BenchmarkDecisionPrefix2100(b *testing.B) { benchmarkPick(b, 2100, Query{Prefix: 77}) }
 
-// Guards against a decision that allocates.
+// Guards against memory allocations in a routing decision.
 func TestDecisionAllocatesNothing(t *testing.T) {
 	pool, random := newPool(servers(56, "r-a"))
 	now := startTime
@@ -238,9 +240,10 @@
 	qt.Assert(t, allocated, qt.Equals, 0.0)
 }
 
-// Guards against a server that other instances see as a straggler and that gets
-// its full part of the calls here, against a marker that outweighs later own
-// evidence, and against markers that hold down more of a pool than may be lowered.
+// Guards against a server that gets its full share of calls here although other
+// instances report it as a straggler, against a report that outweighs later
+// measurements of this instance, and against reports that reduce the calls to more
+// servers of a pool than may be lowered.
 func TestPeerStragglersGetFewerCalls(t *testing.T) {
 	c := qt.New(t)
 	pool, random := newPool(servers(6, "r-a"))
@@ -265,7 +268,7 @@
 	pool.SetPeerStragglers(seen, startTime)
 	counts := picks()
 	c.Assert(2*counts[2] < counts[0], qt.IsTrue, qt.Commentf("%v", counts))
-	c.Assert(2*counts[4] > counts[0], qt.IsTrue, qt.Commentf("more than 30 %% held down: %v", counts))
+	c.Assert(2*counts[4] > counts[0], qt.IsTrue, qt.Commentf("more than 30 %% get fewer calls: %v", counts))
 	for i := range ServerIndex(6) {
 		for range minSamples {
 			pool.Started(i, pipeline.ClassNormal, startTime)
@@ -273,13 +276,13 @@
 		}
 	}
 	counts = picks()
-	c.Assert(2*counts[2] > counts[0], qt.IsTrue, qt.Commentf("own evidence ignored: %v", counts))
+	c.Assert(2*counts[2] > counts[0], qt.IsTrue, qt.Commentf("own measurements ignored: %v", counts))
 }
 
-// Guards against an instance that finds a slow server by slow calls of its own
-// although others agree on it, against a report by a single instance, against a
-// report that is passed on, and against a server that stays lowered after good
-// probes.
+// Guards against an instance that detects a slow server only through slow calls of
+// its own although others agree on it, against lowering on the report of a single
+// instance, against passing on such reports, and against a server that stays lowered
+// after good probes.
 func TestReportedServerIsLoweredToProbes(t *testing.T) {
 	c := qt.New(t)
 	pool, random := newPool(servers(6, "r-a"))
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// RetryBudgetConfig bounds retries in proportion to requests.
+// RetryBudgetConfig limits retries in proportion to requests.
 type RetryBudgetConfig struct {
-	// Ratio is the number of retries that one request earns.
+	// Ratio is the number of retries that one request adds to the budget.
 	Ratio float64
-	// PerSecond is the number of retries earned per second without any request, so
+	// PerSecond is the number of retries added per second regardless of requests, so
 	// that an instance with little load can retry at all.
 	PerSecond float64
-	// Burst bounds the retries that can be saved up.
+	// Burst is the maximum number of retries in the budget.
 	Burst float64
 }
 
 // DefaultRetryBudget allows retries for 10 % of requests and 2 per second.
 var DefaultRetryBudget = RetryBudgetConfig{Ratio: 0.1, PerSecond: 2, Burst: 50}
 
-// RetryBudget is a token bucket that requests and time fill and retries drain.
-// It starts empty, so that a restarted instance does not add load to an
-// overloaded pool. It is not safe for concurrent use.
+// RetryBudget is a token bucket that requests and time fill and retries empty. It
+// starts empty, so that a restarted instance does not add load to an overloaded
+// pool. It is not safe for concurrent use.
 type RetryBudget struct {
 	config RetryBudgetConfig
 	tokens float64
@@ -46,7 +46,8 @@
 	return true
 }
 
-// refill adds what time earned. A clock that goes back earns nothing.
+// refill adds the tokens for the time since the last refill. A clock that moved
+// backwards adds none.
 func (b *RetryBudget) refill(now time.Time) {
 	elapsed := now.Sub(b.last)
 	if elapsed <= 0 {
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -9,8 +9,8 @@
 	_ "github.com/coltsfootdrift/coltsfootdrift/internal/fixedseed"
 )
 
-// Guards against a retry storm: retries beyond the ratio of requests plus the
-// constant per second, whatever the order of requests, retries and clock steps.
+// Guards against a retry storm: more retries than the ratio of requests plus the
+// constant rate allow, for any order of requests, retries and clock steps.
 func TestRetryBudgetBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.Unix(0, 0)
@@ -39,7 +39,8 @@
 	})
 }
 
-// Guards against an idle night that saves up retries for a storm in the morning.
+// Guards against a retry storm with the budget that accumulated while the instance
+// was idle, such as overnight.
 func TestRetryBudgetBurst(t *testing.T) {
 	budget := NewRetryBudget(DefaultRetryBudget, time.Unix(0, 0))
 	now := time.Unix(0, 0).Add(time.Hour)
--- a/routing/state.go
+++ b/routing/state.go
@@ -1,22 +1,22 @@
 package routing
 
-// ServerState is a live server as the status shows it.
+// ServerState is a live server as the status report shows it.
 type ServerState struct {
 	ID    string
 	Local bool
-	// InFlight counts the calls of this instance, PeersInFlight those that the
-	// others reported, aged.
+	// InFlight is the number of this instance's calls. PeersInFlight is the number
+	// of calls that other instances reported, weighted by the age of the reports.
 	InFlight      int
 	PeersInFlight float64
-	// Weight is 1 for a server that gets its full part of the calls.
+	// Weight is 1 for a server that gets its full share of the calls.
 	Weight float64
-	// Reported is true while other instances see the server as a straggler.
+	// Reported is true while other instances report the server as a straggler.
 	Reported  bool
 	Draining  bool
 	SlowStart bool
 }
 
-// States returns the live servers, the nearest first.
+// States returns the live servers, nearest first.
 func (p *Pool) States() []ServerState {
 	states := make([]ServerState, 0, len(p.ordered))
 	for _, index := range p.ordered {
--- a/routing/straggler.go
+++ b/routing/straggler.go
@@ -2,43 +2,50 @@
 
 import "time"
 
-// stragglerState is the judgement of a server's latency.
+// stragglerState is a server's state in straggler detection. Times are in
+// nanoseconds.
 type stragglerState struct {
 	// relative is the latency as a multiple of the pool median.
 	relative float64
-	// level is the step of the lowered weight.
+	// level is the index of the current weight in weights.
 	level          int
 	levelChangedAt int64
-	goodAnswers    int
-	nextProbe      int64
-	probeBackoff   int64
-	// abandonedSlow counts calls in a row that were given up as too slow.
+	// goodAnswers counts consecutive good answers at a lowered weight.
+	goodAnswers int
+	// nextProbe is when the next probe is due, probeBackoff the interval after a bad one.
+	nextProbe    int64
+	probeBackoff int64
+	// abandonedSlow counts consecutive calls that were cancelled after the hedge
+	// delay.
 	abandonedSlow int
-	// reported is true while other instances see the server as a straggler.
+	// reported is true while other instances report the server as a straggler.
 	reported bool
-	// peersAgree is true while reportsToLower other instances do.
+	// peersAgree is true while at least reportsToLower other instances report it.
 	peersAgree bool
-	// loweredByPeers is true when the weight was lowered because they agree.
+	// loweredByPeers is true when the weight was lowered because of these reports.
 	loweredByPeers bool
 }
 
-// weights by level. Servers from levelProbed on get probes only.
+// weights lists the weights by level. Servers at levelProbeOnly or above get only
+// probes.
 var weights = [...]float64{1, 0.5, 0.2, 0.05}
 
 const (
 	levelProbeOnly = 2
 
-	// lowerAbove and raiseBelow are multiples of the pool median.
+	// The weight is lowered above lowerAbove times the pool median and raised below
+	// raiseBelow times the median.
 	lowerAbove = 3.0
 	raiseBelow = 2.0
-	// goodAnswersToRaise is the number of good answers in a row for one step up.
+	// goodAnswersToRaise is the number of consecutive good answers that raise the
+	// weight by one level.
 	goodAnswersToRaise = 2
 	minStepInterval    = int64(200 * time.Millisecond)
 
 	probeInterval    = int64(time.Second)
 	maxProbeInterval = int64(8 * time.Second)
-	// picksPerProbe bounds probes to a share of the requests that leaves the
-	// 99th percentile alone.
+	// picksPerProbe is the minimum number of picks per probe. It keeps the share of
+	// probes so low that they do not affect the 99th percentile.
 	picksPerProbe = 400
 
 	// Bounds of the relative latency in the score.
@@ -46,15 +53,18 @@
 	maxRelative = 4.0
 
 	maintenanceInterval = int64(100 * time.Millisecond)
-	// sampleDecay per maintenance halves the samples in 7 s.
+	// sampleDecay multiplies the number of samples at each maintenance, which halves
+	// it in 7 s.
 	sampleDecay     = 0.99
 	halvingInterval = int64(10 * time.Second)
-	// Peers' counts are full value for peerFreshness and gone after peerLife.
+	// Calls reported by peers count in full up to the age peerFreshness, and not at all
+	// from peerLifetime on.
 	peerFreshness = int64(1500 * time.Millisecond)
 	peerLifetime  = int64(5 * time.Second)
 )
 
-// maintain recomputes what changes slowly: peers' counts, medians and weights.
+// maintain recomputes the values that change slowly: peers' counts, medians and
+// weights.
 func (p *Pool) maintain(t int64) {
 	p.nextMaintenance = t + maintenanceInterval
 	if t >= p.nextHalving {
@@ -85,7 +95,7 @@
 		case s.relative > lowerAbove:
 			p.lowerWeight(s, t)
 		case known && s.level > 0 && s.relative < raiseBelow:
-			// The rest of the pool became as slow.
+			// The rest of the pool has become similarly slow.
 			p.raiseOneLevel(s, t)
 		}
 	}
@@ -99,8 +109,9 @@
 	s.scale = bounded * float64(1+s.abandonedSlow) / (weights[s.level] * float64(s.Slots))
 }
 
-// recordAbandoned takes a call that was given up after a hedge: its server would have
-// taken longer. It returns what to count as the latency.
+// recordAbandoned counts a call that was cancelled after it had been hedged, and
+// that would have taken longer. It returns the latency to record: 0 if the call
+// ended before the hedge delay.
 func (p *Pool) recordAbandoned(s *server, class int, latency time.Duration, t int64) time.Duration {
 	if latency < p.hedgeDelay[class] || p.hedgeDelay[class] == 0 {
 		return 0
@@ -115,14 +126,16 @@
 }
 
 const (
-	// abandonedToLower is the number of calls given up in a row for one step down.
+	// abandonedToLower is the number of consecutive calls cancelled after the hedge
+	// delay that lower the weight by one level.
 	abandonedToLower = 2
-	// censoredFactor estimates the latency of a call that was given up.
+	// censoredFactor multiplies the latency of a cancelled call to estimate how long
+	// it would have taken.
 	censoredFactor = 2
 )
 
-// updateRelative sets the relative latency of a server to its highest ratio to a pool
-// median, and reports whether there is any.
+// updateRelative sets the relative latency of a server to its highest ratio to a
+// pool median, or to 1 if there is none, and reports whether there is one.
 func (p *Pool) updateRelative(s *server, t int64) (known bool) {
 	s.relative = 0
 	for kind := range seriesCount {
@@ -141,7 +154,8 @@
 	return known
 }
 
-// lowerWeight takes one step down unless too much of the pool is lowered already.
+// lowerWeight lowers the weight by one level, unless too many servers of the pool
+// are lowered already.
 func (p *Pool) lowerWeight(s *server, t int64) {
 	if s.level == 0 {
 		if float64(p.lowered+1) > MaxLoweredShare*float64(len(p.ordered)) {
@@ -158,7 +172,7 @@
 	s.nextProbe = t + s.probeBackoff
 }
 
-// lowerToMinimum lowers a server to the last step at once. One that refuses
+// lowerToMinimum lowers the weight to the last level at once. A server that refuses
 // connections fails so fast that it would look idle.
 func (p *Pool) lowerToMinimum(s *server, t int64) {
 	p.lowerWeight(s, t)
@@ -171,7 +185,8 @@
 	s.scale = 1 / (weights[s.level] * float64(s.Slots))
 }
 
-// restoreOverLimit restores servers when the pool shrank below the allowed share.
+// restoreOverLimit restores the full weight of servers while more than
+// MaxLoweredShare are lowered, as after the pool has shrunk.
 func (p *Pool) restoreOverLimit() {
 	for _, index := range p.ordered {
 		if float64(p.lowered) <= MaxLoweredShare*float64(len(p.ordered)) {
@@ -184,8 +199,8 @@
 	}
 }
 
-// recordResult uses the end of a call: for the pool's quantiles, and at a server with a
-// lowered weight as the result of a probe.
+// recordResult uses the result of a call: at full weight for the pool's latency
+// histogram, at a lowered weight as the result of a probe.
 func (p *Pool) recordResult(s *server, class int, result Result, t int64) {
 	if s.level == 0 {
 		if result.Outcome == Answered {
@@ -193,7 +208,7 @@
 		}
 		return
 	}
-	// Without a median nothing is known to be slow.
+	// Without a pool median no answer counts as slow.
 	median := p.medians[seriesTotal][class]
 	slow := median > 0 && float64(result.Latency) > raiseBelow*median
 	if result.Outcome == Abandoned && !slow {
@@ -212,7 +227,8 @@
 	}
 }
 
-// raiseWeight takes one step up and forgets the evidence that led to the steps down.
+// raiseWeight raises the weight by one level and discards the samples that had
+// lowered it.
 func (p *Pool) raiseWeight(s *server, t int64) {
 	for kind := range s.latency {
 		for class := range s.latency[kind] {
@@ -224,7 +240,7 @@
 	s.scale = 1 / (weights[s.level] * float64(s.Slots))
 }
 
-// raiseOneLevel takes one raiseOneLevel up.
+// raiseOneLevel raises the weight by one level and keeps the samples.
 func (p *Pool) raiseOneLevel(s *server, t int64) {
 	s.level--
 	s.goodAnswers = 0
@@ -236,7 +252,8 @@
 	}
 }
 
-// pickProbe returns a server with a lowered weight that is due for a call.
+// pickProbe returns a server with a lowered weight that is due for a probe, or
+// noServer.
 func (p *Pool) pickProbe(t int64, q *Query) ServerIndex {
 	p.picksSinceProbe++
 	if p.lowered == 0 || !q.AllowProbe || p.picksSinceProbe < picksPerProbe {
@@ -253,35 +270,38 @@
 	return noServer
 }
 
-// SetPeerStragglers replaces the servers that other instances see as stragglers, with
-// the number of these instances, at no more servers than may be lowered. A server
-// of which this instance has no evidence gets fewer calls while it is reported. A
-// server is lowered to probes once several instances agree, because own evidence is
-// older than theirs; probes restore it. Without that each instance finds a slow
-// server by slow calls of its own.
-func (p *Pool) SetPeerStragglers(seen map[string]int, now time.Time) {
-	left := int(MaxLoweredShare * float64(len(p.ordered)))
-	// Under overload servers look slow because of their queues.
-	busy := p.overloaded()
+// SetPeerStragglers replaces the reports of stragglers by other instances. reports
+// holds the number of instances that report each server. Reports count for no more
+// servers than may be lowered. A reported server that this instance has not measured
+// gets fewer calls. When several instances agree, the server is lowered to probes
+// even against this instance's own measurements, because these are older; probes
+// restore it. Without this, each instance would detect a slow server only through
+// slow calls of its own.
+func (p *Pool) SetPeerStragglers(reports map[string]int, now time.Time) {
+	remaining := int(MaxLoweredShare * float64(len(p.ordered)))
+	// Under overload, servers look slow because of their queues.
+	overloaded := p.overloaded()
 	for _, index := range p.ordered {
 		s := &p.servers[index]
-		s.reported = left > 0 && seen[s.ID] > 0
+		s.reported = remaining > 0 && reports[s.ID] > 0
 		if s.reported {
-			left--
+			remaining--
 		}
-		before := s.peersAgree
-		s.peersAgree = s.reported && seen[s.ID] >= reportsToLower
-		if s.peersAgree && !before && s.level == 0 && !busy {
+		agreedBefore := s.peersAgree
+		s.peersAgree = s.reported && reports[s.ID] >= reportsToLower
+		if s.peersAgree && !agreedBefore && s.level == 0 && !overloaded {
 			p.lowerByPeers(s, now.UnixNano())
 		}
 	}
 }
 
-// reportsToLower is the number of instances that must agree. With one, overload
-// spreads: in the experiment swing 0.89 instead of 0.96 of the capacity was used.
+// reportsToLower is the number of instances that must report a server before it is
+// lowered. With 1, overload spreads: in the experiment swing, 0.89 instead of 0.96
+// of the capacity was used.
 const reportsToLower = 2
 
-// lowerByPeers lowers a server to probes unless too much of the pool is lowered.
+// lowerByPeers lowers a server to probes, unless too many servers of the pool are
+// lowered already.
 func (p *Pool) lowerByPeers(s *server, t int64) {
 	for range levelProbeOnly {
 		p.lowerWeight(s, t)
@@ -293,8 +313,10 @@
 	s.scale = 1 / (weights[s.level] * float64(s.Slots))
 }
 
-// Stragglers returns the live servers whose weight is lowered on own evidence, for
-// the peers. If it reported what peers report, a marker would never expire.
+// Stragglers returns the IDs of the live servers whose weight is lowered on this
+// instance's own measurements, to be reported to peers. Servers lowered on reports
+// of peers are left out: if instances passed such reports on, they would never
+// expire.
 func (p *Pool) Stragglers() (ids []string) {
 	for _, index := range p.ordered {
 		if s := &p.servers[index]; s.level > 0 && !s.loweredByPeers {
