--- a/internal/gateway/reread.go
+++ b/internal/gateway/settingswatcher.go
@@ -11,10 +11,9 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/settings"
 )
 
-// rereader follows the settings file. Addresses and names hold from the start to
-// the end of a process, so a change of them is reported and takes effect with the
-// next start.
-type rereader struct {
+// settingsWatcher watches the settings file. A process keeps its addresses and names
+// until it ends, so a change of them is logged and takes effect after a restart.
+type settingsWatcher struct {
 	path   string
 	logger *slog.Logger
 
@@ -23,17 +22,17 @@
 	current settings.Gateway
 }
 
-func newRereader(path string, s settings.Gateway, logger *slog.Logger) *rereader {
+func newSettingsWatcher(path string, s settings.Gateway, logger *slog.Logger) *settingsWatcher {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		events.SettingsInvalid.Log(context.Background(), logger, slog.Any("error", err))
 	}
-	return &rereader{path: path, logger: logger, data: data, current: s}
+	return &settingsWatcher{path: path, logger: logger, data: data, current: s}
 }
 
-// check reads the file again and reports a change, with always also an unchanged
-// file.
-func (r *rereader) check(always bool) {
+// check reads the file again and logs a change. With always it logs an unchanged file
+// too.
+func (r *settingsWatcher) check(always bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	data, err := os.ReadFile(r.path)
