--- a/admission/queue.go
+++ b/admission/queue.go
@@ -112,10 +112,10 @@
 
 // Cancel removes a waiting ticket and reports whether it was waiting.
 func (q *Queue) Cancel(t Ticket) bool {
-	level := &q.waiting[classIndex(t.Class)]
-	before := level.size
-	level.removeIf(func(other Ticket) bool { return other.ID == t.ID })
-	return level.size < before
+	queue := &q.waiting[classIndex(t.Class)]
+	before := queue.size
+	queue.removeIf(func(other Ticket) bool { return other.ID == t.ID })
+	return queue.size < before
 }
 
 // Tick adapts the limit, admits waiting tickets while there is room, and refuses those
--- a/routing/histogram.go
+++ b/routing/histogram.go
@@ -49,10 +49,10 @@
 	if h.total == 0 {
 		return 0
 	}
-	rest := q * h.total
+	remaining := q * h.total
 	for i, count := range h.counts {
-		rest -= count
-		if rest <= 0 && count > 0 {
+		remaining -= count
+		if remaining <= 0 && count > 0 {
 			return upperBound(i)
 		}
 	}
--- a/routing/home.go
+++ b/routing/home.go
@@ -182,9 +182,9 @@
 // far above the latency of nearly all answers of the pool.
 func (p *Pool) overdue(s *server, t int64) bool {
 	for class := range classCount {
-		one := &s.latency[seriesTotal][class]
+		series := &s.latency[seriesTotal][class]
 		limit := max(overdueFactor*float64(p.hedgeDelay[class]), lowerAbove*p.medians[seriesTotal][class])
-		if one.running > 0 && limit > 0 && float64(t-one.startSum/int64(one.running)) > limit {
+		if series.running > 0 && limit > 0 && float64(t-series.startSum/int64(series.running)) > limit {
 			return true
 		}
 	}
--- a/routing/straggler.go
+++ b/routing/straggler.go
@@ -140,12 +140,12 @@
 	s.relative = 0
 	for kind := range seriesCount {
 		for class := range classCount {
-			one := &s.latency[kind][class]
-			if estimate, ok := one.estimate(t); ok && p.medians[kind][class] > 0 {
+			series := &s.latency[kind][class]
+			if estimate, ok := series.estimate(t); ok && p.medians[kind][class] > 0 {
 				s.relative = max(s.relative, estimate/p.medians[kind][class])
 				known = true
 			}
-			one.samples *= sampleDecay
+			series.samples *= sampleDecay
 		}
 	}
 	if !known {
