--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -217,7 +217,7 @@
 	status, err := b.Status(c.Context(), id)
 	c.Assert(err, qt.IsNil)
 	c.Assert(status.Record.Holder, qt.Equals, "b")
-	c.Assert(status.Record.OnceSent, qt.IsFalse)
+	c.Assert(status.Record.NonIdempotentSent, qt.IsFalse)
 	run.result <- Result{}
 	(<-b.runs).result <- Result{}
 }
--- a/internal/jobs/run.go
+++ b/internal/jobs/run.go
@@ -34,7 +34,7 @@
 func (r *run) onceSent() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.machine.Record().OnceSent
+	return r.machine.Record().NonIdempotentSent
 }
 
 // Submit records a job and starts it. After ErrUnresolved the job may run under
@@ -69,7 +69,7 @@
 	}
 	j.running[record.ID] = r
 	j.mu.Unlock()
-	return j.step(ctx, r, job.Begin{Owner: owner})
+	return j.step(ctx, r, job.StartRun{Owner: owner})
 }
 
 // step feeds one input to the job's machine and carries out its outputs.
@@ -81,13 +81,13 @@
 	for len(outputs) > 0 {
 		var more []job.Output
 		switch out := outputs[0].(type) {
-		case job.Write:
+		case job.WriteRecord:
 			var answer job.Input
 			answer, result = j.write(ctx, r, out)
 			more = r.machine.Step(j.Wall(), answer)
-		case job.Run:
+		case job.RunStages:
 			go j.execute(r, r.machine.Record(), out.Delay)
-		case job.Stop:
+		case job.StopRun:
 			j.stopped(r)
 			if result == nil && r.machine.Record().State != job.StateFinished {
 				result = errStopped
@@ -111,28 +111,28 @@
 
 // write replaces a record while the lease is valid. It returns what became of it
 // and, for a record that is not there for sure, an error of the package.
-func (j *Jobs) write(ctx context.Context, r *run, out job.Write) (job.Input, error) {
+func (j *Jobs) write(ctx context.Context, r *run, out job.WriteRecord) (job.Input, error) {
 	key, value := job.RecordKey(out.Record.ID), out.Record.Encode()
 	sent := false
 	for {
 		if owner, ok := j.owner(); !ok || out.Record.Fence != 0 && owner.Fence != out.Record.Fence {
 			return j.leaseLost(out, sent)
 		}
-		version, err := j.Store.CompareAndSwap(ctx, key, store.Version(out.Expect), value, 0)
+		version, err := j.Store.CompareAndSwap(ctx, key, store.Version(out.ExpectedVersion), value, 0)
 		sent = sent || errors.Is(err, store.ErrUnknownOutcome)
 		if sent && err != nil {
-			version, err = j.readBack(ctx, key, value, out.Expect, err)
+			version, err = j.readBack(ctx, key, value, out.ExpectedVersion, err)
 		}
 		var conflict *store.ConflictError
 		switch {
 		case err == nil:
 			j.afterWrite(ctx, out.Record, int64(version))
-			return job.Stored{Version: int64(version)}, nil
+			return job.RecordStored{Version: int64(version)}, nil
 		case errors.As(err, &conflict):
 			events.JobStopped.Log(ctx, j.Log, slog.String("job", out.Record.ID))
 			j.lost.Inc(1)
-			return job.Taken{}, errStopped
-		case out.Expect == 0 && !sent:
+			return job.WriteConflict{}, errStopped
+		case out.ExpectedVersion == 0 && !sent:
 			return job.LeaseLost{}, errors.Join(ErrNotAccepted, err)
 		}
 		events.JobRecordError.Log(ctx, j.Log, slog.String("job", out.Record.ID), slog.Any("error", err))
@@ -144,9 +144,9 @@
 	}
 }
 
-func (j *Jobs) leaseLost(out job.Write, sent bool) (job.Input, error) {
+func (j *Jobs) leaseLost(out job.WriteRecord, sent bool) (job.Input, error) {
 	switch {
-	case out.Expect != 0:
+	case out.ExpectedVersion != 0:
 		return job.LeaseLost{}, errStopped
 	case sent:
 		return job.LeaseLost{}, ErrUnresolved
@@ -192,7 +192,7 @@
 		_ = j.step(r.ctx, r, job.LeaseLost{})
 		return
 	}
-	_ = j.step(r.ctx, r, job.Ended{Outcome: result.Outcome, Detail: result.Detail, Answer: answer})
+	_ = j.step(r.ctx, r, job.RunEnded{Outcome: result.Outcome, Detail: result.Detail, Answer: answer})
 }
 
 // load reads what a run needs from the store.
@@ -216,7 +216,7 @@
 			}
 			return j.step(r.ctx, r, job.StageDone{Result: value})
 		},
-		OnceAllowed: func() bool { return j.step(r.ctx, r, job.OnceSending{}) == nil },
+		OnceAllowed: func() bool { return j.step(r.ctx, r, job.NonIdempotentCallStarting{}) == nil },
 	}
 	return Job{
 		Organisation: record.Organisation, Pipeline: record.Pipeline, Kind: record.Kind, Body: body,
--- a/internal/jobs/scan.go
+++ b/internal/jobs/scan.go
@@ -89,7 +89,7 @@
 	}
 	// A record of this instance that does not run here is one whose creation was
 	// not confirmed.
-	if holder != own && !job.Takeover(record, version) {
+	if holder != own && !job.MayTakeOver(record, version) {
 		alive[holder] = true
 		return nil
 	}
@@ -156,7 +156,7 @@
 	if record.State != job.StateFinished {
 		return
 	}
-	if j.values.create(ctx, job.EndKey(record.ID), record.Encode()) == nil {
+	if j.values.create(ctx, job.FinishedKey(record.ID), record.Encode()) == nil {
 		_ = j.Store.Delete(ctx, job.RecordKey(record.ID), store.Version(version))
 	}
 }
@@ -184,7 +184,7 @@
 
 func (j *Jobs) sweepJob(ctx context.Context, id string, first store.Entry) error {
 	expired := false
-	if first.Key == job.EndKey(id) {
+	if first.Key == job.FinishedKey(id) {
 		record, err := job.Decode(first.Value)
 		if err != nil {
 			return err
--- a/internal/jobs/status.go
+++ b/internal/jobs/status.go
@@ -51,7 +51,7 @@
 func (j *Jobs) record(ctx context.Context, id string) (job.Record, error) {
 	entry, err := j.Store.Get(ctx, job.RecordKey(id))
 	if errors.Is(err, store.ErrNotFound) {
-		entry, err = j.Store.Get(ctx, job.EndKey(id))
+		entry, err = j.Store.Get(ctx, job.FinishedKey(id))
 	}
 	if err != nil {
 		return job.Record{}, unavailable(err)
--- a/internal/jobs/values.go
+++ b/internal/jobs/values.go
@@ -66,7 +66,7 @@
 // deleteAll deletes all values of a job, the record of its end last, so that an
 // interrupted deletion is found again.
 func (v values) deleteAll(ctx context.Context, id string) error {
-	end := job.EndKey(id)
+	end := job.FinishedKey(id)
 	for {
 		page, err := v.store.List(ctx, job.ResultsPrefix(id), end, deletePage)
 		if err != nil {
--- a/internal/leases/leases.go
+++ b/internal/leases/leases.go
@@ -165,8 +165,8 @@
 		return k.writeKey(ctx, out.Lease)
 	case lease.KeepAlive:
 		return k.keepAlive(ctx, out.Lease)
-	case lease.Lost:
-		k.config.LostEvent.Log(ctx, k.config.Log, slog.Int64("fence", out.Number))
+	case lease.LeaseLost:
+		k.config.LostEvent.Log(ctx, k.config.Log, slog.Int64("fence", out.FencingToken))
 		if k.config.Lost != nil {
 			k.config.Lost()
 		}
@@ -186,7 +186,7 @@
 	if err != nil {
 		return nil
 	}
-	return lease.Granted{Lease: lease.ID(id), AskedAt: asked}
+	return lease.Granted{Lease: lease.ID(id), RequestedAt: asked}
 }
 
 func (k *Keeper) keepAlive(ctx context.Context, id lease.ID) lease.Input {
@@ -194,9 +194,9 @@
 	err := k.config.Store.KeepAlive(ctx, store.LeaseID(id))
 	switch {
 	case err == nil:
-		return lease.Extended{Lease: id, AskedAt: asked}
+		return lease.Extended{Lease: id, RequestedAt: asked}
 	case errors.Is(err, store.ErrNotFound):
-		return lease.Gone{Lease: id}
+		return lease.LeaseNotFound{Lease: id}
 	default:
 		return nil
 	}
@@ -220,7 +220,7 @@
 	case err == nil:
 		return k.fenced(ctx, id, version)
 	case errors.Is(err, store.ErrNotFound):
-		return lease.Gone{Lease: id}
+		return lease.LeaseNotFound{Lease: id}
 	default:
 		return nil
 	}
@@ -231,7 +231,7 @@
 	k.since = k.config.Boot()
 	k.mu.Unlock()
 	k.config.HeldEvent.Log(ctx, k.config.Log, slog.Int64("fence", int64(version)))
-	return lease.Fenced{Lease: id, Number: int64(version)}
+	return lease.KeyWritten{Lease: id, FencingToken: int64(version)}
 }
 
 // Revoke ends the lease, so that others need not wait until it lapses.
@@ -243,7 +243,7 @@
 		return
 	}
 	_ = k.config.Store.RevokeLease(leaseContext(ctx), store.LeaseID(id))
-	k.step(lease.Gone{Lease: id})
+	k.step(lease.LeaseNotFound{Lease: id})
 }
 
 func leaseContext(ctx context.Context) context.Context {
--- a/job/machine.go
+++ b/job/machine.go
@@ -18,10 +18,10 @@
 	Fence    int64
 }
 
-// Takeover reports whether an instance may take a job over. holderVersion is the
+// MayTakeOver reports whether an instance may take a job over. holderVersion is the
 // version of the key of the record's holder, 0 when the key is absent; it must
 // have been read after the record.
-func Takeover(record Record, holderVersion int64) bool {
+func MayTakeOver(record Record, holderVersion int64) bool {
 	if record.State != StateAccepted {
 		return false
 	}
@@ -31,17 +31,17 @@
 // Input is an event of a running job.
 type Input interface{ input() }
 
-// Begin starts a run of a job under a new owner.
-type Begin struct{ Owner Owner }
+// StartRun starts a run of a job under a new owner.
+type StartRun struct{ Owner Owner }
 
 // StageDone reports a stage whose result is stored.
 type StageDone struct{ Result Value }
 
-// OnceSending reports that a non-idempotent call is about to be sent.
-type OnceSending struct{}
+// NonIdempotentCallStarting reports that a non-idempotent call is about to be sent.
+type NonIdempotentCallStarting struct{}
 
-// Ended reports the end of a run.
-type Ended struct {
+// RunEnded reports the end of a run.
+type RunEnded struct {
 	Outcome string
 	Detail  string
 	Answer  Value
@@ -50,43 +50,43 @@
 // HandOver frees the job for another instance.
 type HandOver struct{}
 
-// Stored reports that the last record that was handed out is in the store.
-type Stored struct{ Version int64 }
+// RecordStored reports that the last record that was handed out is in the store.
+type RecordStored struct{ Version int64 }
 
-// Taken reports that the record has another version: another instance wrote it.
-type Taken struct{}
+// WriteConflict reports that the record has another version: another instance wrote it.
+type WriteConflict struct{}
 
 // LeaseLost reports that the holder's lease is not valid any more.
 type LeaseLost struct{}
 
-func (Begin) input()       {}
-func (StageDone) input()   {}
-func (OnceSending) input() {}
-func (Ended) input()       {}
-func (HandOver) input()    {}
-func (Stored) input()      {}
-func (Taken) input()       {}
-func (LeaseLost) input()   {}
+func (StartRun) input()                  {}
+func (StageDone) input()                 {}
+func (NonIdempotentCallStarting) input() {}
+func (RunEnded) input()                  {}
+func (HandOver) input()                  {}
+func (RecordStored) input()              {}
+func (WriteConflict) input()             {}
+func (LeaseLost) input()                 {}
 
 // Output is what the adapter does next.
 type Output interface{ output() }
 
-// Write replaces the record if it has the expected version. The adapter answers
+// WriteRecord replaces the record if it has the expected version. The adapter answers
 // with Stored or Taken before the next input.
-type Write struct {
-	Record Record
-	Expect int64
+type WriteRecord struct {
+	Record          Record
+	ExpectedVersion int64
 }
 
-// Stop ends the run without another record.
-type Stop struct{}
+// StopRun ends the run without another record.
+type StopRun struct{}
 
-// Run starts the stages that are not finished after Delay.
-type Run struct{ Delay time.Duration }
+// RunStages starts the stages that are not finished after Delay.
+type RunStages struct{ Delay time.Duration }
 
-func (Write) output() {}
-func (Stop) output()  {}
-func (Run) output()   {}
+func (WriteRecord) output() {}
+func (StopRun) output()     {}
+func (RunStages) output()   {}
 
 // Machine is one job at its holder. It is not safe for concurrent use.
 type Machine struct {
@@ -107,23 +107,23 @@
 // Step takes one input and returns what to do.
 func (m *Machine) Step(now time.Time, input Input) []Output {
 	if m.stopped {
-		return []Output{Stop{}}
+		return []Output{StopRun{}}
 	}
 	next := m.record
 	switch in := input.(type) {
-	case Stored:
-		return m.stored(in)
-	case Taken, LeaseLost:
+	case RecordStored:
+		return m.recordStored(in)
+	case WriteConflict, LeaseLost:
 		m.stopped = true
-		return []Output{Stop{}}
-	case Begin:
-		begin(&next, now, in.Owner)
+		return []Output{StopRun{}}
+	case StartRun:
+		startRun(&next, now, in.Owner)
 	case StageDone:
 		next.Stages = append(slices.Clone(next.Stages), in.Result)
-	case OnceSending:
-		next.OnceSent = true
-	case Ended:
-		m.ended(&next, now, in)
+	case NonIdempotentCallStarting:
+		next.NonIdempotentSent = true
+	case RunEnded:
+		m.runEnded(&next, now, in)
 	case HandOver:
 		next.Holder = ""
 		next.Fence = 0
@@ -132,52 +132,52 @@
 		next.Runs--
 	}
 	m.next = next
-	return []Output{Write{Record: next, Expect: m.version}}
+	return []Output{WriteRecord{Record: next, ExpectedVersion: m.version}}
 }
 
-func (m *Machine) stored(in Stored) []Output {
+func (m *Machine) recordStored(in RecordStored) []Output {
 	was := m.record
 	m.record = m.next
 	m.version = in.Version
 	switch {
 	case m.record.State == StateFinished || m.record.Holder == "":
 		m.stopped = true
-		return []Output{Stop{}}
+		return []Output{StopRun{}}
 	case m.record.Runs == was.Runs:
 		return nil
 	case m.record.Fence == was.Fence:
-		return []Output{Run{Delay: retryDelay(m.record.Runs)}}
+		return []Output{RunStages{Delay: retryDelay(m.record.Runs)}}
 	}
-	return []Output{Run{}}
+	return []Output{RunStages{}}
 }
 
-// begin starts a run, or ends the job when it must not run again: a
+// startRun starts a run, or ends the job when it must not run again: a
 // non-idempotent call of an earlier run may have been carried out, and a job
 // that never ends is given up.
-func begin(next *Record, now time.Time, owner Owner) {
+func startRun(next *Record, now time.Time, owner Owner) {
 	next.Holder = owner.Instance
 	next.Fence = owner.Fence
 	switch {
-	case next.OnceSent:
-		finish(next, now, Ended{Outcome: OutcomeUnknown, Detail: "the holder stopped after a non-idempotent call was sent"})
+	case next.NonIdempotentSent:
+		finishJob(next, now, RunEnded{Outcome: OutcomeUnknown, Detail: "the holder stopped after a non-idempotent call was sent"})
 	case next.Runs >= MaxRuns:
-		finish(next, now, Ended{Outcome: OutcomeFailed, Detail: "the job was started too often without an end"})
+		finishJob(next, now, RunEnded{Outcome: OutcomeFailed, Detail: "the job was started too often without an end"})
 	default:
 		next.Runs++
 	}
 }
 
-// ended finishes the job, or starts it again after a run that had no effect.
-func (m *Machine) ended(next *Record, now time.Time, in Ended) {
+// runEnded finishes the job, or starts it again after a run that had no effect.
+func (m *Machine) runEnded(next *Record, now time.Time, in RunEnded) {
 	effectless := in.Outcome == OutcomeFailed || in.Outcome == OutcomeNotRun
-	if effectless && !next.OnceSent && next.Runs < MaxRuns {
+	if effectless && !next.NonIdempotentSent && next.Runs < MaxRuns {
 		next.Runs++
 		return
 	}
-	finish(next, now, in)
+	finishJob(next, now, in)
 }
 
-func finish(next *Record, now time.Time, in Ended) {
+func finishJob(next *Record, now time.Time, in RunEnded) {
 	next.State = StateFinished
 	next.FinishedMS = now.UnixMilli()
 	next.Outcome = in.Outcome
--- a/job/machine_test.go
+++ b/job/machine_test.go
@@ -9,35 +9,35 @@
 	_ "github.com/coltsfootdrift/coltsfootdrift/internal/fixedseed"
 )
 
-// shared is the store as the instances of a test see it.
-type shared struct {
-	record  Record
-	version int64
-	fences  map[string]int64
-	next    int64
-	once    int
-	ended   int
+// fakeStore is the store as the instances of a test see it.
+type fakeStore struct {
+	record             Record
+	version            int64
+	fences             map[string]int64
+	lastFence          int64
+	nonIdempotentCalls int
+	finished           int
 }
 
-// carryOut writes what a machine wants and feeds the result back.
-func (s *shared) carryOut(t *rapid.T, m *Machine, outputs []Output) {
+// apply writes what a machine wants and feeds the result back.
+func (s *fakeStore) apply(t *rapid.T, m *Machine, outputs []Output) {
 	for _, output := range outputs {
-		write, ok := output.(Write)
+		write, ok := output.(WriteRecord)
 		if !ok {
 			continue
 		}
-		if write.Expect != s.version {
-			s.carryOut(t, m, m.Step(time.Unix(1, 0), Taken{}))
+		if write.ExpectedVersion != s.version {
+			s.apply(t, m, m.Step(time.Unix(1, 0), WriteConflict{}))
 			continue
 		}
-		if write.Record.OnceSent && !s.record.OnceSent {
-			s.once++
+		if write.Record.NonIdempotentSent && !s.record.NonIdempotentSent {
+			s.nonIdempotentCalls++
 		}
 		if s.record.State == StateFinished {
 			t.Fatalf("record written after the end of the job")
 		}
 		if write.Record.State == StateFinished {
-			s.ended++
+			s.finished++
 		}
 		if len(write.Record.Stages) < len(s.record.Stages) {
 			t.Fatalf("stages fell from %d to %d", len(s.record.Stages), len(write.Record.Stages))
@@ -51,7 +51,7 @@
 		}
 		s.version++
 		s.record = write.Record
-		s.carryOut(t, m, m.Step(time.Unix(1, 0), Stored{Version: s.version}))
+		s.apply(t, m, m.Step(time.Unix(1, 0), RecordStored{Version: s.version}))
 	}
 }
 
@@ -60,7 +60,7 @@
 // with leases that lapse at any time and holders that don't notice.
 func TestFormerHoldersNeverWrite(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := &shared{fences: map[string]int64{}, record: Record{ID: "x", State: StateAccepted}}
+		s := &fakeStore{fences: map[string]int64{}, record: Record{ID: "x", State: StateAccepted}}
 		machines := map[string]*Machine{}
 		names := []string{"a", "b", "c"}
 		sent := 0
@@ -71,44 +71,44 @@
 			case 0:
 				s.fences[name] = 0
 			case 1:
-				s.next++
-				s.fences[name] = s.next
+				s.lastFence++
+				s.fences[name] = s.lastFence
 			case 2:
-				if s.fences[name] == 0 || s.record.State == StateFinished || !Takeover(s.record, s.fences[s.record.Holder]) {
+				if s.fences[name] == 0 || s.record.State == StateFinished || !MayTakeOver(s.record, s.fences[s.record.Holder]) {
 					continue
 				}
-				before := s.record.OnceSent
+				before := s.record.NonIdempotentSent
 				machines[name] = NewMachine(s.record, s.version)
-				s.carryOut(t, machines[name], machines[name].Step(time.Unix(1, 0), Begin{Owner{name, s.fences[name]}}))
+				s.apply(t, machines[name], machines[name].Step(time.Unix(1, 0), StartRun{Owner{name, s.fences[name]}}))
 				if before && s.record.State != StateFinished {
 					t.Fatalf("a job whose non-idempotent call was sent runs again")
 				}
 			case 3:
 				if m != nil && len(m.Record().Stages) < 4 {
 					stage := Value{Name: string(rune('p' + len(m.Record().Stages)))}
-					s.carryOut(t, m, m.Step(time.Unix(1, 0), StageDone{stage}))
+					s.apply(t, m, m.Step(time.Unix(1, 0), StageDone{stage}))
 				}
 			case 4:
-				if m == nil || m.Record().OnceSent {
+				if m == nil || m.Record().NonIdempotentSent {
 					continue
 				}
-				before := s.once
-				s.carryOut(t, m, m.Step(time.Unix(1, 0), OnceSending{}))
-				if sent += s.once - before; sent > 1 {
+				before := s.nonIdempotentCalls
+				s.apply(t, m, m.Step(time.Unix(1, 0), NonIdempotentCallStarting{}))
+				if sent += s.nonIdempotentCalls - before; sent > 1 {
 					t.Fatalf("two holders may send the non-idempotent call")
 				}
 			case 5:
 				if m != nil {
 					outcome := rapid.SampledFrom([]string{"completed", OutcomeFailed, OutcomeNotRun}).Draw(t, "outcome")
-					s.carryOut(t, m, m.Step(time.Unix(1, 0), Ended{Outcome: outcome}))
+					s.apply(t, m, m.Step(time.Unix(1, 0), RunEnded{Outcome: outcome}))
 				}
 			case 6:
 				if m != nil {
-					s.carryOut(t, m, m.Step(time.Unix(1, 0), HandOver{}))
+					s.apply(t, m, m.Step(time.Unix(1, 0), HandOver{}))
 				}
 			}
-			if s.ended > 1 || s.record.Runs > MaxRuns {
-				t.Fatalf("job ended %d times after %d runs", s.ended, s.record.Runs)
+			if s.finished > 1 || s.record.Runs > MaxRuns {
+				t.Fatalf("job ended %d times after %d runs", s.finished, s.record.Runs)
 			}
 		}
 	})
--- a/job/record.go
+++ b/job/record.go
@@ -63,8 +63,8 @@
 const (
 	BodyName   = ".body"
 	AnswerName = ".answer"
-	// endName is the record of a finished job; it sorts before all values.
-	endName = "!end"
+	// finishedName is the record of a finished job; it sorts before all values.
+	finishedName = "!end"
 )
 
 // Record is the state of a job.
@@ -82,8 +82,8 @@
 	Runs int `json:"runs"`
 	// Stages are the finished stages.
 	Stages []Value `json:"stages,omitempty"`
-	// OnceSent is true from before the first non-idempotent call is sent.
-	OnceSent bool `json:"once_sent,omitempty"`
+	// NonIdempotentSent is true from before the first non-idempotent call is sent.
+	NonIdempotentSent bool `json:"once_sent,omitempty"`
 	// Outcome, Detail and Answer are set at the end.
 	Outcome     string `json:"outcome,omitempty"`
 	Detail      string `json:"detail,omitempty"`
@@ -149,8 +149,8 @@
 // ResultsPrefix starts the keys of all values of a job.
 func ResultsPrefix(id string) string { return ResultPrefix + id + "/" }
 
-// EndKey is the key of a finished job's record.
-func EndKey(id string) string { return ResultsPrefix(id) + endName }
+// FinishedKey is the key of a finished job's record.
+func FinishedKey(id string) string { return ResultsPrefix(id) + finishedName }
 
 // PieceKey is the key of one piece of a value.
 func PieceKey(id string, value Value, piece int) string {
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -15,35 +15,35 @@
 
 // Granted reports a new lease, asked for at AskedAt.
 type Granted struct {
-	Lease   ID
-	AskedAt time.Time
+	Lease       ID
+	RequestedAt time.Time
 }
 
-// Fenced reports that the holder's key was written under the lease. Number is
+// KeyWritten reports that the holder's key was written under the lease. Number is
 // the version of the key.
-type Fenced struct {
-	Lease  ID
-	Number int64
+type KeyWritten struct {
+	Lease        ID
+	FencingToken int64
 }
 
 // Extended reports a keep-alive that the store confirmed, sent at AskedAt.
 type Extended struct {
-	Lease   ID
-	AskedAt time.Time
+	Lease       ID
+	RequestedAt time.Time
 }
 
-// Failed reports a call that failed without telling whether the lease lives on.
-type Failed struct{}
+// CallFailed reports a call that failed without telling whether the lease lives on.
+type CallFailed struct{}
 
-// Gone reports that the store does not know the lease any more.
-type Gone struct{ Lease ID }
+// LeaseNotFound reports that the store does not know the lease any more.
+type LeaseNotFound struct{ Lease ID }
 
-func (Tick) input()     {}
-func (Granted) input()  {}
-func (Fenced) input()   {}
-func (Extended) input() {}
-func (Failed) input()   {}
-func (Gone) input()     {}
+func (Tick) input()          {}
+func (Granted) input()       {}
+func (KeyWritten) input()    {}
+func (Extended) input()      {}
+func (CallFailed) input()    {}
+func (LeaseNotFound) input() {}
 
 // Output is what the adapter does next.
 type Output interface{ output() }
@@ -57,13 +57,13 @@
 // KeepAlive extends the lease.
 type KeepAlive struct{ Lease ID }
 
-// Lost tells the holder to stop everything that it does under the number.
-type Lost struct{ Number int64 }
+// LeaseLost tells the holder to stop everything that it does under the number.
+type LeaseLost struct{ FencingToken int64 }
 
 func (Grant) output()     {}
 func (WriteKey) output()  {}
 func (KeepAlive) output() {}
-func (Lost) output()      {}
+func (LeaseLost) output() {}
 
 // keepAlivesPerTTL leaves room for two failed keep-alives within one TTL.
 const keepAlivesPerTTL = 3
@@ -74,9 +74,9 @@
 	ttl    time.Duration
 	margin time.Duration
 
-	lease   ID
-	number  int64
-	expires time.Time
+	lease        ID
+	fencingToken int64
+	expires      time.Time
 	// nextCall is when the next call to the store is due.
 	nextCall time.Time
 }
@@ -89,10 +89,10 @@
 
 // Valid reports whether the holder may act, and under which fencing number.
 func (h *Holder) Valid(now time.Time) (number int64, ok bool) {
-	if h.number == 0 || !now.Before(h.expires.Add(-h.margin)) {
+	if h.fencingToken == 0 || !now.Before(h.expires.Add(-h.margin)) {
 		return 0, false
 	}
-	return h.number, true
+	return h.fencingToken, true
 }
 
 // Expires returns when the lease lapses by the local clock, zero without one.
@@ -110,21 +110,21 @@
 	switch in := input.(type) {
 	case Granted:
 		return h.granted(now, in)
-	case Fenced:
+	case KeyWritten:
 		if in.Lease == h.lease {
 			// Of two writes of the key the later one has the higher number, whichever
 			// answer comes first.
-			h.number = max(h.number, in.Number)
+			h.fencingToken = max(h.fencingToken, in.FencingToken)
 			// The write may have taken several tries, so that little of the lease is left.
 			h.nextCall = now
 		}
 	case Extended:
 		if in.Lease == h.lease {
-			h.expires = in.AskedAt.Add(h.ttl)
+			h.expires = in.RequestedAt.Add(h.ttl)
 		}
-	case Gone:
+	case LeaseNotFound:
 		if in.Lease == h.lease {
-			return h.lose()
+			return h.dropLease()
 		}
 	}
 	return h.tick(now)
@@ -137,14 +137,14 @@
 		return nil
 	}
 	h.lease = in.Lease
-	h.expires = in.AskedAt.Add(h.ttl)
+	h.expires = in.RequestedAt.Add(h.ttl)
 	h.nextCall = now.Add(h.ttl / keepAlivesPerTTL)
 	return []Output{WriteKey{Lease: in.Lease}}
 }
 
 func (h *Holder) tick(now time.Time) []Output {
 	if h.lease != 0 && !now.Before(h.expires.Add(-h.margin)) {
-		return h.lose()
+		return h.dropLease()
 	}
 	if now.Before(h.nextCall) {
 		return nil
@@ -153,18 +153,18 @@
 	switch {
 	case h.lease == 0:
 		return []Output{Grant{TTL: h.ttl}}
-	case h.number == 0:
+	case h.fencingToken == 0:
 		return []Output{WriteKey{Lease: h.lease}}
 	default:
 		return []Output{KeepAlive{Lease: h.lease}}
 	}
 }
 
-// lose gives up the lease and its number for good; a new lease has a new number.
-func (h *Holder) lose() []Output {
-	lost := Lost{Number: h.number}
+// dropLease gives up the lease and its number for good; a new lease has a new number.
+func (h *Holder) dropLease() []Output {
+	lost := LeaseLost{FencingToken: h.fencingToken}
 	h.lease = 0
-	h.number = 0
+	h.fencingToken = 0
 	h.expires = time.Time{}
 	h.nextCall = time.Time{}
 	return []Output{lost}
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -34,18 +34,18 @@
 				switch out := output.(type) {
 				case Grant:
 					storeExpiry[next] = asked.Add(ttl)
-					late = append(late, Granted{Lease: next, AskedAt: asked})
+					late = append(late, Granted{Lease: next, RequestedAt: asked})
 					next++
 				case WriteKey:
 					if asked.Before(storeExpiry[out.Lease]) {
 						numbers[int64(next)] = out.Lease
-						late = append(late, Fenced{Lease: out.Lease, Number: int64(next)})
+						late = append(late, KeyWritten{Lease: out.Lease, FencingToken: int64(next)})
 						next++
 					}
 				case KeepAlive:
 					if asked.Before(storeExpiry[out.Lease]) {
 						storeExpiry[out.Lease] = asked.Add(ttl)
-						late = append(late, Extended{Lease: out.Lease, AskedAt: asked})
+						late = append(late, Extended{Lease: out.Lease, RequestedAt: asked})
 					}
 				}
 			}
