--- a/claim/claim.go
+++ b/claim/claim.go
@@ -18,8 +18,8 @@
 // Prefix starts the store keys of all claims.
 const Prefix = "claim/"
 
-// InlineAnswerBytes is the size up to which an answer is stored whole.
-const InlineAnswerBytes = 4 << 10
+// MaxInlineAnswerBytes is the size up to which an answer is stored whole.
+const MaxInlineAnswerBytes = 4 << 10
 
 // ID is the digest of what a claim is scoped by.
 type ID [16]byte
@@ -65,8 +65,8 @@
 	Kind  OpKind
 	ID    ID
 	Token Token
-	// Body is the digest of the caller's body.
-	Body Digest
+	// BodySHA256 is the digest of the caller's body.
+	BodySHA256 Digest
 	// Holder is the instance that runs the attempt.
 	Holder string
 	// Retention is how long the key is kept after this record.
@@ -84,18 +84,18 @@
 const (
 	// Granted means that the token holds the claim.
 	Granted Verdict = iota + 1
-	// Recorded means that an earlier attempt finished; its record is in Segment.
-	Recorded
+	// AlreadyFinished means that an earlier attempt finished; its record is in Segment.
+	AlreadyFinished
 	// Running means that Holder runs an attempt under Token.
 	Running
-	// OtherBody means that the key was used with another body.
-	OtherBody
-	// Withdrawn means that the token was released before it could be claimed.
-	Withdrawn
+	// BodyMismatch means that the key was used with another body.
+	BodyMismatch
+	// TokenReleased means that the token was released before it could be claimed.
+	TokenReleased
 	// Done means that a finish or release is recorded.
 	Done
-	// Lost means that the token does not hold the claim any more.
-	Lost
+	// NotHeld means that the token does not hold the claim any more.
+	NotHeld
 )
 
 // Decision is the result of one operation.
--- a/claim/decide.go
+++ b/claim/decide.go
@@ -5,18 +5,18 @@
 // overlay is a view of a shard with the changes of one append, which take effect
 // only when the append was written.
 type overlay struct {
-	shard     *Shard
-	changed   map[ID]held
-	removed   map[ID]bool
-	withdrawn map[Token]int64
+	shard          *Shard
+	changed        map[ID]indexEntry
+	removed        map[ID]bool
+	releasedTokens map[Token]int64
 }
 
 func newOverlay(s *Shard) *overlay {
-	return &overlay{shard: s, changed: map[ID]held{}, removed: map[ID]bool{}, withdrawn: map[Token]int64{}}
+	return &overlay{shard: s, changed: map[ID]indexEntry{}, removed: map[ID]bool{}, releasedTokens: map[Token]int64{}}
 }
 
 // lookUp returns the live entry of a key.
-func (o *overlay) lookUp(now time.Time, id ID) (held, bool) {
+func (o *overlay) lookUp(now time.Time, id ID) (indexEntry, bool) {
 	entry, ok := o.changed[id]
 	if !ok && !o.removed[id] {
 		entry, ok = o.shard.index[id]
@@ -24,9 +24,9 @@
 	return entry, ok && entry.expires > now.UnixMilli()
 }
 
-func (o *overlay) isWithdrawn(token Token) bool {
-	_, before := o.shard.withdrawn[token]
-	_, here := o.withdrawn[token]
+func (o *overlay) isReleased(token Token) bool {
+	_, before := o.shard.releasedTokens[token]
+	_, here := o.releasedTokens[token]
 	return before || here
 }
 
@@ -39,22 +39,22 @@
 		return o.decideClaim(op, entry, ok)
 	case OpFinish:
 		if !own {
-			return Decision{Verdict: Lost}, false
+			return Decision{Verdict: NotHeld}, false
 		}
 		return Decision{Verdict: Done}, entry.outcome == noName
 	default:
 		if own && entry.outcome != noName {
-			return Decision{Verdict: Lost}, false
+			return Decision{Verdict: NotHeld}, false
 		}
 		// A release is recorded even if its claim is not there: the claim may still
 		// be under way, and the record makes its write fail.
-		return Decision{Verdict: Done}, own || !o.isWithdrawn(op.Token)
+		return Decision{Verdict: Done}, own || !o.isReleased(op.Token)
 	}
 }
 
-func (o *overlay) decideClaim(op Op, entry held, ok bool) (decision Decision, needed bool) {
-	if o.isWithdrawn(op.Token) {
-		return Decision{Verdict: Withdrawn}, false
+func (o *overlay) decideClaim(op Op, entry indexEntry, ok bool) (decision Decision, needed bool) {
+	if o.isReleased(op.Token) {
+		return Decision{Verdict: TokenReleased}, false
 	}
 	if !ok {
 		return Decision{Verdict: Granted, Token: op.Token, Holder: op.Holder}, true
@@ -65,10 +65,10 @@
 		Outcome: o.shard.names.name(entry.outcome),
 	}
 	switch {
-	case entry.body != op.Body:
-		decision = Decision{Verdict: OtherBody}
+	case entry.bodySHA256 != op.BodySHA256:
+		decision = Decision{Verdict: BodyMismatch}
 	case entry.outcome != noName:
-		decision.Verdict = Recorded
+		decision.Verdict = AlreadyFinished
 		decision.Segment = entry.segment
 	case entry.token == op.Token:
 		decision.Verdict = Granted
@@ -86,7 +86,7 @@
 		delete(o.removed, id)
 		return
 	}
-	o.withdrawn[token] = r.AtMs + r.RetentionMs
+	o.releasedTokens[token] = r.AtMs + r.RetentionMs
 	entry, ok := o.changed[id]
 	if !ok {
 		entry = o.shard.index[id]
@@ -105,8 +105,8 @@
 	for id, entry := range o.changed {
 		o.shard.index[id] = entry
 	}
-	for token, expires := range o.withdrawn {
-		o.shard.withdrawn[token] = expires
+	for token, expires := range o.releasedTokens {
+		o.shard.releasedTokens[token] = expires
 	}
 }
 
@@ -118,14 +118,14 @@
 	o.commit()
 }
 
-func (s *Shard) entry(r *StoredRecord, segment uint64) held {
-	return held{
-		token:   Token(r.Token),
-		body:    Digest(r.Body),
-		expires: r.AtMs + r.RetentionMs,
-		segment: segment,
-		holder:  s.names.index(r.Holder),
-		outcome: s.names.index(r.Outcome),
+func (s *Shard) entry(r *StoredRecord, segment uint64) indexEntry {
+	return indexEntry{
+		token:      Token(r.Token),
+		bodySHA256: Digest(r.Body),
+		expires:    r.AtMs + r.RetentionMs,
+		segment:    segment,
+		holder:     s.names.index(r.Holder),
+		outcome:    s.names.index(r.Outcome),
 	}
 }
 
--- a/claim/segment.go
+++ b/claim/segment.go
@@ -11,15 +11,15 @@
 // Sizes of stored values. A segment is rewritten by each append, so a small one
 // keeps the bytes sent low, and a large one the number of segments.
 const (
-	// SegmentBytes is the size at which a segment is sealed.
-	SegmentBytes = 16 << 10
-	// BatchBytes bounds the records of one append. A full segment and a batch
+	// SealSegmentBytes is the size at which a segment is sealed.
+	SealSegmentBytes = 16 << 10
+	// MaxBatchBytes bounds the records of one append. A full segment and a batch
 	// stay below the store's limit of 1 MB.
-	BatchBytes = 256 << 10
+	MaxBatchBytes = 256 << 10
 )
 
-// sealMark is the encoding of a segment that holds the seal alone.
-var sealMark = protowire.AppendVarint(protowire.AppendTag(nil, sealedField, protowire.VarintType), 1)
+// sealEncoding is the encoding of a segment that holds the seal alone.
+var sealEncoding = protowire.AppendVarint(protowire.AppendTag(nil, sealedField, protowire.VarintType), 1)
 
 // sealedField is the number of the field sealed in claim.proto.
 const sealedField = 2
@@ -32,7 +32,7 @@
 	Data    []byte
 }
 
-func mustEncode(segment *StoredSegment) []byte {
+func mustEncodeSegment(segment *StoredSegment) []byte {
 	data, err := proto.Marshal(segment)
 	if err != nil {
 		// Only invalid UTF-8 in a string field is refused.
@@ -41,7 +41,7 @@
 	return data
 }
 
-func decode(segment Segment) (*StoredSegment, error) {
+func decodeSegment(segment Segment) (*StoredSegment, error) {
 	var stored StoredSegment
 	if err := proto.Unmarshal(segment.Data, &stored); err != nil {
 		return nil, fmt.Errorf("claim segment %d: %w", segment.Number, err)
@@ -49,8 +49,8 @@
 	return &stored, nil
 }
 
-// record returns the stored form of an operation.
-func record(op Op, now time.Time) *StoredRecord {
+// newStoredRecord returns the stored form of an operation.
+func newStoredRecord(op Op, now time.Time) *StoredRecord {
 	stored := &StoredRecord{
 		Op:          RecordOp(op.Kind),
 		Id:          op.ID[:],
@@ -63,7 +63,7 @@
 	}
 	// A finish repeats body and holder, because the segment with the claim may be
 	// deleted before it.
-	stored.Body = op.Body[:]
+	stored.Body = op.BodySHA256[:]
 	stored.Holder = op.Holder
 	if op.Kind == OpFinish {
 		stored.Outcome = op.Outcome
@@ -83,7 +83,7 @@
 
 // FindAnswer returns the recorded answer of a token from its segment.
 func FindAnswer(segment Segment, token Token) (Answer, bool, error) {
-	stored, err := decode(segment)
+	stored, err := decodeSegment(segment)
 	if err != nil {
 		return Answer{}, false, err
 	}
@@ -113,7 +113,7 @@
 
 // EncodeOp returns an operation in the form of a record, for other instances.
 func EncodeOp(op Op) ([]byte, error) {
-	return proto.Marshal(record(op, time.UnixMilli(0)))
+	return proto.Marshal(newStoredRecord(op, time.UnixMilli(0)))
 }
 
 // DecodeOp reads what EncodeOp returned.
@@ -129,7 +129,7 @@
 		Kind: OpKind(r.Op), ID: ID(r.Id), Token: Token(r.Token), Holder: r.Holder,
 		Retention: time.Duration(r.RetentionMs) * time.Millisecond, Outcome: r.Outcome, Answer: r.Answer,
 	}
-	copy(op.Body[:], r.Body)
+	copy(op.BodySHA256[:], r.Body)
 	copy(op.AnswerSHA256[:], r.AnswerSha256)
 	return op, nil
 }
--- a/claim/shard.go
+++ b/claim/shard.go
@@ -16,15 +16,15 @@
 // of instances that differ by less do not matter.
 const DeletionMargin = time.Minute
 
-// held is the index entry of a key. It has no pointers, so that the garbage
+// indexEntry is the index entry of a key. It has no pointers, so that the garbage
 // collector does not scan the index.
-type held struct {
-	token   Token
-	body    Digest
-	expires int64 // milliseconds since 1970
-	segment uint64
-	holder  nameIndex
-	outcome nameIndex // noName while the attempt runs
+type indexEntry struct {
+	token      Token
+	bodySHA256 Digest
+	expires    int64 // milliseconds since 1970
+	segment    uint64
+	holder     nameIndex
+	outcome    nameIndex // noName while the attempt runs
 }
 
 // segmentInfo is what the shard knows of a stored segment.
@@ -40,19 +40,19 @@
 // of the wall clock, because records outlive processes. It is not safe for
 // concurrent use.
 type Shard struct {
-	index map[ID]held
-	// withdrawn holds the tokens of releases until they expire, so that a delayed
+	index map[ID]indexEntry
+	// releasedTokens holds the tokens of releases until they expire, so that a delayed
 	// claim with such a token is not granted.
-	withdrawn map[Token]int64
-	names     nameTable
-	segments  []segmentInfo
-	tailData  []byte
-	orphans   []Segment
-	pending   *prepared
+	releasedTokens map[Token]int64
+	names          nameTable
+	segments       []segmentInfo
+	tailData       []byte
+	orphans        []Segment
+	pending        *pendingWrite
 }
 
-// prepared is a write that was handed out and not settled.
-type prepared struct {
+// pendingWrite is a write that was handed out and not settled.
+type pendingWrite struct {
 	write   Write
 	overlay *overlay
 	expires int64
@@ -67,22 +67,22 @@
 
 // Reset forgets everything.
 func (s *Shard) Reset() {
-	*s = Shard{index: map[ID]held{}, withdrawn: map[Token]int64{}}
+	*s = Shard{index: map[ID]indexEntry{}, releasedTokens: map[Token]int64{}}
 }
 
 // Len returns the number of keys in the index.
 func (s *Shard) Len() int { return len(s.index) }
 
-// Tail returns the number of the newest segment, 0 for none.
-func (s *Shard) Tail() uint64 {
+// TailNumber returns the number of the newest segment, 0 for none.
+func (s *Shard) TailNumber() uint64 {
 	if len(s.segments) == 0 {
 		return 0
 	}
 	return s.tail().number
 }
 
-// Version returns the store's version of the newest segment, 0 for none.
-func (s *Shard) Version() int64 {
+// TailVersion returns the store's version of the newest segment, 0 for none.
+func (s *Shard) TailVersion() int64 {
 	if len(s.segments) == 0 {
 		return 0
 	}
@@ -96,28 +96,28 @@
 // Write is a compare-and-swap of one segment.
 type Write struct {
 	Segment Segment
-	// Expect is the version to replace, 0 to create the segment.
-	Expect  int64
-	Records int
-	sealed  bool
+	// ExpectedVersion is the version to replace, 0 to create the segment.
+	ExpectedVersion int64
+	Records         int
+	sealed          bool
 }
 
-// Append decides on operations in order and prepares one write with the records
+// PrepareAppend decides on operations in order and prepares one write with the records
 // they need. The decisions hold once the write succeeded; a write without
 // records needs none, but its decisions hold only if the tail has not changed.
 // It takes as many operations as BatchBytes allows, at least one.
-func (s *Shard) Append(now time.Time, ops []Op) (Write, []Decision) {
+func (s *Shard) PrepareAppend(now time.Time, ops []Op) (Write, []Decision) {
 	over := newOverlay(s)
 	var added StoredSegment
 	var decisions []Decision
 	size := 0
-	number, expect, data := s.next()
+	number, expect, data := s.nextSegment()
 	expires := int64(0)
 	for _, op := range ops {
 		decision, needed := over.decide(now, op)
 		if needed {
-			r := record(op, now)
-			if size += proto.Size(r); size > BatchBytes && len(decisions) > 0 {
+			r := newStoredRecord(op, now)
+			if size += proto.Size(r); size > MaxBatchBytes && len(decisions) > 0 {
 				break
 			}
 			over.apply(r, number)
@@ -126,19 +126,19 @@
 		}
 		decisions = append(decisions, decision)
 	}
-	write := Write{Expect: expect, Records: len(added.Records)}
-	data = append(data[:len(data):len(data)], mustEncode(&added)...)
-	if len(data) >= SegmentBytes {
-		data = append(data, sealMark...)
+	write := Write{ExpectedVersion: expect, Records: len(added.Records)}
+	data = append(data[:len(data):len(data)], mustEncodeSegment(&added)...)
+	if len(data) >= SealSegmentBytes {
+		data = append(data, sealEncoding...)
 		write.sealed = true
 	}
 	write.Segment = Segment{Number: number, Data: data}
-	s.pending = &prepared{write: write, overlay: over, expires: expires}
+	s.pending = &pendingWrite{write: write, overlay: over, expires: expires}
 	return write, decisions
 }
 
-// next returns the segment that the next append writes.
-func (s *Shard) next() (number uint64, expect int64, data []byte) {
+// nextSegment returns the segment that the nextSegment append writes.
+func (s *Shard) nextSegment() (number uint64, expect int64, data []byte) {
 	if len(s.segments) == 0 {
 		return 1, 0, nil
 	}
@@ -148,12 +148,12 @@
 	return s.tail().number + 1, 0, nil
 }
 
-// Wrote settles the write of the last Append, which has the given version.
-func (s *Shard) Wrote(version int64) {
+// CommitWrite settles the write of the last Append, which has the given version.
+func (s *Shard) CommitWrite(version int64) {
 	p := s.pending
 	s.pending = nil
 	p.overlay.commit()
-	if s.Tail() != p.write.Segment.Number {
+	if s.TailNumber() != p.write.Segment.Number {
 		s.segments = append(s.segments, segmentInfo{number: p.write.Segment.Number})
 	}
 	tail := s.tail()
@@ -174,7 +174,7 @@
 	stored := make([]*StoredSegment, len(segments))
 	for i, segment := range segments {
 		var err error
-		if stored[i], err = decode(segment); err != nil {
+		if stored[i], err = decodeSegment(segment); err != nil {
 			return err
 		}
 	}
@@ -182,7 +182,7 @@
 	if len(s.segments) == 0 {
 		first = chainStart(segments, stored)
 		s.orphans = segments[:first]
-	} else if len(segments) == 0 || segments[0].Number != s.Tail() {
+	} else if len(segments) == 0 || segments[0].Number != s.TailNumber() {
 		return ErrGap
 	}
 	for i, segment := range segments[first:] {
@@ -229,9 +229,9 @@
 // Orphans returns segments that are not part of the chain and may be deleted.
 func (s *Shard) Orphans() []Segment { return s.orphans }
 
-// Expired returns the oldest segment if all its records have expired. The newest
+// ExpiredSegment returns the oldest segment if all its records have expired. The newest
 // segment is kept, because it holds the number that the chain has reached.
-func (s *Shard) Expired(now time.Time) (Segment, bool) {
+func (s *Shard) ExpiredSegment(now time.Time) (Segment, bool) {
 	if len(s.segments) < 2 {
 		return Segment{}, false
 	}
@@ -242,23 +242,23 @@
 	return Segment{Number: oldest.number, Version: oldest.version}, true
 }
 
-// Deleted reports that the oldest segment is gone, if it has the given number.
-func (s *Shard) Deleted(number uint64) {
+// SegmentDeleted reports that the oldest segment is gone, if it has the given number.
+func (s *Shard) SegmentDeleted(number uint64) {
 	if len(s.segments) > 1 && s.segments[0].number == number {
 		s.segments = s.segments[1:]
 	}
 }
 
-// Purge drops expired keys from memory.
-func (s *Shard) Purge(now time.Time) {
+// PurgeExpired drops expired keys from memory.
+func (s *Shard) PurgeExpired(now time.Time) {
 	for id, entry := range s.index {
 		if entry.expires <= now.UnixMilli() {
 			delete(s.index, id)
 		}
 	}
-	for token, expires := range s.withdrawn {
+	for token, expires := range s.releasedTokens {
 		if expires <= now.UnixMilli() {
-			delete(s.withdrawn, token)
+			delete(s.releasedTokens, token)
 		}
 	}
 }
--- a/claim/shard_test.go
+++ b/claim/shard_test.go
@@ -12,12 +12,12 @@
 	_ "github.com/coltsfootdrift/coltsfootdrift/internal/fixedseed"
 )
 
-// world is the store and what the records in it mean, kept apart from Shard.
-type world struct {
+// storeModel is the store and what the records in it mean, kept apart from Shard.
+type storeModel struct {
 	segments map[uint64]Segment
 	version  int64
 	now      time.Time
-	holders  map[ID]modelClaim
+	claims   map[ID]modelClaim
 }
 
 type modelClaim struct {
@@ -26,7 +26,7 @@
 	expires  time.Time
 }
 
-func (w *world) list(from uint64) (list []Segment) {
+func (w *storeModel) list(from uint64) (list []Segment) {
 	for number, segment := range w.segments {
 		if number >= from {
 			list = append(list, segment)
@@ -36,8 +36,8 @@
 	return list
 }
 
-func (w *world) swap(write Write) bool {
-	if w.segments[write.Segment.Number].Version != write.Expect {
+func (w *storeModel) swap(write Write) bool {
+	if w.segments[write.Segment.Number].Version != write.ExpectedVersion {
 		return false
 	}
 	w.version++
@@ -47,8 +47,8 @@
 }
 
 // check compares a decision that holds now with the model and applies it.
-func (w *world) check(t *rapid.T, op Op, decision Decision) {
-	current, ok := w.holders[op.ID]
+func (w *storeModel) check(t *rapid.T, op Op, decision Decision) {
+	current, ok := w.claims[op.ID]
 	ok = ok && current.expires.After(w.now)
 	own := ok && current.token == op.Token
 	legal := false
@@ -56,22 +56,22 @@
 	case Granted:
 		legal = !ok || own && !current.finished
 		if !ok {
-			w.holders[op.ID] = modelClaim{token: op.Token, expires: w.now.Add(op.Retention)}
+			w.claims[op.ID] = modelClaim{token: op.Token, expires: w.now.Add(op.Retention)}
 		}
 	case Running:
 		legal = ok && !own && !current.finished && decision.Token == current.token
-	case Recorded:
+	case AlreadyFinished:
 		legal = ok && current.finished && decision.Token == current.token
-	case Lost:
+	case NotHeld:
 		legal = !own || op.Kind == OpRelease && current.finished
 	case Done:
 		legal = own || op.Kind == OpRelease
 		if op.Kind == OpRelease && own {
-			delete(w.holders, op.ID)
+			delete(w.claims, op.ID)
 		} else if op.Kind == OpFinish && !current.finished {
-			w.holders[op.ID] = modelClaim{token: op.Token, finished: true, expires: w.now.Add(op.Retention)}
+			w.claims[op.ID] = modelClaim{token: op.Token, finished: true, expires: w.now.Add(op.Retention)}
 		}
-	case Withdrawn:
+	case TokenReleased:
 		legal = true
 	}
 	if !legal {
@@ -84,7 +84,7 @@
 // writes whose answer is lost, sealing, expiry and deletion of segments.
 func TestAppendersWithOldStateKeepClaimsUnique(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{segments: map[uint64]Segment{}, now: time.Unix(1000, 0), holders: map[ID]modelClaim{}}
+		w := &storeModel{segments: map[uint64]Segment{}, now: time.Unix(1000, 0), claims: map[ID]modelClaim{}}
 		shards := []*Shard{NewShard(), NewShard(), NewShard()}
 		viewAt := map[*Shard]time.Time{}
 		for range rapid.IntRange(20, 120).Draw(t, "steps") {
@@ -93,23 +93,23 @@
 				shard.Reset()
 			}
 			// An adapter reads again when its view is 10 s old.
-			if w.now.Sub(viewAt[shard]) >= 10*time.Second || shard.Tail() == 0 || rapid.Bool().Draw(t, "refresh") {
+			if w.now.Sub(viewAt[shard]) >= 10*time.Second || shard.TailNumber() == 0 || rapid.Bool().Draw(t, "refresh") {
 				viewAt[shard] = w.now
-				if shard.Load(w.list(shard.Tail())) != nil {
+				if shard.Load(w.list(shard.TailNumber())) != nil {
 					shard.Reset()
 					if err := shard.Load(w.list(0)); err != nil {
 						t.Fatal(err)
 					}
 				}
-				if oldest, ok := shard.Expired(w.now); ok && w.segments[oldest.Number].Version == oldest.Version {
+				if oldest, ok := shard.ExpiredSegment(w.now); ok && w.segments[oldest.Number].Version == oldest.Version {
 					delete(w.segments, oldest.Number)
-					shard.Deleted(oldest.Number)
+					shard.SegmentDeleted(oldest.Number)
 				}
 			}
 			ops := drawOps(t)
-			write, decisions := shard.Append(w.now, ops)
+			write, decisions := shard.PrepareAppend(w.now, ops)
 			if write.Records == 0 {
-				if stored := w.list(0); len(stored) > 0 && stored[len(stored)-1].Version == shard.Version() {
+				if stored := w.list(0); len(stored) > 0 && stored[len(stored)-1].Version == shard.TailVersion() {
 					w.checkAll(t, ops, decisions)
 				}
 				continue
@@ -119,14 +119,14 @@
 			}
 			w.checkAll(t, ops, decisions)
 			if rapid.Bool().Draw(t, "answer arrives") {
-				shard.Wrote(w.version)
+				shard.CommitWrite(w.version)
 			}
 			w.now = w.now.Add(time.Duration(rapid.SampledFrom([]int{0, 0, 1, 5, 30, 60}).Draw(t, "seconds")) * time.Second)
 		}
 	})
 }
 
-func (w *world) checkAll(t *rapid.T, ops []Op, decisions []Decision) {
+func (w *storeModel) checkAll(t *rapid.T, ops []Op, decisions []Decision) {
 	for i, decision := range decisions {
 		w.check(t, ops[i], decision)
 	}
@@ -155,19 +155,19 @@
 func TestFinishStandsWithoutItsClaim(t *testing.T) {
 	c := qt.New(t)
 	s, now := NewShard(), time.Unix(1000, 0)
-	op := Op{Kind: OpClaim, ID: ID{1}, Token: Token{1}, Body: Digest{1}, Holder: "a", Retention: time.Hour}
-	s.Append(now, []Op{op})
-	s.Wrote(1)
+	op := Op{Kind: OpClaim, ID: ID{1}, Token: Token{1}, BodySHA256: Digest{1}, Holder: "a", Retention: time.Hour}
+	s.PrepareAppend(now, []Op{op})
+	s.CommitWrite(1)
 	op.Kind, op.Outcome, op.Answer = OpFinish, "completed", []byte("x")
-	write, _ := s.Append(now, []Op{op})
-	stored, err := decode(write.Segment)
+	write, _ := s.PrepareAppend(now, []Op{op})
+	stored, err := decodeSegment(write.Segment)
 	c.Assert(err, qt.IsNil)
 	stored.Records = stored.Records[1:]
-	alone := Segment{Number: 7, Version: 9, Data: mustEncode(stored)}
+	alone := Segment{Number: 7, Version: 9, Data: mustEncodeSegment(stored)}
 	rebuilt := NewShard()
 	c.Assert(rebuilt.Load([]Segment{alone}), qt.IsNil)
-	_, decisions := rebuilt.Append(now, []Op{{Kind: OpClaim, ID: ID{1}, Token: Token{2}, Body: Digest{1}, Retention: time.Hour}})
-	c.Assert(decisions[0], qt.DeepEquals, Decision{Verdict: Recorded, Holder: "a", Token: Token{1}, Outcome: "completed", Segment: 7})
+	_, decisions := rebuilt.PrepareAppend(now, []Op{{Kind: OpClaim, ID: ID{1}, Token: Token{2}, BodySHA256: Digest{1}, Retention: time.Hour}})
+	c.Assert(decisions[0], qt.DeepEquals, Decision{Verdict: AlreadyFinished, Holder: "a", Token: Token{1}, Outcome: "completed", Segment: 7})
 	answer, ok, err := FindAnswer(alone, Token{1})
 	c.Assert(err, qt.IsNil)
 	c.Assert(ok, qt.IsTrue)
@@ -180,11 +180,11 @@
 	c := qt.New(t)
 	s, now := NewShard(), time.Unix(1000, 0)
 	release := Op{Kind: OpRelease, ID: ID{1}, Token: Token{1}, Retention: time.Hour}
-	write, _ := s.Append(now, []Op{release})
+	write, _ := s.PrepareAppend(now, []Op{release})
 	c.Assert(write.Records, qt.Equals, 1)
-	s.Wrote(1)
-	_, decisions := s.Append(now, []Op{{Kind: OpClaim, ID: ID{1}, Token: Token{1}, Retention: time.Hour}})
-	c.Assert(decisions[0].Verdict, qt.Equals, Withdrawn)
+	s.CommitWrite(1)
+	_, decisions := s.PrepareAppend(now, []Op{{Kind: OpClaim, ID: ID{1}, Token: Token{1}, Retention: time.Hour}})
+	c.Assert(decisions[0].Verdict, qt.Equals, TokenReleased)
 }
 
 // Guards against a chain whose numbers start again: an instance that still has
@@ -193,15 +193,15 @@
 	c := qt.New(t)
 	s, now := NewShard(), time.Unix(1000, 0)
 	for i := range byte(2) {
-		claim := Op{Kind: OpClaim, ID: ID{1, i}, Token: Token{i}, Holder: strings.Repeat("h", SegmentBytes), Retention: time.Second}
-		s.Append(now, []Op{claim})
-		s.Wrote(int64(i) + 1)
+		claim := Op{Kind: OpClaim, ID: ID{1, i}, Token: Token{i}, Holder: strings.Repeat("h", SealSegmentBytes), Retention: time.Second}
+		s.PrepareAppend(now, []Op{claim})
+		s.CommitWrite(int64(i) + 1)
 	}
 	now = now.Add(time.Hour)
-	oldest, ok := s.Expired(now)
+	oldest, ok := s.ExpiredSegment(now)
 	c.Assert(ok, qt.IsTrue)
-	s.Deleted(oldest.Number)
-	_, ok = s.Expired(now)
+	s.SegmentDeleted(oldest.Number)
+	_, ok = s.ExpiredSegment(now)
 	c.Assert(ok, qt.IsFalse)
-	c.Assert(s.Tail(), qt.Equals, uint64(2))
+	c.Assert(s.TailNumber(), qt.Equals, uint64(2))
 }
--- a/internal/capacity/claims.go
+++ b/internal/capacity/claims.go
@@ -76,7 +76,7 @@
 // append writes operations in one or more writes.
 func (s *shardChain) append(now time.Time, ops []claim.Op) {
 	for len(ops) > 0 {
-		write, decisions := s.shard.Append(now, ops)
+		write, decisions := s.shard.PrepareAppend(now, ops)
 		ops = ops[len(decisions):]
 		if write.Records == 0 {
 			continue
@@ -84,7 +84,7 @@
 		s.version++
 		s.writes++
 		s.written += len(write.Segment.Data)
-		s.shard.Wrote(s.version)
+		s.shard.CommitWrite(s.version)
 		write.Segment.Version = s.version
 		s.segments[write.Segment.Number] = write.Segment
 	}
--- a/internal/claims/appender.go
+++ b/internal/claims/appender.go
@@ -260,6 +260,6 @@
 	}
 	if now.Sub(a.lastPurge) > purgeInterval {
 		a.lastPurge = now
-		a.chain.state.Purge(a.chain.wall())
+		a.chain.state.PurgeExpired(a.chain.wall())
 	}
 }
--- a/internal/claims/attempt.go
+++ b/internal/claims/attempt.go
@@ -27,12 +27,12 @@
 
 func (a *attempt) op(kind claim.OpKind, holder string) claim.Op {
 	return claim.Op{
-		Kind:      kind,
-		ID:        a.request.ID,
-		Token:     a.token,
-		Body:      a.request.Body,
-		Holder:    holder,
-		Retention: a.request.Retention,
+		Kind:       kind,
+		ID:         a.request.ID,
+		Token:      a.token,
+		BodySHA256: a.request.Body,
+		Holder:     holder,
+		Retention:  a.request.Retention,
 	}
 }
 
@@ -54,7 +54,7 @@
 	op := g.attempt.op(claim.OpFinish, g.claims.Instance)
 	op.Outcome = outcome
 	op.AnswerSHA256 = answer.SHA256
-	if len(body) <= claim.InlineAnswerBytes {
+	if len(body) <= claim.MaxInlineAnswerBytes {
 		op.Answer = body
 	}
 	g.claims.end(g.attempt, &answer)
@@ -99,7 +99,7 @@
 		c.answers.put(a.token, *a.answer)
 	}
 	c.forget(a)
-	if decision.Verdict == claim.Lost {
+	if decision.Verdict == claim.NotHeld {
 		return ErrLost
 	}
 	return nil
--- a/internal/claims/bench_test.go
+++ b/internal/claims/bench_test.go
@@ -137,8 +137,8 @@
 				n := fmt.Sprint(i*batch + j)
 				ops[j] = claim.Op{Kind: claim.OpClaim, ID: claim.NewID("acme", "p", "k", n), Holder: "i1", Retention: time.Hour}
 			}
-			shard.Append(now, ops)
-			shard.Wrote(int64(i) + 1)
+			shard.PrepareAppend(now, ops)
+			shard.CommitWrite(int64(i) + 1)
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/internal/claims/chain.go
+++ b/internal/claims/chain.go
@@ -59,10 +59,10 @@
 
 // follow loads the segments from the known tail on.
 func (c *chain) follow(ctx context.Context) error {
-	if c.state.Tail() == 0 {
+	if c.state.TailNumber() == 0 {
 		return c.reload(ctx)
 	}
-	segments, err := c.list(ctx, claim.SegmentKey(c.shard, c.state.Tail()-1))
+	segments, err := c.list(ctx, claim.SegmentKey(c.shard, c.state.TailNumber()-1))
 	if err != nil {
 		return err
 	}
@@ -148,14 +148,14 @@
 // append decides on operations and writes their records. It returns one decision
 // for each operation that it took.
 func (c *chain) append(ctx context.Context, ops []claim.Op) ([]claim.Decision, error) {
-	write, decisions := c.state.Append(c.wall(), ops)
+	write, decisions := c.state.PrepareAppend(c.wall(), ops)
 	if write.Records == 0 {
 		return decisions, c.unchanged(ctx)
 	}
 	began := c.boot()
 	key := claim.SegmentKey(c.shard, write.Segment.Number)
 	c.writes.Inc(1)
-	version, err := c.store.CompareAndSwap(ctx, key, store.Version(write.Expect), write.Segment.Data, 0)
+	version, err := c.store.CompareAndSwap(ctx, key, store.Version(write.ExpectedVersion), write.Segment.Data, 0)
 	if err != nil {
 		c.loaded = c.loaded && errors.Is(err, store.ErrUnavailable)
 		return nil, err
@@ -166,7 +166,7 @@
 		c.loaded = false
 		return nil, errLate
 	}
-	c.state.Wrote(int64(version))
+	c.state.CommitWrite(int64(version))
 	c.viewAt = began
 	return decisions, nil
 }
@@ -174,11 +174,11 @@
 // unchanged confirms that the tail is still the one that decisions without a
 // write rest on.
 func (c *chain) unchanged(ctx context.Context) error {
-	before := c.state.Version()
+	before := c.state.TailVersion()
 	if err := c.refresh(ctx); err != nil {
 		return err
 	}
-	if c.state.Version() != before {
+	if c.state.TailVersion() != before {
 		return errChanged
 	}
 	return nil
@@ -186,7 +186,7 @@
 
 // clean deletes the oldest segment once its records have expired.
 func (c *chain) clean(ctx context.Context) error {
-	oldest, ok := c.state.Expired(c.wall())
+	oldest, ok := c.state.ExpiredSegment(c.wall())
 	if !ok {
 		return nil
 	}
@@ -194,7 +194,7 @@
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return fmt.Errorf("delete expired claim segment: %w", err)
 	}
-	c.state.Deleted(oldest.Number)
+	c.state.SegmentDeleted(oldest.Number)
 	return nil
 }
 
--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -169,9 +169,9 @@
 // decided turns the state of a key that another attempt has used into a reply.
 func (c *Claims) decided(ctx context.Context, call *call, decision claim.Decision) (reply Reply, again bool) {
 	switch decision.Verdict {
-	case claim.OtherBody:
+	case claim.BodyMismatch:
 		return Reply{Refusal: RefusedBody}, false
-	case claim.Recorded:
+	case claim.AlreadyFinished:
 		return c.recorded(ctx, call.request.ID, decision), false
 	case claim.Running:
 		return c.await(ctx, call, decision)
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -98,7 +98,7 @@
 // Guards against a key that runs at two instances, and a repeat that gets
 // neither the answer of the running attempt nor the recorded one.
 func TestTwoInstancesWithOneKey(t *testing.T) {
-	for _, size := range []int{2, claim.InlineAnswerBytes + 1} {
+	for _, size := range []int{2, claim.MaxInlineAnswerBytes + 1} {
 		c := qt.New(t)
 		w := newWorld("a", "b", "c")
 		w.appender = "b"
@@ -124,7 +124,7 @@
 		c.Assert(gone, qt.IsNotNil)
 		c.Assert(gone.Outcome, qt.Equals, "completed")
 		c.Assert(gone.SHA256, qt.Equals, late.SHA256)
-		c.Assert(gone.Body != nil, qt.Equals, size <= claim.InlineAnswerBytes)
+		c.Assert(gone.Body != nil, qt.Equals, size <= claim.MaxInlineAnswerBytes)
 	}
 }
 
@@ -281,7 +281,7 @@
 	}
 	fill := func(a *Appender, n byte) {
 		op := claim.Op{Kind: claim.OpClaim, ID: claim.ID{0, n}, Token: claim.Token{n}, Retention: time.Second,
-			Holder: strings.Repeat("h", claim.SegmentBytes)}
+			Holder: strings.Repeat("h", claim.SealSegmentBytes)}
 		decision, err := a.Append(c.Context(), op, false)
 		c.Assert(err, qt.IsNil)
 		c.Assert(decision.Verdict, qt.Equals, claim.Granted)
--- a/internal/claims/linear_test.go
+++ b/internal/claims/linear_test.go
@@ -56,7 +56,7 @@
 	case op.Kind == claim.OpClaim && before == keyState{}:
 		after, want = keyState{token: op.Token}, claim.Granted
 	case op.Kind == claim.OpClaim && before.finished:
-		want = claim.Recorded
+		want = claim.AlreadyFinished
 	case op.Kind == claim.OpClaim:
 		want = claim.Running
 	case op.Kind == claim.OpFinish && own:
@@ -72,7 +72,7 @@
 	if got.decision.Verdict != want {
 		return nil
 	}
-	seen := want == claim.Running || want == claim.Recorded
+	seen := want == claim.Running || want == claim.AlreadyFinished
 	if seen && got.decision.Token != before.token {
 		return nil
 	}
