--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,41 +1,43 @@
-// Package lease decides on the validity of a store lease by the local clock and
-// keeps the fencing number of its holder. It does no I/O.
+// Package lease decides by the local clock whether a store lease is still valid,
+// and keeps the fencing token of its holder. It does no I/O.
 package lease
 
 import "time"
 
-// ID names a lease of the store; 0 means none.
+// ID identifies a lease in the store; 0 means none.
 type ID int64
 
 // Input is an event that the adapter reports to a Holder.
 type Input interface{ input() }
 
-// Tick lets time pass.
+// Tick reports only that time has passed.
 type Tick struct{}
 
-// Granted reports a new lease, asked for at AskedAt.
+// Granted reports a new lease. RequestedAt is when the call to the store was sent.
 type Granted struct {
 	Lease       ID
 	RequestedAt time.Time
 }
 
-// KeyWritten reports that the holder's key was written under the lease. Number is
-// the version of the key.
+// KeyWritten reports that the holder's key was written under the lease. The
+// store's version of the key is the fencing token.
 type KeyWritten struct {
 	Lease        ID
 	FencingToken int64
 }
 
-// Extended reports a keep-alive that the store confirmed, sent at AskedAt.
+// Extended reports a keep-alive that the store confirmed. RequestedAt is when it
+// was sent.
 type Extended struct {
 	Lease       ID
 	RequestedAt time.Time
 }
 
-// CallFailed reports a call that failed without telling whether the lease lives on.
+// CallFailed reports a call to the store that failed and left open whether the
+// lease still exists.
 type CallFailed struct{}
 
-// LeaseNotFound reports that the store does not know the lease any more.
+// LeaseNotFound reports that the lease no longer exists in the store.
 type LeaseNotFound struct{ Lease ID }
 
 func (Tick) input()          {}
@@ -45,10 +47,10 @@
 func (CallFailed) input()    {}
 func (LeaseNotFound) input() {}
 
-// Output is what the adapter does next.
+// Output is an action that the adapter carries out.
 type Output interface{ output() }
 
-// Grant asks the store for a lease of the given duration.
+// Grant requests a lease of the given duration from the store.
 type Grant struct{ TTL time.Duration }
 
 // WriteKey writes the holder's key under the lease.
@@ -57,7 +59,8 @@
 // KeepAlive extends the lease.
 type KeepAlive struct{ Lease ID }
 
-// LeaseLost tells the holder to stop everything that it does under the number.
+// LeaseLost reports that the lease is no longer valid. The adapter stops all work
+// that runs under FencingToken, which is 0 if there was none.
 type LeaseLost struct{ FencingToken int64 }
 
 func (Grant) output()     {}
@@ -68,10 +71,12 @@
 // keepAlivesPerTTL leaves room for two failed keep-alives within one TTL.
 const keepAlivesPerTTL = 3
 
-// Holder keeps one lease. Times are of the boot-time clock, so that a pause of
-// the machine counts. It is not safe for concurrent use.
+// Holder acquires one lease and keeps it alive. Times are read from the boot-time
+// clock, which also advances while the machine is suspended. It is not safe for
+// concurrent use.
 type Holder struct {
-	ttl    time.Duration
+	ttl time.Duration
+	// margin is how long before expires the lease is given up.
 	margin time.Duration
 
 	lease        ID
@@ -81,41 +86,43 @@
 	nextCall time.Time
 }
 
-// NewHolder returns a holder without a lease. It stops margin before the lease
-// lapses by its own clock.
+// NewHolder returns a holder without a lease. The holder gives up its lease when
+// no more than margin is left of it by the local clock.
 func NewHolder(ttl, margin time.Duration) *Holder {
 	return &Holder{ttl: ttl, margin: margin}
 }
 
-// Valid reports whether the holder may act, and under which fencing number.
-func (h *Holder) Valid(now time.Time) (number int64, ok bool) {
+// Valid reports whether the holder may act, and under which fencing token.
+func (h *Holder) Valid(now time.Time) (fencingToken int64, ok bool) {
 	if h.fencingToken == 0 || !now.Before(h.expires.Add(-h.margin)) {
 		return 0, false
 	}
 	return h.fencingToken, true
 }
 
-// Expires returns when the lease lapses by the local clock, zero without one.
+// Expires returns when the lease expires by the local clock, or the zero time
+// without a lease.
 func (h *Holder) Expires() time.Time {
 	return h.expires
 }
 
-// Lease returns the lease that is held, 0 for none.
+// Lease returns the ID of the lease that is held, or 0.
 func (h *Holder) Lease() ID {
 	return h.lease
 }
 
-// Step takes one input and returns what to do.
+// Step applies one input and returns the actions that are due.
 func (h *Holder) Step(now time.Time, input Input) []Output {
 	switch in := input.(type) {
 	case Granted:
 		return h.granted(now, in)
 	case KeyWritten:
 		if in.Lease == h.lease {
-			// Of two writes of the key the later one has the higher number, whichever
-			// answer comes first.
+			// Answers to two writes of the key may arrive in either order; the later
+			// write has the higher version.
 			h.fencingToken = max(h.fencingToken, in.FencingToken)
-			// The write may have taken several tries, so that little of the lease is left.
+			// Send a keep-alive at once: the write may have taken several attempts, so
+			// that little time is left on the lease.
 			h.nextCall = now
 		}
 	case Extended:
@@ -130,8 +137,8 @@
 	return h.tick(now)
 }
 
-// granted counts the lease from before the call, because the store may have
-// started it at any time since.
+// granted counts the TTL from the time of the request, because the store may have
+// started the lease at any time since.
 func (h *Holder) granted(now time.Time, in Granted) []Output {
 	if h.lease != 0 {
 		return nil
@@ -160,7 +167,8 @@
 	}
 }
 
-// dropLease gives up the lease and its number for good; a new lease has a new number.
+// dropLease gives up the lease and its fencing token for good. A new lease has a
+// new token.
 func (h *Holder) dropLease() []Output {
 	lost := LeaseLost{FencingToken: h.fencingToken}
 	h.lease = 0
