--- a/job/machine.go
+++ b/job/machine.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// Outcomes that the core sets or tells apart.
+// Outcomes that this package sets or handles specially. All others pass unchanged.
 const (
 	OutcomeUnknown = "unknown"
 	OutcomeFailed  = "failed"
 	OutcomeNotRun  = "not_run"
 )
 
-// Owner is an instance with its fencing number.
+// Owner is an instance that holds a job.
 type Owner struct {
 	Instance string
-	Fence    int64
+	// Fence is the fencing token of the instance.
+	Fence int64
 }
 
-// MayTakeOver reports whether an instance may take a job over. holderVersion is the
-// version of the key of the record's holder, 0 when the key is absent; it must
-// have been read after the record.
+// MayTakeOver reports whether another instance may take a job over. holderVersion
+// is the version of the holder key of the record's holder, 0 if the key is absent.
+// It must be read after the record.
 func MayTakeOver(record Record, holderVersion int64) bool {
 	if record.State != StateAccepted {
 		return false
@@ -28,35 +29,36 @@
 	return record.Holder == "" || holderVersion != record.Fence
 }
 
-// Input is an event of a running job.
+// Input is an event that the adapter reports to a Machine.
 type Input interface{ input() }
 
-// StartRun starts a run of a job under a new owner.
+// StartRun starts a run of a job under an owner.
 type StartRun struct{ Owner Owner }
 
-// StageDone reports a stage whose result is stored.
+// StageDone reports a finished stage whose result is in the store.
 type StageDone struct{ Result Value }
 
 // NonIdempotentCallStarting reports that a non-idempotent call is about to be sent.
 type NonIdempotentCallStarting struct{}
 
-// RunEnded reports the end of a run.
+// RunEnded reports the end of a run with its outcome.
 type RunEnded struct {
 	Outcome string
 	Detail  string
 	Answer  Value
 }
 
-// HandOver frees the job for another instance.
+// HandOver releases the job so that another instance can take it over.
 type HandOver struct{}
 
-// RecordStored reports that the last record that was handed out is in the store.
+// RecordStored reports that the store holds the record of the last WriteRecord.
 type RecordStored struct{ Version int64 }
 
-// WriteConflict reports that the record has another version: another instance wrote it.
+// WriteConflict reports that the record in the store has another version, because
+// another instance wrote it.
 type WriteConflict struct{}
 
-// LeaseLost reports that the holder's lease is not valid any more.
+// LeaseLost reports that the holder's lease is no longer valid.
 type LeaseLost struct{}
 
 func (StartRun) input()                  {}
@@ -68,43 +70,46 @@
 func (WriteConflict) input()             {}
 func (LeaseLost) input()                 {}
 
-// Output is what the adapter does next.
+// Output is an action that the adapter carries out.
 type Output interface{ output() }
 
-// WriteRecord replaces the record if it has the expected version. The adapter answers
-// with Stored or Taken before the next input.
+// WriteRecord replaces the record if it has the expected version. The adapter
+// reports RecordStored or WriteConflict before any other input.
 type WriteRecord struct {
 	Record          Record
 	ExpectedVersion int64
 }
 
-// StopRun ends the run without another record.
+// StopRun ends the run. No further record is written.
 type StopRun struct{}
 
-// RunStages starts the stages that are not finished after Delay.
+// RunStages starts the unfinished stages after Delay.
 type RunStages struct{ Delay time.Duration }
 
 func (WriteRecord) output() {}
 func (StopRun) output()     {}
 func (RunStages) output()   {}
 
-// Machine is one job at its holder. It is not safe for concurrent use.
+// Machine is the state machine of one job at its holder. It is not safe for
+// concurrent use.
 type Machine struct {
 	record  Record
 	version int64
+	// next is the record of the last WriteRecord.
 	next    Record
 	stopped bool
 }
 
-// NewMachine returns the machine of a record with the given version.
+// NewMachine returns the state machine for a record that the store holds with the
+// given version.
 func NewMachine(record Record, version int64) *Machine {
 	return &Machine{record: record, version: version}
 }
 
-// Record returns what is known to be in the store.
+// Record returns the last record that is known to be in the store.
 func (m *Machine) Record() Record { return m.record }
 
-// Step takes one input and returns what to do.
+// Step applies one input and returns the actions that are due.
 func (m *Machine) Step(now time.Time, input Input) []Output {
 	if m.stopped {
 		return []Output{StopRun{}}
@@ -127,8 +132,8 @@
 	case HandOver:
 		next.Holder = ""
 		next.Fence = 0
-		// A planned stop does not count as a run, so that a fleet can be restarted
-		// any number of times during a long job.
+		// A planned stop does not count towards MaxRuns, so that instances can be
+		// restarted any number of times during a long job.
 		next.Runs--
 	}
 	m.next = next
@@ -136,24 +141,24 @@
 }
 
 func (m *Machine) recordStored(in RecordStored) []Output {
-	was := m.record
+	previous := m.record
 	m.record = m.next
 	m.version = in.Version
 	switch {
 	case m.record.State == StateFinished || m.record.Holder == "":
 		m.stopped = true
 		return []Output{StopRun{}}
-	case m.record.Runs == was.Runs:
+	case m.record.Runs == previous.Runs:
 		return nil
-	case m.record.Fence == was.Fence:
+	case m.record.Fence == previous.Fence:
 		return []Output{RunStages{Delay: retryDelay(m.record.Runs)}}
 	}
 	return []Output{RunStages{}}
 }
 
-// startRun starts a run, or ends the job when it must not run again: a
-// non-idempotent call of an earlier run may have been carried out, and a job
-// that never ends is given up.
+// startRun starts a run, or finishes the job if it must not run again: because a
+// non-idempotent call of an earlier run may have been executed, or because the
+// job has reached MaxRuns without finishing.
 func startRun(next *Record, now time.Time, owner Owner) {
 	next.Holder = owner.Instance
 	next.Fence = owner.Fence
@@ -167,10 +172,10 @@
 	}
 }
 
-// runEnded finishes the job, or starts it again after a run that had no effect.
+// runEnded finishes the job, or starts another run after one that had no effect.
 func (m *Machine) runEnded(next *Record, now time.Time, in RunEnded) {
-	effectless := in.Outcome == OutcomeFailed || in.Outcome == OutcomeNotRun
-	if effectless && !next.NonIdempotentSent && next.Runs < MaxRuns {
+	noEffect := in.Outcome == OutcomeFailed || in.Outcome == OutcomeNotRun
+	if noEffect && !next.NonIdempotentSent && next.Runs < MaxRuns {
 		next.Runs++
 		return
 	}
@@ -185,8 +190,8 @@
 	next.Answer = in.Answer
 }
 
-// retryDelay returns how long to wait before a run that follows one without
-// effect: 1 s before the second, doubled for each further one.
+// retryDelay returns the delay before a run that follows one without effect: 1 s
+// before the second run, doubled for each further run.
 func retryDelay(runs int) time.Duration {
 	return time.Second << max(runs-2, 0)
 }
--- a/job/machine_test.go
+++ b/job/machine_test.go
@@ -9,17 +9,20 @@
 	_ "github.com/coltsfootdrift/coltsfootdrift/internal/fixedseed"
 )
 
-// fakeStore is the store as the instances of a test see it.
+// fakeStore holds the record of one job and the holder keys of the instances.
 type fakeStore struct {
-	record             Record
-	version            int64
-	fences             map[string]int64
-	lastFence          int64
+	record  Record
+	version int64
+	// fences holds the fencing token of each instance, 0 without a lease.
+	fences    map[string]int64
+	lastFence int64
+	// nonIdempotentCalls and finished count the records that announce a
+	// non-idempotent call and that finish the job.
 	nonIdempotentCalls int
 	finished           int
 }
 
-// apply writes what a machine wants and feeds the result back.
+// apply carries out the writes of a machine and reports the results to it.
 func (s *fakeStore) apply(t *rapid.T, m *Machine, outputs []Output) {
 	for _, output := range outputs {
 		write, ok := output.(WriteRecord)
@@ -34,13 +37,13 @@
 			s.nonIdempotentCalls++
 		}
 		if s.record.State == StateFinished {
-			t.Fatalf("record written after the end of the job")
+			t.Fatalf("record written after the job finished")
 		}
 		if write.Record.State == StateFinished {
 			s.finished++
 		}
 		if len(write.Record.Stages) < len(s.record.Stages) {
-			t.Fatalf("stages fell from %d to %d", len(s.record.Stages), len(write.Record.Stages))
+			t.Fatalf("number of finished stages decreased from %d to %d", len(s.record.Stages), len(write.Record.Stages))
 		}
 		names := map[string]bool{}
 		for _, stage := range write.Record.Stages {
@@ -55,9 +58,9 @@
 	}
 }
 
-// Guards against a non-idempotent call that two holders may send, a finished
-// stage that is lost or runs again, and a record written by a former holder:
-// with leases that lapse at any time and holders that don't notice.
+// Guards against a non-idempotent call that two holders may send, a finished stage
+// that is lost or runs again, and a record written by a former holder. Leases
+// expire at any time, and holders continue without noticing it.
 func TestFormerHoldersNeverWrite(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &fakeStore{fences: map[string]int64{}, record: Record{ID: "x", State: StateAccepted}}
@@ -108,7 +111,7 @@
 				}
 			}
 			if s.finished > 1 || s.record.Runs > MaxRuns {
-				t.Fatalf("job ended %d times after %d runs", s.finished, s.record.Runs)
+				t.Fatalf("job finished %d times after %d runs", s.finished, s.record.Runs)
 			}
 		}
 	})
--- a/job/record.go
+++ b/job/record.go
@@ -1,5 +1,6 @@
-// Package job decides on durable work: what a job's record says, who may write
-// it and when another instance takes the job over. It does no I/O.
+// Package job decides on durable jobs: the content of a job's record, which
+// instance may write it, and when another instance takes the job over. It does no
+// I/O.
 package job
 
 import (
@@ -14,45 +15,48 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Shards is the number of shards of the records of unfinished jobs.
+// Shards is the number of shards of the jobs in the store.
 const Shards = 16
 
 // Prefixes of store keys.
 const (
-	// RecordPrefix starts the records of unfinished jobs: job/<shard>/<id>.
+	// RecordPrefix starts the keys of the records of unfinished jobs:
+	// job/<shard>/<id>.
 	RecordPrefix = "job/"
-	// ResultPrefix starts bodies, stage results and the records of finished jobs.
-	// It is kept apart, so that a scan for jobs to take over reads no results.
+	// ResultPrefix starts the keys of bodies, stage results, answers and the records
+	// of finished jobs. It is separate from RecordPrefix, so that a scan for jobs to
+	// take over reads none of them.
 	ResultPrefix = "jobresult/"
 	// HolderPrefix starts the keys that instances write under their lease. The
-	// version of such a key is the fencing number.
+	// version of such a key is the fencing token of the instance.
 	HolderPrefix = "jobholder/"
 )
 
-// PieceBytes is the size over which a value is split.
+// PieceBytes is the size of the pieces into which a value is split.
 const PieceBytes = 512 << 10
 
-// MaxRuns bounds how often a job is started. A job that brings its instance down
-// would otherwise go round the fleet.
+// MaxRuns bounds how often a job is started. Without it, a job that crashes its
+// instance would be taken over by, and crash, one instance after the other.
 const MaxRuns = 5
 
-// State tells whether a job is finished.
+// State is the state of a job.
 type State string
 
-// States.
+// States of a job.
 const (
 	StateAccepted State = "accepted"
 	StateFinished State = "finished"
 )
 
-// Value names a body or result that is stored in pieces.
+// Value describes a body or result that is stored in pieces.
 type Value struct {
-	// Name is the stage, or one of the names below.
+	// Name is the name of the stage, or BodyName or AnswerName.
 	Name string `json:"name"`
-	// Fence is the fencing number under which it was written. Holders never write
-	// the same keys.
+	// Fence is the fencing token under which the value was written. It is part of
+	// the key of a piece, so that two holders never write the same key.
 	Fence int64 `json:"fence"`
-	// Run is the run of the job that wrote it: a later run may have another result.
+	// Run is the run of the job that wrote the value, as a later run may have
+	// another result.
 	Run    int    `json:"run"`
 	Pieces int    `json:"pieces"`
 	Bytes  int    `json:"bytes"`
@@ -63,11 +67,12 @@
 const (
 	BodyName   = ".body"
 	AnswerName = ".answer"
-	// finishedName is the record of a finished job; it sorts before all values.
+	// finishedName names the record of a finished job. It sorts before the names of
+	// all values.
 	finishedName = "!end"
 )
 
-// Record is the state of a job.
+// Record is the stored state of a job.
 type Record struct {
 	ID           string `json:"id"`
 	Organisation string `json:"organisation"`
@@ -75,16 +80,19 @@
 	Kind         string `json:"kind"`
 	Body         Value  `json:"body"`
 	State        State  `json:"state"`
-	// Holder runs the job under Fence; it is empty after a hand-over.
+	// Holder is the instance that runs the job under the fencing token Fence. It is
+	// empty after a handover.
 	Holder string `json:"holder,omitempty"`
 	Fence  int64  `json:"fence,omitempty"`
-	// Runs counts how often the job was started.
+	// Runs counts how often the job was started. Runs that a handover ended are not
+	// counted.
 	Runs int `json:"runs"`
 	// Stages are the finished stages.
 	Stages []Value `json:"stages,omitempty"`
-	// NonIdempotentSent is true from before the first non-idempotent call is sent.
+	// NonIdempotentSent is set before the first non-idempotent call is sent.
 	NonIdempotentSent bool `json:"once_sent,omitempty"`
-	// Outcome, Detail and Answer are set at the end.
+	// Outcome, Detail, Answer and FinishedMS are set when the job finishes. Times
+	// are Unix times in milliseconds.
 	Outcome     string `json:"outcome,omitempty"`
 	Detail      string `json:"detail,omitempty"`
 	Answer      Value  `json:"answer,omitzero"`
@@ -118,49 +126,50 @@
 }
 
 // NewID returns the ID of a job. It begins with the shard and the time of
-// creation, so that the results of a shard sort by age.
+// creation, so that the keys of a shard's results sort by age.
 func NewID(now time.Time, random string) string {
 	return fmt.Sprintf("%02x-%012x-%s", xxhash.Sum64String(random)%Shards, now.UnixMilli(), random)
 }
 
-// ParseID returns the shard and the time of creation in an ID.
+// ParseID returns the shard and the time of creation from a job's ID.
 func ParseID(id string) (shard int, created time.Time, err error) {
 	parts := strings.SplitN(id, "-", 3)
 	if len(parts) != 3 || strings.Contains(id, "/") {
 		return 0, time.Time{}, fmt.Errorf("%q is not the ID of a job", id)
 	}
-	number, shardErr := strconv.ParseUint(parts[0], 16, 8)
+	shardNumber, shardErr := strconv.ParseUint(parts[0], 16, 8)
 	ms, timeErr := strconv.ParseInt(parts[1], 16, 64)
-	if shardErr != nil || timeErr != nil || number >= Shards {
+	if shardErr != nil || timeErr != nil || shardNumber >= Shards {
 		return 0, time.Time{}, fmt.Errorf("%q is not the ID of a job", id)
 	}
-	return int(number), time.UnixMilli(ms), nil
+	return int(shardNumber), time.UnixMilli(ms), nil
 }
 
-// ShardPrefix starts the keys of a shard's unfinished jobs.
+// ShardPrefix returns the start of the keys of a shard's unfinished jobs.
 func ShardPrefix(shard int) string { return fmt.Sprintf("%s%02x/", RecordPrefix, shard) }
 
-// RecordKey is the key of an unfinished job's record.
+// RecordKey returns the key of an unfinished job's record.
 func RecordKey(id string) string { return RecordPrefix + id[:2] + "/" + id }
 
-// ResultShardPrefix starts the keys of a shard's results.
+// ResultShardPrefix returns the start of the keys of a shard's results.
 func ResultShardPrefix(shard int) string { return fmt.Sprintf("%s%02x-", ResultPrefix, shard) }
 
-// ResultsPrefix starts the keys of all values of a job.
+// ResultsPrefix returns the start of the keys of a job's values and of its finished
+// record.
 func ResultsPrefix(id string) string { return ResultPrefix + id + "/" }
 
-// FinishedKey is the key of a finished job's record.
+// FinishedKey returns the key of a finished job's record.
 func FinishedKey(id string) string { return ResultsPrefix(id) + finishedName }
 
-// PieceKey is the key of one piece of a value.
+// PieceKey returns the key of one piece of a value.
 func PieceKey(id string, value Value, piece int) string {
 	return fmt.Sprintf("%s%s/%d-%d-%06d", ResultsPrefix(id), value.Name, value.Fence, value.Run, piece)
 }
 
-// HolderKey is the key that an instance writes under its lease.
+// HolderKey returns the key that an instance writes under its lease.
 func HolderKey(instance string) string { return HolderPrefix + instance }
 
-// NewValue describes data that is stored in pieces.
+// NewValue returns the description of data that is to be stored in pieces.
 func NewValue(name string, fence int64, run int, data []byte) Value {
 	sum := sha256.Sum256(data)
 	return Value{
