--- a/claim/claim.go
+++ b/claim/claim.go
@@ -1,6 +1,7 @@
-// Package claim decides on at-most-once claims. The claims of a shard are a
-// chain of segments in the store; a Shard holds their index in memory and
-// prepares the next write. It does no I/O.
+// Package claim decides on claims of idempotency keys, which make requests run at
+// most once. The claims of a shard are stored as a chain of segments, an
+// append-only log. A Shard holds the index of the claims in memory and prepares
+// the next write to the chain. The package does no I/O.
 package claim
 
 import (
@@ -12,26 +13,29 @@
 	"time"
 )
 
-// Shards is the number of shards. It is part of the stored form.
+// Shards is the number of shards. It determines the keys in the store and can't
+// change while claims are stored.
 const Shards = 16
 
-// Prefix starts the store keys of all claims.
+// Prefix starts the store keys of all segments.
 const Prefix = "claim/"
 
-// MaxInlineAnswerBytes is the size up to which an answer is stored whole.
+// MaxInlineAnswerBytes is the size up to which an answer is stored in full. Of a
+// larger answer only the digest is stored.
 const MaxInlineAnswerBytes = 4 << 10
 
-// ID is the digest of what a claim is scoped by.
+// ID identifies a claim: the truncated SHA-256 of its idempotency key and the scope
+// of the key.
 type ID [16]byte
 
-// Token is the random name of an attempt.
+// Token is the random ID of an attempt.
 type Token [16]byte
 
-// Digest is a SHA-256.
+// Digest is a SHA-256 digest.
 type Digest [sha256.Size]byte
 
-// NewID returns the ID of an idempotency key. Each part is preceded by its
-// length, so that no two scopes have the same encoding.
+// NewID returns the ID of an idempotency key in its scope. Each part is preceded by
+// its length before it is hashed, so that no two scopes have the same encoding.
 func NewID(organisation, pipeline, kind, key string) ID {
 	var scope []byte
 	for _, part := range []string{organisation, pipeline, kind, key} {
@@ -47,31 +51,33 @@
 	return int(id[0]) % Shards
 }
 
-// OpKind tells what an operation does to a claim.
+// OpKind is the kind of an operation on a claim.
 type OpKind int
 
 // Kinds of operations.
 const (
-	// OpClaim reserves a key.
+	// OpClaim claims a key for an attempt.
 	OpClaim OpKind = iota + 1
-	// OpFinish records the outcome.
+	// OpFinish records the outcome of the attempt.
 	OpFinish
-	// OpRelease frees the key.
+	// OpRelease releases the key without an outcome.
 	OpRelease
 )
 
-// Op is one operation on a claim. Repeating it with the same token is safe.
+// Op is one operation on a claim. It is idempotent: repeating it with the same
+// token is safe.
 type Op struct {
 	Kind  OpKind
 	ID    ID
 	Token Token
-	// BodySHA256 is the digest of the caller's body.
+	// BodySHA256 is the digest of the request body.
 	BodySHA256 Digest
 	// Holder is the instance that runs the attempt.
 	Holder string
 	// Retention is how long the key is kept after this record.
 	Retention time.Duration
-	// Outcome is set on OpFinish, and Answer when it is short.
+	// Outcome and AnswerSHA256 are set on OpFinish, as is Answer if it has at most
+	// MaxInlineAnswerBytes.
 	Outcome      string
 	Answer       []byte
 	AnswerSHA256 Digest
@@ -84,17 +90,18 @@
 const (
 	// Granted means that the token holds the claim.
 	Granted Verdict = iota + 1
-	// AlreadyFinished means that an earlier attempt finished; its record is in Segment.
+	// AlreadyFinished means that an attempt has finished; its record is in Segment.
 	AlreadyFinished
-	// Running means that Holder runs an attempt under Token.
+	// Running means that Holder runs another attempt under Token.
 	Running
 	// BodyMismatch means that the key was used with another body.
 	BodyMismatch
-	// TokenReleased means that the token was released before it could be claimed.
+	// TokenReleased means that the token was released and can no longer claim the key.
 	TokenReleased
-	// Done means that a finish or release is recorded.
+	// Done means that the finish or release is recorded.
 	Done
-	// NotHeld means that the token does not hold the claim any more.
+	// NotHeld means that the token no longer holds the claim or, on a release, that
+	// the claim is already finished.
 	NotHeld
 )
 
@@ -113,12 +120,12 @@
 	return fmt.Sprintf("%s%012d", ShardPrefix(shard), number)
 }
 
-// ShardPrefix returns the start of the store keys of a shard's segments.
+// ShardPrefix returns the prefix of the store keys of a shard's segments.
 func ShardPrefix(shard int) string {
 	return fmt.Sprintf("%s%02d/", Prefix, shard)
 }
 
-// SegmentNumber returns the number in a segment's key.
+// SegmentNumber returns the number of a segment from its store key.
 func SegmentNumber(key string) (uint64, error) {
 	number, err := strconv.ParseUint(key[strings.LastIndexByte(key, '/')+1:], 10, 64)
 	if err != nil {
--- a/claim/decide.go
+++ b/claim/decide.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// overlay is a view of a shard with the changes of one append, which take effect
-// only when the append was written.
+// overlay holds the uncommitted changes of one append on top of a shard. They
+// become part of the shard once the append is written to the store.
 type overlay struct {
 	shard          *Shard
 	changed        map[ID]indexEntry
@@ -15,7 +15,7 @@
 	return &overlay{shard: s, changed: map[ID]indexEntry{}, removed: map[ID]bool{}, releasedTokens: map[Token]int64{}}
 }
 
-// lookUp returns the live entry of a key.
+// lookUp returns the entry of a claim that has not expired.
 func (o *overlay) lookUp(now time.Time, id ID) (indexEntry, bool) {
 	entry, ok := o.changed[id]
 	if !ok && !o.removed[id] {
@@ -30,8 +30,9 @@
 	return before || here
 }
 
-// decide returns the decision on an operation and whether it needs a record.
-func (o *overlay) decide(now time.Time, op Op) (decision Decision, needed bool) {
+// decide returns the decision on an operation and whether a record must be written
+// for it.
+func (o *overlay) decide(now time.Time, op Op) (decision Decision, needsRecord bool) {
 	entry, ok := o.lookUp(now, op.ID)
 	own := ok && entry.token == op.Token
 	switch op.Kind {
@@ -46,17 +47,17 @@
 		if own && entry.outcome != noName {
 			return Decision{Verdict: NotHeld}, false
 		}
-		// A release is recorded even if its claim is not there: the claim may still
-		// be under way, and the record makes its write fail.
+		// A release is recorded even if its claim is absent: the claim may still be on
+		// its way to the store, and the record makes its write fail.
 		return Decision{Verdict: Done}, own || !o.isReleased(op.Token)
 	}
 }
 
-func (o *overlay) decideClaim(op Op, entry indexEntry, ok bool) (decision Decision, needed bool) {
+func (o *overlay) decideClaim(op Op, entry indexEntry, exists bool) (decision Decision, needsRecord bool) {
 	if o.isReleased(op.Token) {
 		return Decision{Verdict: TokenReleased}, false
 	}
-	if !ok {
+	if !exists {
 		return Decision{Verdict: Granted, Token: op.Token, Holder: op.Holder}, true
 	}
 	decision = Decision{
@@ -78,7 +79,7 @@
 	return decision, false
 }
 
-// apply takes a record that is about to be written.
+// apply adds the changes of a record that is about to be written.
 func (o *overlay) apply(r *StoredRecord, segment uint64) {
 	id, token := ID(r.Id), Token(r.Token)
 	if r.Op != RecordOp_RECORD_OP_RELEASE {
@@ -97,7 +98,7 @@
 	}
 }
 
-// commit makes the changes part of the shard.
+// commit applies the changes to the shard.
 func (o *overlay) commit() {
 	for id := range o.removed {
 		delete(o.shard.index, id)
@@ -110,8 +111,8 @@
 	}
 }
 
-// apply takes a record that is in the store. Its writer checked it against the
-// chain, so that it holds without another check.
+// apply applies a record from the store. It isn't checked again, because its writer
+// checked it against the chain.
 func (s *Shard) apply(r *StoredRecord, segment uint64) {
 	o := newOverlay(s)
 	o.apply(r, segment)
@@ -129,13 +130,14 @@
 	}
 }
 
-// nameIndex stands for a holder or an outcome in the index of claims.
+// nameIndex is the index of a holder or outcome in a nameTable.
 type nameIndex uint32
 
-// noName stands for the empty string.
+// noName is the index of the empty string.
 const noName nameIndex = 0
 
-// nameTable holds each name once.
+// nameTable interns the names of holders and outcomes, so that index entries hold
+// no strings.
 type nameTable struct {
 	names   []string
 	indexes map[string]nameIndex
--- a/claim/segment.go
+++ b/claim/segment.go
@@ -8,20 +8,21 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Sizes of stored values. A segment is rewritten by each append, so a small one
-// keeps the bytes sent low, and a large one the number of segments.
+// Sizes of stored values. Each append rewrites the whole newest segment: small
+// segments reduce the bytes sent, large ones reduce the number of segments.
 const (
-	// SealSegmentBytes is the size at which a segment is sealed.
+	// SealSegmentBytes is the size from which a segment is sealed.
 	SealSegmentBytes = 16 << 10
-	// MaxBatchBytes bounds the records of one append. A full segment and a batch
-	// stay below the store's limit of 1 MB.
+	// MaxBatchBytes bounds the records of one append. A segment that is nearly full
+	// and a batch together stay below the store's limit of 1 MB for a value.
 	MaxBatchBytes = 256 << 10
 )
 
-// sealEncoding is the encoding of a segment that holds the seal alone.
+// sealEncoding is the encoding of a StoredSegment in which only the field sealed is
+// set. Appended to an encoded segment, it seals the segment.
 var sealEncoding = protowire.AppendVarint(protowire.AppendTag(nil, sealedField, protowire.VarintType), 1)
 
-// sealedField is the number of the field sealed in claim.proto.
+// sealedField is the number of the field StoredSegment.sealed in claim.proto.
 const sealedField = 2
 
 // Segment is one stored value of the chain.
@@ -35,7 +36,7 @@
 func mustEncodeSegment(segment *StoredSegment) []byte {
 	data, err := proto.Marshal(segment)
 	if err != nil {
-		// Only invalid UTF-8 in a string field is refused.
+		// Only invalid UTF-8 in a string field makes Marshal fail.
 		panic("claim: encode segment: " + err.Error())
 	}
 	return data
@@ -49,7 +50,7 @@
 	return &stored, nil
 }
 
-// newStoredRecord returns the stored form of an operation.
+// newStoredRecord returns the record to store for an operation at a time.
 func newStoredRecord(op Op, now time.Time) *StoredRecord {
 	stored := &StoredRecord{
 		Op:          RecordOp(op.Kind),
@@ -61,8 +62,8 @@
 	if op.Kind == OpRelease {
 		return stored
 	}
-	// A finish repeats body and holder, because the segment with the claim may be
-	// deleted before it.
+	// A finish repeats the body's digest and the holder, because the segment with
+	// the claim may be deleted before the one with the finish.
 	stored.Body = op.BodySHA256[:]
 	stored.Holder = op.Holder
 	if op.Kind == OpFinish {
@@ -73,15 +74,16 @@
 	return stored
 }
 
-// Answer is the record of a finished claim.
+// Answer is the recorded answer of a finished claim.
 type Answer struct {
 	Outcome string
-	// Body is the whole answer; nil when only its digest is recorded.
+	// Body is the answer in full, or nil if only its digest is recorded.
 	Body   []byte
 	SHA256 Digest
 }
 
-// FindAnswer returns the recorded answer of a token from its segment.
+// FindAnswer returns the recorded answer of a token from a segment, and whether the
+// segment has one.
 func FindAnswer(segment Segment, token Token) (Answer, bool, error) {
 	stored, err := decodeSegment(segment)
 	if err != nil {
@@ -95,7 +97,8 @@
 	return Answer{}, false, nil
 }
 
-// valid reports whether the fixed-size fields have their sizes.
+// valid reports whether the operation is known and its fixed-size fields have the
+// right length.
 func (r *StoredRecord) valid() bool {
 	if len(r.Id) != len(ID{}) || len(r.Token) != len(Token{}) {
 		return false
@@ -111,19 +114,19 @@
 	return false
 }
 
-// EncodeOp returns an operation in the form of a record, for other instances.
+// EncodeOp encodes an operation for another instance, in the form of a record.
 func EncodeOp(op Op) ([]byte, error) {
 	return proto.Marshal(newStoredRecord(op, time.UnixMilli(0)))
 }
 
-// DecodeOp reads what EncodeOp returned.
+// DecodeOp decodes an operation that EncodeOp encoded.
 func DecodeOp(data []byte) (Op, error) {
 	var r StoredRecord
 	if err := proto.Unmarshal(data, &r); err != nil {
 		return Op{}, fmt.Errorf("claim operation: %w", err)
 	}
 	if !r.valid() {
-		return Op{}, fmt.Errorf("claim operation %v has fields of a wrong size", r.Op)
+		return Op{}, fmt.Errorf("claim operation %v is unknown or has a field of the wrong length", r.Op)
 	}
 	op := Op{
 		Kind: OpKind(r.Op), ID: ID(r.Id), Token: Token(r.Token), Holder: r.Holder,
--- a/claim/shard.go
+++ b/claim/shard.go
@@ -8,41 +8,41 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// ErrGap reports segments that do not continue what the shard has loaded. The
-// adapter resets the shard and loads all segments.
+// ErrGap reports that the segments passed to Load don't continue the chain that the
+// shard has loaded. The adapter then resets the shard and loads all segments.
 var ErrGap = errors.New("claim segments do not continue the loaded chain")
 
-// DeletionMargin is how long a segment outlives its last record, so that clocks
-// of instances that differ by less do not matter.
+// DeletionMargin is how long a segment is kept after its last record has expired.
+// It tolerates clocks of instances that differ by less.
 const DeletionMargin = time.Minute
 
-// indexEntry is the index entry of a key. It has no pointers, so that the garbage
-// collector does not scan the index.
+// indexEntry is the entry of a claim in the index. It has no pointers, so that the
+// garbage collector doesn't scan the index.
 type indexEntry struct {
 	token      Token
 	bodySHA256 Digest
-	expires    int64 // milliseconds since 1970
+	expires    int64 // Unix time in milliseconds
 	segment    uint64
 	holder     nameIndex
-	outcome    nameIndex // noName while the attempt runs
+	outcome    nameIndex // noName until the attempt finishes
 }
 
-// segmentInfo is what the shard knows of a stored segment.
+// segmentInfo describes a stored segment of the chain.
 type segmentInfo struct {
 	number  uint64
 	version int64
-	expires int64 // milliseconds since 1970, of the last record to expire
+	expires int64 // expiry of the last record to expire, Unix time in milliseconds
 	records int
 	sealed  bool
 }
 
 // Shard is the index of one shard's claims and the state of its chain. Times are
-// of the wall clock, because records outlive processes. It is not safe for
+// read from the wall clock, because records outlive processes. It is not safe for
 // concurrent use.
 type Shard struct {
 	index map[ID]indexEntry
-	// releasedTokens holds the tokens of releases until they expire, so that a delayed
-	// claim with such a token is not granted.
+	// releasedTokens holds the tokens of releases with their expiry (Unix time in
+	// milliseconds), so that a delayed claim with such a token is not granted.
 	releasedTokens map[Token]int64
 	names          nameTable
 	segments       []segmentInfo
@@ -51,7 +51,7 @@
 	pending        *pendingWrite
 }
 
-// pendingWrite is a write that was handed out and not settled.
+// pendingWrite is a write that PrepareAppend returned and that is not committed yet.
 type pendingWrite struct {
 	write   Write
 	overlay *overlay
@@ -65,15 +65,15 @@
 	return s
 }
 
-// Reset forgets everything.
+// Reset drops the index and the chain, as in a new shard.
 func (s *Shard) Reset() {
 	*s = Shard{index: map[ID]indexEntry{}, releasedTokens: map[Token]int64{}}
 }
 
-// Len returns the number of keys in the index.
+// Len returns the number of claims in the index.
 func (s *Shard) Len() int { return len(s.index) }
 
-// TailNumber returns the number of the newest segment, 0 for none.
+// TailNumber returns the number of the newest segment, or 0 without segments.
 func (s *Shard) TailNumber() uint64 {
 	if len(s.segments) == 0 {
 		return 0
@@ -81,7 +81,8 @@
 	return s.tail().number
 }
 
-// TailVersion returns the store's version of the newest segment, 0 for none.
+// TailVersion returns the store's version of the newest segment, or 0 without
+// segments.
 func (s *Shard) TailVersion() int64 {
 	if len(s.segments) == 0 {
 		return 0
@@ -96,31 +97,32 @@
 // Write is a compare-and-swap of one segment.
 type Write struct {
 	Segment Segment
-	// ExpectedVersion is the version to replace, 0 to create the segment.
+	// ExpectedVersion is the version to replace, or 0 to create the segment.
 	ExpectedVersion int64
 	Records         int
 	sealed          bool
 }
 
-// PrepareAppend decides on operations in order and prepares one write with the records
-// they need. The decisions hold once the write succeeded; a write without
-// records needs none, but its decisions hold only if the tail has not changed.
-// It takes as many operations as BatchBytes allows, at least one.
+// PrepareAppend decides on operations in order and prepares one write with their
+// records. It returns a decision for each operation that it took: as many as
+// MaxBatchBytes allows, at least one. The decisions hold once the write has
+// succeeded. A write without records need not be carried out, but its decisions
+// hold only if the newest segment has not changed in the store.
 func (s *Shard) PrepareAppend(now time.Time, ops []Op) (Write, []Decision) {
-	over := newOverlay(s)
+	changes := newOverlay(s)
 	var added StoredSegment
 	var decisions []Decision
 	size := 0
 	number, expect, data := s.nextSegment()
 	expires := int64(0)
 	for _, op := range ops {
-		decision, needed := over.decide(now, op)
-		if needed {
+		decision, needsRecord := changes.decide(now, op)
+		if needsRecord {
 			r := newStoredRecord(op, now)
 			if size += proto.Size(r); size > MaxBatchBytes && len(decisions) > 0 {
 				break
 			}
-			over.apply(r, number)
+			changes.apply(r, number)
 			added.Records = append(added.Records, r)
 			expires = max(expires, r.AtMs+r.RetentionMs)
 		}
@@ -133,11 +135,12 @@
 		write.sealed = true
 	}
 	write.Segment = Segment{Number: number, Data: data}
-	s.pending = &pendingWrite{write: write, overlay: over, expires: expires}
+	s.pending = &pendingWrite{write: write, overlay: changes, expires: expires}
 	return write, decisions
 }
 
-// nextSegment returns the segment that the nextSegment append writes.
+// nextSegment returns the number, the expected version and the current data of the
+// segment that the next append writes.
 func (s *Shard) nextSegment() (number uint64, expect int64, data []byte) {
 	if len(s.segments) == 0 {
 		return 1, 0, nil
@@ -148,7 +151,8 @@
 	return s.tail().number + 1, 0, nil
 }
 
-// CommitWrite settles the write of the last Append, which has the given version.
+// CommitWrite reports that the write of the last PrepareAppend succeeded and that
+// the segment now has the given version. It applies the changes to the shard.
 func (s *Shard) CommitWrite(version int64) {
 	p := s.pending
 	s.pending = nil
@@ -164,11 +168,11 @@
 	s.tailData = p.write.Segment.Data
 }
 
-// Load takes segments in order. The first call takes all segments of the store,
-// later ones the segments from Tail on. It returns ErrGap when they do not
-// continue the chain. Segments before a gap in the numbers, or not sealed although
-// others follow, are orphans: writes of an instance that woke up after its segment had been
-// deleted.
+// Load loads stored segments, which are sorted by number. The first call takes all
+// segments of the shard, later calls those from TailNumber on. It returns ErrGap if
+// they don't continue the chain. Segments up to a gap in the numbers, or up to one
+// that is not sealed although others follow, are orphans: an instance that was
+// paused wrote them after its segment had been deleted.
 func (s *Shard) Load(segments []Segment) error {
 	s.pending = nil
 	stored := make([]*StoredSegment, len(segments))
@@ -226,11 +230,13 @@
 	return nil
 }
 
-// Orphans returns segments that are not part of the chain and may be deleted.
+// Orphans returns the segments of the first Load that are not part of the chain and
+// may be deleted.
 func (s *Shard) Orphans() []Segment { return s.orphans }
 
-// ExpiredSegment returns the oldest segment if all its records have expired. The newest
-// segment is kept, because it holds the number that the chain has reached.
+// ExpiredSegment returns the oldest segment if all its records have expired. The
+// newest segment never expires, because it holds the number that the chain has
+// reached.
 func (s *Shard) ExpiredSegment(now time.Time) (Segment, bool) {
 	if len(s.segments) < 2 {
 		return Segment{}, false
@@ -242,14 +248,15 @@
 	return Segment{Number: oldest.number, Version: oldest.version}, true
 }
 
-// SegmentDeleted reports that the oldest segment is gone, if it has the given number.
+// SegmentDeleted reports that a segment was deleted from the store. It drops the
+// oldest segment if that has the given number.
 func (s *Shard) SegmentDeleted(number uint64) {
 	if len(s.segments) > 1 && s.segments[0].number == number {
 		s.segments = s.segments[1:]
 	}
 }
 
-// PurgeExpired drops expired keys from memory.
+// PurgeExpired drops expired claims and released tokens from memory.
 func (s *Shard) PurgeExpired(now time.Time) {
 	for id, entry := range s.index {
 		if entry.expires <= now.UnixMilli() {
--- a/claim/shard_test.go
+++ b/claim/shard_test.go
@@ -12,7 +12,8 @@
 	_ "github.com/coltsfootdrift/coltsfootdrift/internal/fixedseed"
 )
 
-// storeModel is the store and what the records in it mean, kept apart from Shard.
+// storeModel holds the stored segments of one shard and the claims that the written
+// records imply, computed without Shard.
 type storeModel struct {
 	segments map[uint64]Segment
 	version  int64
@@ -20,14 +21,15 @@
 	claims   map[ID]modelClaim
 }
 
+// modelClaim is the claim of a key in a storeModel.
 type modelClaim struct {
 	token    Token
 	finished bool
 	expires  time.Time
 }
 
-func (w *storeModel) list(from uint64) (list []Segment) {
-	for number, segment := range w.segments {
+func (model *storeModel) list(from uint64) (list []Segment) {
+	for number, segment := range model.segments {
 		if number >= from {
 			list = append(list, segment)
 		}
@@ -36,99 +38,100 @@
 	return list
 }
 
-func (w *storeModel) swap(write Write) bool {
-	if w.segments[write.Segment.Number].Version != write.ExpectedVersion {
+func (model *storeModel) compareAndSwap(write Write) bool {
+	if model.segments[write.Segment.Number].Version != write.ExpectedVersion {
 		return false
 	}
-	w.version++
-	write.Segment.Version = w.version
-	w.segments[write.Segment.Number] = write.Segment
+	model.version++
+	write.Segment.Version = model.version
+	model.segments[write.Segment.Number] = write.Segment
 	return true
 }
 
-// check compares a decision that holds now with the model and applies it.
-func (w *storeModel) check(t *rapid.T, op Op, decision Decision) {
-	current, ok := w.claims[op.ID]
-	ok = ok && current.expires.After(w.now)
+// check fails the test if the model doesn't allow a decision that holds now, and
+// applies the decision to the model.
+func (model *storeModel) check(t *rapid.T, op Op, decision Decision) {
+	current, ok := model.claims[op.ID]
+	ok = ok && current.expires.After(model.now)
 	own := ok && current.token == op.Token
-	legal := false
+	allowed := false
 	switch decision.Verdict {
 	case Granted:
-		legal = !ok || own && !current.finished
+		allowed = !ok || own && !current.finished
 		if !ok {
-			w.claims[op.ID] = modelClaim{token: op.Token, expires: w.now.Add(op.Retention)}
+			model.claims[op.ID] = modelClaim{token: op.Token, expires: model.now.Add(op.Retention)}
 		}
 	case Running:
-		legal = ok && !own && !current.finished && decision.Token == current.token
+		allowed = ok && !own && !current.finished && decision.Token == current.token
 	case AlreadyFinished:
-		legal = ok && current.finished && decision.Token == current.token
+		allowed = ok && current.finished && decision.Token == current.token
 	case NotHeld:
-		legal = !own || op.Kind == OpRelease && current.finished
+		allowed = !own || op.Kind == OpRelease && current.finished
 	case Done:
-		legal = own || op.Kind == OpRelease
+		allowed = own || op.Kind == OpRelease
 		if op.Kind == OpRelease && own {
-			delete(w.claims, op.ID)
+			delete(model.claims, op.ID)
 		} else if op.Kind == OpFinish && !current.finished {
-			w.claims[op.ID] = modelClaim{token: op.Token, finished: true, expires: w.now.Add(op.Retention)}
+			model.claims[op.ID] = modelClaim{token: op.Token, finished: true, expires: model.now.Add(op.Retention)}
 		}
 	case TokenReleased:
-		legal = true
+		allowed = true
 	}
-	if !legal {
+	if !allowed {
 		t.Fatalf("verdict %d on operation %d, but the key has %+v (live: %v)", decision.Verdict, op.Kind, current, ok)
 	}
 }
 
-// Guards against a key that is granted twice, a record that is lost,
-// and an index that differs from the chain: with appenders that have old state,
-// writes whose answer is lost, sealing, expiry and deletion of segments.
-func TestAppendersWithOldStateKeepClaimsUnique(t *testing.T) {
+// Guards against a key that is granted twice, a lost record, and an index that
+// differs from the chain. Several appenders with outdated state write to one chain,
+// results of writes are lost, and segments are sealed, expire and are deleted.
+func TestAppendersWithOutdatedStateKeepClaimsUnique(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &storeModel{segments: map[uint64]Segment{}, now: time.Unix(1000, 0), claims: map[ID]modelClaim{}}
+		model := &storeModel{segments: map[uint64]Segment{}, now: time.Unix(1000, 0), claims: map[ID]modelClaim{}}
 		shards := []*Shard{NewShard(), NewShard(), NewShard()}
-		viewAt := map[*Shard]time.Time{}
+		loadedAt := map[*Shard]time.Time{}
 		for range rapid.IntRange(20, 120).Draw(t, "steps") {
 			shard := rapid.SampledFrom(shards).Draw(t, "shard")
 			if rapid.IntRange(0, 9).Draw(t, "restart") == 0 {
 				shard.Reset()
 			}
-			// An adapter reads again when its view is 10 s old.
-			if w.now.Sub(viewAt[shard]) >= 10*time.Second || shard.TailNumber() == 0 || rapid.Bool().Draw(t, "refresh") {
-				viewAt[shard] = w.now
-				if shard.Load(w.list(shard.TailNumber())) != nil {
+			// An adapter reloads its state when it is 10 s old.
+			if model.now.Sub(loadedAt[shard]) >= 10*time.Second || shard.TailNumber() == 0 || rapid.Bool().Draw(t, "refresh") {
+				loadedAt[shard] = model.now
+				if shard.Load(model.list(shard.TailNumber())) != nil {
 					shard.Reset()
-					if err := shard.Load(w.list(0)); err != nil {
+					if err := shard.Load(model.list(0)); err != nil {
 						t.Fatal(err)
 					}
 				}
-				if oldest, ok := shard.ExpiredSegment(w.now); ok && w.segments[oldest.Number].Version == oldest.Version {
-					delete(w.segments, oldest.Number)
+				if oldest, ok := shard.ExpiredSegment(model.now); ok && model.segments[oldest.Number].Version == oldest.Version {
+					delete(model.segments, oldest.Number)
 					shard.SegmentDeleted(oldest.Number)
 				}
 			}
 			ops := drawOps(t)
-			write, decisions := shard.PrepareAppend(w.now, ops)
+			write, decisions := shard.PrepareAppend(model.now, ops)
 			if write.Records == 0 {
-				if stored := w.list(0); len(stored) > 0 && stored[len(stored)-1].Version == shard.TailVersion() {
-					w.checkAll(t, ops, decisions)
+				if stored := model.list(0); len(stored) > 0 && stored[len(stored)-1].Version == shard.TailVersion() {
+					model.checkAll(t, ops, decisions)
 				}
 				continue
 			}
-			if !w.swap(write) {
+			if !model.compareAndSwap(write) {
 				continue
 			}
-			w.checkAll(t, ops, decisions)
+			model.checkAll(t, ops, decisions)
 			if rapid.Bool().Draw(t, "answer arrives") {
-				shard.CommitWrite(w.version)
+				shard.CommitWrite(model.version)
 			}
-			w.now = w.now.Add(time.Duration(rapid.SampledFrom([]int{0, 0, 1, 5, 30, 60}).Draw(t, "seconds")) * time.Second)
+			model.now = model.now.Add(time.Duration(rapid.SampledFrom([]int{0, 0, 1, 5, 30, 60}).Draw(t, "seconds")) * time.Second)
 		}
 	})
 }
 
-func (w *storeModel) checkAll(t *rapid.T, ops []Op, decisions []Decision) {
+func (model *storeModel) checkAll(t *rapid.T, ops []Op, decisions []Decision) {
 	for i, decision := range decisions {
-		w.check(t, ops[i], decision)
+		model.check(t, ops[i], decision)
 	}
 }
 
@@ -139,7 +142,7 @@
 			Kind:  OpKind(rapid.IntRange(1, 3).Draw(t, "kind")),
 			ID:    ID{0, byte(rapid.IntRange(1, 3).Draw(t, "key"))},
 			Token: Token{byte(rapid.IntRange(1, 12).Draw(t, "token"))},
-			// A long name fills segments with few operations.
+			// A long name fills a segment with few operations.
 			Holder:    strings.Repeat("h", 8<<10),
 			Retention: 2 * time.Minute,
 		}
@@ -151,8 +154,8 @@
 }
 
 // Guards against an answer that is recorded for another token, and against a
-// finish that is unreadable once the segment with its claim was deleted.
-func TestFinishStandsWithoutItsClaim(t *testing.T) {
+// finish that can't be read after the segment with its claim was deleted.
+func TestFinishIsReadableWithoutItsClaim(t *testing.T) {
 	c := qt.New(t)
 	s, now := NewShard(), time.Unix(1000, 0)
 	op := Op{Kind: OpClaim, ID: ID{1}, Token: Token{1}, BodySHA256: Digest{1}, Holder: "a", Retention: time.Hour}
@@ -174,8 +177,8 @@
 	c.Assert(string(answer.Body), qt.Equals, "x")
 }
 
-// Guards against a claim that was delayed on its way to the appender and takes
-// the key after its release.
+// Guards against a claim that reaches the appender after the release of its token
+// and is granted.
 func TestDelayedClaimAfterItsReleaseIsNotGranted(t *testing.T) {
 	c := qt.New(t)
 	s, now := NewShard(), time.Unix(1000, 0)
@@ -187,8 +190,8 @@
 	c.Assert(decisions[0].Verdict, qt.Equals, TokenReleased)
 }
 
-// Guards against a chain whose numbers start again: an instance that still has
-// the last sealed segment in view would go on after it beside the new chain.
+// Guards against a chain whose segment numbers start again at 1: an instance that
+// has loaded the last sealed segment would continue after it, beside the new chain.
 func TestNewestSegmentIsKept(t *testing.T) {
 	c := qt.New(t)
 	s, now := NewShard(), time.Unix(1000, 0)
