--- a/internal/capacity/gossip.go
+++ b/internal/capacity/gossip.go
@@ -59,7 +59,7 @@
 		Incarnation: uint64(g.now.Unix()),
 	}
 	state := membership.New(identity, rand.New(rand.NewPCG(g.random.Uint64(), g.random.Uint64())), g.now)
-	state.SetCounts(sampleCounts())
+	state.SetInFlightCounts(sampleCounts())
 	state.SetDemand(sampleDemand(n))
 	state.SetStragglers([]membership.Straggler{{Server: "backend-server-0007", Remaining: time.Hour}})
 	g.nodes[identity.Address] = state
@@ -73,7 +73,7 @@
 		candidates = append(candidates, membership.Candidate{FailureDomain: self.FailureDomain, Address: self.Address})
 	}
 	for _, state := range g.nodes {
-		state.Hint(candidates)
+		state.SetCandidates(candidates)
 	}
 }
 
@@ -93,10 +93,10 @@
 	g.hint()
 }
 
-func sampleCounts() []membership.Count {
-	var counts []membership.Count
+func sampleCounts() []membership.InFlightCount {
+	var counts []membership.InFlightCount
 	for i := range 56 {
-		counts = append(counts, membership.Count{Server: fmt.Sprintf("backend-server-%04d", i), InFlight: i})
+		counts = append(counts, membership.InFlightCount{Server: fmt.Sprintf("backend-server-%04d", i), InFlight: i})
 	}
 	return counts
 }
@@ -123,7 +123,7 @@
 			used := g.sent[state.Self().Address]
 			g.sent[state.Self().Address] = traffic{used.messages + 1, used.bytes + len(data) + datagramHeader}
 			g.queue = append(g.queue, datagram{out.Address, data})
-		case membership.RevisionHeard:
+		case membership.NewRevision:
 			if err := g.emit(state, state.SetRevision(out.Revision, false)); err != nil {
 				return err
 			}
@@ -226,8 +226,8 @@
 	}
 	wrong := 0
 	for _, state := range members {
-		right := len(state.Live()) == len(members)
-		for _, record := range state.Live() {
+		right := len(state.LiveMembers()) == len(members)
+		for _, record := range state.LiveMembers() {
 			_, running := g.nodes[record.Address]
 			right = right && running
 		}
--- a/internal/entry/configuration.go
+++ b/internal/entry/configuration.go
@@ -88,9 +88,9 @@
 	if members.Node != nil {
 		members.Node.Observe(func(output membership.Output) {
 			switch output.(type) {
-			case membership.RevisionHeard:
+			case membership.NewRevision:
 				loader.Wake()
-			case membership.Changed:
+			case membership.MemberChanged:
 				access.setInstances(members.Instances())
 			}
 		})
--- a/internal/entry/gossip.go
+++ b/internal/entry/gossip.go
@@ -83,11 +83,11 @@
 // observe takes what other instances report.
 func (g *gossip) observe(output membership.Output) {
 	switch out := output.(type) {
-	case membership.DrainLearned:
+	case membership.NewDrainMarker:
 		g.drain(out.Marker)
-	case membership.CountsHeard:
+	case membership.InFlightCountsReceived:
 		g.heard(out)
-	case membership.Changed:
+	case membership.MemberChanged:
 		if out.Record.State >= membership.Removed {
 			g.forget(out.Record.ID)
 		}
@@ -106,7 +106,7 @@
 
 // heard merges the counts of a peer, of which a heartbeat may hold a part, and
 // passes them on.
-func (g *gossip) heard(out membership.CountsHeard) {
+func (g *gossip) heard(out membership.InFlightCountsReceived) {
 	now := time.Now()
 	g.mu.Lock()
 	known := g.counts[out.Instance]
@@ -193,16 +193,16 @@
 
 // report gives the own requests in flight to membership.
 func (g *gossip) report() {
-	var counts []membership.Count
+	var counts []membership.InFlightCount
 	load := 0
 	for _, pool := range g.servers.Counts() {
 		for _, count := range pool {
-			counts = append(counts, membership.Count{Server: count.ID, InFlight: count.InFlight, Long: count.Long})
+			counts = append(counts, membership.InFlightCount{Server: count.ID, InFlight: count.InFlight, Long: count.Long})
 			load += count.InFlight
 		}
 	}
 	g.members.Do(func(s *membership.State) []membership.Output {
-		s.SetCounts(counts)
+		s.SetInFlightCounts(counts)
 		s.SetLoad(load)
 		return nil
 	})
--- a/internal/entry/gossip_test.go
+++ b/internal/entry/gossip_test.go
@@ -60,7 +60,7 @@
 		id := string(rune('a' + i))
 		f.shares = append(f.shares, quota.NewShare())
 		f.states = append(f.states, membership.New(membership.Identity{ID: id, FailureDomain: "d", Address: id, Incarnation: 1}, rand.New(rand.NewPCG(uint64(i), 1)), f.now))
-		f.states[i].Hint([]membership.Candidate{{FailureDomain: "d", Address: "a"}})
+		f.states[i].SetCandidates([]membership.Candidate{{FailureDomain: "d", Address: "a"}})
 	}
 	return f
 }
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -60,7 +60,7 @@
 	live := []string{m.entry.Instance}
 	m.View(func(s *membership.State) {
 		live = live[:0]
-		for _, record := range s.Live() {
+		for _, record := range s.LiveMembers() {
 			live = append(live, record.ID)
 		}
 	})
@@ -70,7 +70,7 @@
 // others returns the peer addresses of the other live members of the failure domain.
 func (m *Members) others() (addresses []string) {
 	m.View(func(s *membership.State) {
-		for _, record := range s.Live() {
+		for _, record := range s.LiveMembers() {
 			if record.ID != m.entry.Instance && record.State == membership.Alive {
 				addresses = append(addresses, record.Address)
 			}
@@ -82,14 +82,14 @@
 // Instances returns the number of live instances in all failure domains.
 func (m *Members) Instances() int {
 	n := 1
-	m.View(func(s *membership.State) { n = s.Instances(time.Now()) })
+	m.View(func(s *membership.State) { n = s.InstanceCount(time.Now()) })
 	return n
 }
 
 // Seeds returns addresses of other instances: those that are known to hold a
 // configuration, those of the settings and those of the instance list.
 func (m *Members) Seeds() (seeds []string) {
-	m.View(func(s *membership.State) { seeds = append(s.Holders(1), s.Candidates()...) })
+	m.View(func(s *membership.State) { seeds = append(s.AddressesWithRevision(1), s.Candidates()...) })
 	slices.Sort(seeds)
 	return slices.Compact(seeds)
 }
@@ -102,7 +102,7 @@
 
 // Holders returns addresses of instances that have at least a revision.
 func (m *Members) Holders(revision int64) (holders []string) {
-	m.View(func(s *membership.State) { holders = s.Holders(revision) })
+	m.View(func(s *membership.State) { holders = s.AddressesWithRevision(revision) })
 	return holders
 }
 
@@ -130,7 +130,7 @@
 		}
 	}
 	m.Do(func(s *membership.State) []membership.Output {
-		s.Hint(candidates)
+		s.SetCandidates(candidates)
 		return nil
 	})
 }
@@ -207,7 +207,7 @@
 	var status peersStatus
 	m.View(func(s *membership.State) {
 		now := time.Now()
-		for _, r := range s.Live() {
+		for _, r := range s.LiveMembers() {
 			status.Members = append(status.Members, memberStatus{r.ID, r.Address, r.State.String(), r.Load, r.Revision})
 		}
 		for _, d := range s.Summaries(now) {
--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -93,10 +93,10 @@
 func (c *Cluster) anyPeer() string {
 	var known []string
 	c.node.View(func(s *membership.State) {
-		for _, record := range s.Live() {
+		for _, record := range s.LiveMembers() {
 			known = append(known, record.Address)
 		}
-		known = append(known, s.Holders(1)...)
+		known = append(known, s.AddressesWithRevision(1)...)
 		if len(known) < 2 {
 			known = append(known, s.Candidates()...)
 		}
@@ -123,7 +123,7 @@
 // Instances returns the number of live instances.
 func (c *Cluster) Instances() int {
 	n := 1
-	c.node.View(func(s *membership.State) { n = max(1, s.Instances(time.Now())) })
+	c.node.View(func(s *membership.State) { n = max(1, s.InstanceCount(time.Now())) })
 	return n
 }
 
@@ -151,7 +151,7 @@
 		c.mu.Unlock()
 	}
 	c.node.View(func(s *membership.State) {
-		for _, record := range s.Live() {
+		for _, record := range s.LiveMembers() {
 			if record.State == membership.Alive && record.ID != c.settings.Instance {
 				addresses[record.ID] = record.Address
 			}
@@ -282,7 +282,7 @@
 		}
 	}
 	c.node.Do(func(s *membership.State) []membership.Output {
-		s.Hint(candidates)
+		s.SetCandidates(candidates)
 		return nil
 	})
 }
--- a/internal/gateway/daemon.go
+++ b/internal/gateway/daemon.go
@@ -162,7 +162,7 @@
 	d.Views.Observe(d.Caller.Update)
 	d.Views.Observe(d.Front.Update)
 	d.Node.Observe(func(output membership.Output) {
-		if heard, ok := output.(membership.RevisionHeard); ok {
+		if heard, ok := output.(membership.NewRevision); ok {
 			d.Views.Heard(store.Version(heard.Revision), heard.Address)
 		}
 	})
--- a/internal/peer/advertise_test.go
+++ b/internal/peer/advertise_test.go
@@ -18,5 +18,5 @@
 	node, err := ListenAt("127.0.0.1:0", identity, slog.New(slog.DiscardHandler), tally.NoopScope)
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() { c.Check(node.conn.Close(), qt.IsNil) })
-	node.View(func(s *membership.State) { c.Check(s.Live()[0].Address, qt.Equals, "192.0.2.1:7000") })
+	node.View(func(s *membership.State) { c.Check(s.LiveMembers()[0].Address, qt.Equals, "192.0.2.1:7000") })
 }
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -15,19 +15,19 @@
 // Encode returns the datagram of a message.
 func Encode(m membership.Message) ([]byte, error) {
 	heartbeat := &peerpb.Heartbeat{From: encodeRecord(m.From), Urgent: m.Urgent}
-	for _, b := range m.Beats {
-		heartbeat.BeatHashes = append(heartbeat.BeatHashes, b.Hash)
+	for _, b := range m.HeartbeatCounters {
+		heartbeat.BeatHashes = append(heartbeat.BeatHashes, b.IDHash)
 		heartbeat.BeatIncarnations = append(heartbeat.BeatIncarnations, b.Incarnation)
 		heartbeat.BeatCounters = append(heartbeat.BeatCounters, b.Counter)
 	}
 	heartbeat.Records = encodeList(m.Records, encodeRecord)
-	heartbeat.Drains = encodeList(m.Drains, func(d membership.DrainMarker) *peerpb.DrainMarker {
+	heartbeat.Drains = encodeList(m.DrainMarkers, func(d membership.DrainMarker) *peerpb.DrainMarker {
 		return &peerpb.DrainMarker{Server: d.Server, Incarnation: d.Incarnation, Cleared: d.Cleared, RemainingMs: d.Remaining.Milliseconds()}
 	})
 	heartbeat.Stragglers = encodeList(m.Stragglers, func(s membership.Straggler) *peerpb.Straggler {
 		return &peerpb.Straggler{Server: s.Server, RemainingMs: s.Remaining.Milliseconds()}
 	})
-	heartbeat.Counts = encodeList(m.Counts, func(c membership.Count) *peerpb.Count {
+	heartbeat.Counts = encodeList(m.InFlightCounts, func(c membership.InFlightCount) *peerpb.Count {
 		return &peerpb.Count{Server: c.Server, InFlight: int64(c.InFlight), Long: int64(c.Long)}
 	})
 	heartbeat.Demand = encodeList(m.Demand, encodeDemand)
@@ -59,7 +59,7 @@
 	return &peerpb.Demand{Organisation: d.Organisation, MilliPerSecond: d.MilliPerSecond}
 }
 
-func encodeSummary(s membership.Summary) *peerpb.Summary {
+func encodeSummary(s membership.DomainSummary) *peerpb.Summary {
 	return &peerpb.Summary{FailureDomain: s.FailureDomain, Members: int64(s.Members), Load: int64(s.Load), Revision: s.Revision,
 		AgeMs: s.Age.Milliseconds(), Demand: encodeList(s.Demand, encodeDemand),
 		Contacts: encodeList(s.Contacts, func(c membership.Contact) *peerpb.Contact {
@@ -81,17 +81,17 @@
 	}
 	m := membership.Message{From: decodeRecord(h.From), Urgent: h.Urgent}
 	for i, hash := range h.BeatHashes {
-		m.Beats = append(m.Beats, membership.Beat{Hash: hash, Incarnation: h.BeatIncarnations[i], Counter: h.BeatCounters[i]})
+		m.HeartbeatCounters = append(m.HeartbeatCounters, membership.HeartbeatCounter{IDHash: hash, Incarnation: h.BeatIncarnations[i], Counter: h.BeatCounters[i]})
 	}
 	m.Records = encodeList(h.Records, decodeRecord)
-	m.Drains = encodeList(h.Drains, func(d *peerpb.DrainMarker) membership.DrainMarker {
+	m.DrainMarkers = encodeList(h.Drains, func(d *peerpb.DrainMarker) membership.DrainMarker {
 		return membership.DrainMarker{Server: d.GetServer(), Incarnation: d.GetIncarnation(), Cleared: d.GetCleared(), Remaining: millis(d.GetRemainingMs())}
 	})
 	m.Stragglers = encodeList(h.Stragglers, func(s *peerpb.Straggler) membership.Straggler {
 		return membership.Straggler{Server: s.GetServer(), Remaining: millis(s.GetRemainingMs())}
 	})
-	m.Counts = encodeList(h.Counts, func(c *peerpb.Count) membership.Count {
-		return membership.Count{Server: c.GetServer(), InFlight: int(c.GetInFlight()), Long: int(c.GetLong())}
+	m.InFlightCounts = encodeList(h.Counts, func(c *peerpb.Count) membership.InFlightCount {
+		return membership.InFlightCount{Server: c.GetServer(), InFlight: int(c.GetInFlight()), Long: int(c.GetLong())}
 	})
 	m.Demand = encodeList(h.Demand, decodeDemand)
 	m.Summaries = encodeList(h.Summaries, decodeSummary)
@@ -113,8 +113,8 @@
 	return membership.Demand{Organisation: d.GetOrganisation(), MilliPerSecond: d.GetMilliPerSecond()}
 }
 
-func decodeSummary(s *peerpb.Summary) membership.Summary {
-	return membership.Summary{FailureDomain: s.GetFailureDomain(), Members: int(s.GetMembers()), Load: int(s.GetLoad()),
+func decodeSummary(s *peerpb.Summary) membership.DomainSummary {
+	return membership.DomainSummary{FailureDomain: s.GetFailureDomain(), Members: int(s.GetMembers()), Load: int(s.GetLoad()),
 		Revision: s.GetRevision(), Age: millis(s.GetAgeMs()), Demand: encodeList(s.GetDemand(), decodeDemand),
 		Contacts: encodeList(s.GetContacts(), func(c *peerpb.Contact) membership.Contact {
 			return membership.Contact{ID: c.GetId(), Address: c.GetAddress()}
--- a/internal/peer/fleet_test.go
+++ b/internal/peer/fleet_test.go
@@ -40,7 +40,7 @@
 		identity := membership.Identity{ID: fmt.Sprintf("entry-instance-%03d", i), FailureDomain: fmt.Sprintf("failure-domain-%02d", i%domains),
 			Address: fmt.Sprintf("10.20.%d.%d:7000", 100+i/200, i%200), Incarnation: uint64(f.now.Unix())}
 		state := membership.New(identity, rand.New(rand.NewPCG(f.random.Uint64(), f.random.Uint64())), f.now)
-		state.SetCounts(sampleCounts())
+		state.SetInFlightCounts(sampleCounts())
 		state.SetDemand(sampleDemand(i))
 		state.SetStragglers([]membership.Straggler{{Server: "backend-server-0007", Remaining: time.Hour}})
 		f.nodes[identity.Address] = state
@@ -49,15 +49,15 @@
 	}
 	f.random.Shuffle(len(f.order), func(i, j int) { f.order[i], f.order[j] = f.order[j], f.order[i] })
 	for _, state := range f.nodes {
-		state.Hint(candidates)
+		state.SetCandidates(candidates)
 	}
 	return f
 }
 
-func sampleCounts() []membership.Count {
-	var counts []membership.Count
+func sampleCounts() []membership.InFlightCount {
+	var counts []membership.InFlightCount
 	for i := range 56 {
-		counts = append(counts, membership.Count{Server: fmt.Sprintf("backend-server-%04d", i), InFlight: i})
+		counts = append(counts, membership.InFlightCount{Server: fmt.Sprintf("backend-server-%04d", i), InFlight: i})
 	}
 	return counts
 }
@@ -77,7 +77,7 @@
 		switch out := output.(type) {
 		case membership.Send:
 			f.send(out)
-		case membership.RevisionHeard:
+		case membership.NewRevision:
 			f.emit(state, state.SetRevision(out.Revision, false))
 		}
 	}
--- a/internal/peer/node.go
+++ b/internal/peer/node.go
@@ -164,7 +164,7 @@
 		n.send(send)
 		return
 	}
-	if changed, ok := output.(membership.Changed); ok {
+	if changed, ok := output.(membership.MemberChanged); ok {
 		events.MemberChanged.Log(context.Background(), n.logger, slog.String("member", changed.Record.ID),
 			slog.String("state", changed.Record.State.String()), slog.String("address", changed.Record.Address))
 	}
@@ -204,7 +204,7 @@
 	var live []membership.Record
 	n.Do(func(s *membership.State) []membership.Output {
 		outputs := s.Leave(time.Now())
-		self, live = s.Self(), s.Live()
+		self, live = s.Self(), s.LiveMembers()
 		return outputs
 	})
 	called := 0
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -24,13 +24,13 @@
 	c := qt.New(t)
 	record := membership.Record{ID: "a", FailureDomain: "d", Address: "10.0.0.1:1", Incarnation: 1 << 40, Counter: 3,
 		State: membership.Left, Load: 4, Revision: 5}
-	message := membership.Message{From: record, Urgent: true, Beats: []membership.Beat{{Hash: 1, Incarnation: 2, Counter: 3}},
-		Records:    []membership.Record{record},
-		Drains:     []membership.DrainMarker{{Server: "s", Incarnation: 6, Cleared: true, Remaining: time.Second}},
-		Stragglers: []membership.Straggler{{Server: "s", Remaining: time.Second}},
-		Counts:     []membership.Count{{Server: "s", InFlight: 7, Long: 2}},
-		Demand:     []membership.Demand{{Organisation: "o", MilliPerSecond: 8}},
-		Summaries: []membership.Summary{{FailureDomain: "e", Members: 9, Load: 10, Revision: 11, Age: time.Second,
+	message := membership.Message{From: record, Urgent: true, HeartbeatCounters: []membership.HeartbeatCounter{{IDHash: 1, Incarnation: 2, Counter: 3}},
+		Records:        []membership.Record{record},
+		DrainMarkers:   []membership.DrainMarker{{Server: "s", Incarnation: 6, Cleared: true, Remaining: time.Second}},
+		Stragglers:     []membership.Straggler{{Server: "s", Remaining: time.Second}},
+		InFlightCounts: []membership.InFlightCount{{Server: "s", InFlight: 7, Long: 2}},
+		Demand:         []membership.Demand{{Organisation: "o", MilliPerSecond: 8}},
+		Summaries: []membership.DomainSummary{{FailureDomain: "e", Members: 9, Load: 10, Revision: 11, Age: time.Second,
 			Contacts: []membership.Contact{{ID: "b", Address: "10.0.0.2:1"}}, Demand: []membership.Demand{{Organisation: "o", MilliPerSecond: 8}}}}}
 	data, err := Encode(message)
 	c.Assert(err, qt.IsNil)
@@ -168,7 +168,7 @@
 		c.Cleanup(listener.Close)
 		if len(nodes) > 0 {
 			seed := []membership.Candidate{{Address: nodes[0].self().Address}}
-			node.Do(func(s *membership.State) []membership.Output { s.Hint(seed); return nil })
+			node.Do(func(s *membership.State) []membership.Output { s.SetCandidates(seed); return nil })
 		}
 		nodes = append(nodes, node)
 		running.Go(func() { node.Run(ctx) })
@@ -189,7 +189,7 @@
 		for _, node := range nodes {
 			var ids []string
 			node.View(func(s *membership.State) {
-				for _, r := range s.Live() {
+				for _, r := range s.LiveMembers() {
 					ids = append(ids, r.ID)
 				}
 			})
--- a/membership/demand.go
+++ b/membership/demand.go
@@ -10,15 +10,15 @@
 	// demandLifetime is how long the demand of a member is believed. In a failure
 	// domain of 30, a list of the longest names takes more than 30 s to pass.
 	demandLifetime = 2 * time.Minute
-	// endedTicks is how long the end of an organisation's demand is reported, so
+	// endedDemandTicks is how long the end of an organisation's demand is reported, so
 	// that the others needn't wait for demandLifetime.
-	endedTicks = int(demandLifetime / Interval)
+	endedDemandTicks = int(demandLifetime / Interval)
 )
 
-// heardDemand is a rate that another member reported.
-type heardDemand struct {
+// timedDemand is a rate that another member reported.
+type timedDemand struct {
 	Demand
-	at time.Time
+	receivedAt time.Time
 }
 
 // DemandReport is the demand of one other member of the failure domain, or of
@@ -37,13 +37,13 @@
 func (s *State) SetDemand(demand []Demand) {
 	list := slices.Clone(demand[:min(len(demand), MaxDemand)])
 	for _, d := range list {
-		s.demandUntil[d.Organisation] = s.ticks + endedTicks
+		s.demandUntilTick[d.Organisation] = s.ticks + endedDemandTicks
 	}
-	for _, name := range sortedKeys(s.demandUntil) {
+	for _, name := range sortedKeys(s.demandUntilTick) {
 		named := slices.ContainsFunc(list, func(d Demand) bool { return d.Organisation == name })
 		switch {
-		case s.demandUntil[name] < s.ticks:
-			delete(s.demandUntil, name)
+		case s.demandUntilTick[name] < s.ticks:
+			delete(s.demandUntilTick, name)
 		case !named && len(list) < MaxDemand:
 			list = append(list, Demand{Organisation: name})
 		}
@@ -65,7 +65,7 @@
 // reported.
 func (s *State) PeerDemand(now time.Time) []DemandReport {
 	var reports []DemandReport
-	for _, record := range s.others() {
+	for _, record := range s.otherLiveMembers() {
 		report := DemandReport{Instances: 1}
 		for _, heard := range s.peerDemand[record.ID] {
 			report.Demand = append(report.Demand, heard.Demand)
@@ -74,13 +74,13 @@
 		reports = append(reports, report)
 	}
 	for _, summary := range s.summaries(now) {
-		reports = append(reports, DemandReport{summary.Members, summary.Demand, summary.namesAll()})
+		reports = append(reports, DemandReport{summary.Members, summary.Demand, summary.listsAllOrganisations()})
 	}
 	return reports
 }
 
-// namesAll reports whether a summary had room for one more organisation.
-func (s Summary) namesAll() bool {
+// listsAllOrganisations reports whether a summary had room for one more organisation.
+func (s DomainSummary) listsAllOrganisations() bool {
 	longest := Demand{string(make([]byte, MaxNameBytes)), 1 << 62}
 	return len(s.Demand) < MaxDemand && s.bytes()+longest.bytes() <= maxSummaryBytes
 }
@@ -109,10 +109,10 @@
 // mergeDemand keeps the newest rate by organisation. A heartbeat may hold a part
 // of the list only.
 func (s *State) mergeDemand(now time.Time, instance string, demand []Demand) {
-	var merged []heardDemand
+	var merged []timedDemand
 	named := map[string]bool{}
 	for _, d := range demand {
-		merged = append(merged, heardDemand{d, now})
+		merged = append(merged, timedDemand{d, now})
 		named[d.Organisation] = true
 	}
 	for _, old := range s.peerDemand[instance] {
@@ -126,8 +126,8 @@
 // expireDemand drops the demand that members no longer report.
 func (s *State) expireDemand(now time.Time) {
 	for instance, demand := range s.peerDemand {
-		s.peerDemand[instance] = slices.DeleteFunc(demand, func(d heardDemand) bool {
-			return now.Sub(d.at) >= demandLifetime
+		s.peerDemand[instance] = slices.DeleteFunc(demand, func(d timedDemand) bool {
+			return now.Sub(d.receivedAt) >= demandLifetime
 		})
 	}
 }
--- a/membership/domains.go
+++ b/membership/domains.go
@@ -11,23 +11,23 @@
 
 // maxSummaryBytes leaves out the smallest of the 16 organisations when their
 // names are long, so that a summary fits the leading section of a heartbeat.
-const maxSummaryBytes = maxLeadBytes - 10
+const maxSummaryBytes = maxLeadSectionBytes - 10
 
 // domain is another failure domain.
 type domain struct {
-	summary Summary
-	// made is when the summary was made, by the clock of this instance.
-	made time.Time
+	summary DomainSummary
+	// createdAt is when the summary was createdAt, by the clock of this instance.
+	createdAt time.Time
 	// expired is true when there was no news for summaryLifetime. Its contacts are
 	// still tried.
 	expired bool
 }
 
 // ownSummary describes the own failure domain.
-func (s *State) ownSummary() Summary {
-	summary := Summary{FailureDomain: s.self.FailureDomain, Members: 1, Load: s.self.Load, Revision: s.self.Revision,
+func (s *State) ownSummary() DomainSummary {
+	summary := DomainSummary{FailureDomain: s.self.FailureDomain, Members: 1, Load: s.self.Load, Revision: s.self.Revision,
 		Contacts: []Contact{{s.self.ID, s.self.Address}}}
-	others := s.others()
+	others := s.otherLiveMembers()
 	for _, r := range others {
 		summary.Members++
 		summary.Load += r.Load
@@ -46,13 +46,13 @@
 }
 
 // mergeSummary keeps the newest summary of a failure domain.
-func (s *State) mergeSummary(now time.Time, summary Summary) {
+func (s *State) mergeSummary(now time.Time, summary DomainSummary) {
 	if summary.FailureDomain == s.self.FailureDomain || !validName(summary.FailureDomain) || summary.Age > summaryLifetime {
 		return
 	}
 	made := now.Add(-max(0, summary.Age))
 	d, known := s.domains[summary.FailureDomain]
-	if known && !made.After(d.made) {
+	if known && !made.After(d.createdAt) {
 		return
 	}
 	summary.Contacts = summary.Contacts[:min(len(summary.Contacts), maxContacts)]
@@ -60,17 +60,17 @@
 	if known {
 		summary.Revision = max(summary.Revision, d.summary.Revision)
 	}
-	s.domains[summary.FailureDomain] = &domain{summary: summary, made: made}
+	s.domains[summary.FailureDomain] = &domain{summary: summary, createdAt: made}
 	if len(summary.Contacts) > 0 {
-		s.hearRevision(summary.Revision, summary.Contacts[0].Address)
+		s.noteRevision(summary.Revision, summary.Contacts[0].Address)
 	}
 }
 
-// hearDomain notes a message of a member of another failure domain.
-func (s *State) hearDomain(now time.Time, from Record) {
+// noteDomainContact notes a message of a member of another failure domain.
+func (s *State) noteDomainContact(now time.Time, from Record) {
 	d, known := s.domains[from.FailureDomain]
 	if !known {
-		d = &domain{summary: Summary{FailureDomain: from.FailureDomain, Members: 1}, made: now.Add(-summaryLifetime)}
+		d = &domain{summary: DomainSummary{FailureDomain: from.FailureDomain, Members: 1}, createdAt: now.Add(-summaryLifetime)}
 		s.domains[from.FailureDomain] = d
 	}
 	d.summary.Revision = max(d.summary.Revision, from.Revision)
@@ -92,36 +92,36 @@
 // that a healed partition is noticed.
 func (s *State) expireDomains(now time.Time) {
 	for _, d := range s.domains {
-		d.expired = now.Sub(d.made) > summaryLifetime
+		d.expired = now.Sub(d.createdAt) > summaryLifetime
 	}
 }
 
 // summaries returns the failure domains that are believed, oldest news last.
-func (s *State) summaries(now time.Time) []Summary {
-	var list []Summary
+func (s *State) summaries(now time.Time) []DomainSummary {
+	var list []DomainSummary
 	for _, name := range sortedKeys(s.domains) {
 		d := s.domains[name]
 		if d.expired {
 			continue
 		}
 		summary := d.summary
-		summary.Age = max(0, now.Sub(d.made))
+		summary.Age = max(0, now.Sub(d.createdAt))
 		list = append(list, summary)
 	}
 	return list
 }
 
-// contact returns the address of a random contact.
-func (s *State) contact(d *domain) (string, bool) {
+// randomContact returns the address of a random randomContact.
+func (s *State) randomContact(d *domain) (string, bool) {
 	if len(d.summary.Contacts) == 0 {
 		return "", false
 	}
 	return d.summary.Contacts[s.random.IntN(len(d.summary.Contacts))].Address, true
 }
 
-// crossTarget returns an address in a random other failure domain: a contact, or
+// crossDomainTarget returns an address in a random other failure domain: a contact, or
 // now and then a candidate in case the contacts are gone.
-func (s *State) crossTarget() (string, bool) {
+func (s *State) crossDomainTarget() (string, bool) {
 	options := map[string][]string{}
 	for name, d := range s.domains {
 		for _, c := range d.summary.Contacts {
@@ -143,14 +143,14 @@
 }
 
 // Summaries returns the other failure domains that are believed, by name.
-func (s *State) Summaries(now time.Time) []Summary {
+func (s *State) Summaries(now time.Time) []DomainSummary {
 	return s.summaries(now)
 }
 
-// Live returns this instance and the live or suspected members of its failure
+// LiveMembers returns this instance and the live or suspected members of its failure
 // domain, by ID.
-func (s *State) Live() []Record {
-	live := append(s.others(), s.self)
+func (s *State) LiveMembers() []Record {
+	live := append(s.otherLiveMembers(), s.self)
 	slices.SortFunc(live, func(a, b Record) int { return strings.Compare(a.ID, b.ID) })
 	return live
 }
@@ -163,13 +163,13 @@
 
 // HighestRevision returns the highest configuration revision that is in force at
 // any instance that was heard of.
-func (s *State) HighestRevision() int64 { return s.highest }
+func (s *State) HighestRevision() int64 { return s.highestRevision }
 
-// Holders returns addresses of instances that have at least a revision: members
+// AddressesWithRevision returns addresses of instances that have at least a revision: members
 // of the failure domain, or contacts in others when there is none.
-func (s *State) Holders(revision int64) []string {
+func (s *State) AddressesWithRevision(revision int64) []string {
 	var holders []string
-	for _, r := range s.others() {
+	for _, r := range s.otherLiveMembers() {
 		if r.Revision >= revision {
 			holders = append(holders, r.Address)
 		}
@@ -187,9 +187,9 @@
 	return holders
 }
 
-// Instances returns the number of live instances in all failure domains.
-func (s *State) Instances(now time.Time) int {
-	n := len(s.others()) + 1
+// InstanceCount returns the number of live instances in all failure domains.
+func (s *State) InstanceCount(now time.Time) int {
+	n := len(s.otherLiveMembers()) + 1
 	for _, summary := range s.summaries(now) {
 		n += summary.Members
 	}
--- a/membership/markers.go
+++ b/membership/markers.go
@@ -5,37 +5,37 @@
 const (
 	// maxMarkerLifetime bounds how long a marker is believed.
 	maxMarkerLifetime = 5 * time.Minute
-	// renewal is by how much a marker must outlast the known one. Without it the
+	// minMarkerExtension is by how much a marker must outlast the known one. Without it the
 	// delay of each hop would extend a marker that goes around.
-	renewal = 2 * time.Second
-	// markerMemory is how long an expired marker stays known, so that a late copy
+	minMarkerExtension = 2 * time.Second
+	// expiredMarkerRetention is how long an expired marker stays known, so that a late copy
 	// isn't taken for a new one.
-	markerMemory = 30 * time.Second
+	expiredMarkerRetention = 30 * time.Second
 	// maxMarkers bounds the drain markers and the straggler markers.
 	maxMarkers = 512
 )
 
-// drain is a drain marker with its local expiry.
-type drain struct {
-	marker DrainMarker
-	until  time.Time
+// drainEntry is a drainEntry marker with its local expiry.
+type drainEntry struct {
+	marker    DrainMarker
+	expiresAt time.Time
 }
 
-// replaces reports whether a marker tells more than the known one.
-func (d drain) replaces(known drain) bool {
+// supersedes reports whether a marker tells more than the known one.
+func (d drainEntry) supersedes(known drainEntry) bool {
 	switch {
 	case d.marker.Incarnation != known.marker.Incarnation:
 		return d.marker.Incarnation > known.marker.Incarnation
 	case d.marker.Cleared != known.marker.Cleared:
 		return known.marker.Cleared
 	}
-	return d.until.Sub(known.until) > renewal
+	return d.expiresAt.Sub(known.expiresAt) > minMarkerExtension
 }
 
 // MarkDraining reports a backend server that refuses because it leaves. All
 // members of the failure domain and a contact of each other one get it at once.
 func (s *State) MarkDraining(now time.Time, server string, incarnation int64, lifetime time.Duration) []Output {
-	return s.mark(now, DrainMarker{Server: server, Incarnation: incarnation, Remaining: lifetime})
+	return s.setDrainMarker(now, DrainMarker{Server: server, Incarnation: incarnation, Remaining: lifetime})
 }
 
 // ClearDraining reports a backend server that came back with a new incarnation.
@@ -44,15 +44,15 @@
 	if !ok || known.marker.Incarnation >= incarnation {
 		return nil
 	}
-	return s.mark(now, DrainMarker{Server: server, Incarnation: incarnation, Cleared: true, Remaining: maxMarkerLifetime})
+	return s.setDrainMarker(now, DrainMarker{Server: server, Incarnation: incarnation, Cleared: true, Remaining: maxMarkerLifetime})
 }
 
-func (s *State) mark(now time.Time, marker DrainMarker) []Output {
+func (s *State) setDrainMarker(now time.Time, marker DrainMarker) []Output {
 	s.outputs = nil
-	if s.mergeDrain(now, marker) && s.mayBroadcast() {
-		message := s.urgent(nil, []DrainMarker{marker})
+	if s.mergeDrain(now, marker) && s.reserveBroadcast() {
+		message := s.urgentMessage(nil, []DrainMarker{marker})
 		s.broadcast(message)
-		s.broadcastFar(message, everyDomain)
+		s.broadcastToOtherDomains(message, everyDomain)
 	}
 	return s.outputs
 }
@@ -62,26 +62,26 @@
 	if !validName(marker.Server) || marker.Remaining <= 0 {
 		return false
 	}
-	d := drain{marker: marker, until: now.Add(min(marker.Remaining, maxMarkerLifetime))}
+	d := drainEntry{marker: marker, expiresAt: now.Add(min(marker.Remaining, maxMarkerLifetime))}
 	known, ok := s.drains[marker.Server]
-	if ok && !d.replaces(known) || !ok && len(s.drains) >= maxMarkers {
+	if ok && !d.supersedes(known) || !ok && len(s.drains) >= maxMarkers {
 		return false
 	}
 	s.drains[marker.Server] = d
-	s.outputs = append(s.outputs, DrainLearned{marker})
+	s.outputs = append(s.outputs, NewDrainMarker{marker})
 	return true
 }
 
-// receiveMarkers takes markers and forwards new ones of another failure domain.
-func (s *State) receiveMarkers(now time.Time, message Message, local bool) {
+// mergeMarkers takes markers and forwards new ones of another failure domain.
+func (s *State) mergeMarkers(now time.Time, message Message, local bool) {
 	var fresh []DrainMarker
-	for _, marker := range message.Drains {
+	for _, marker := range message.DrainMarkers {
 		if s.mergeDrain(now, marker) {
 			fresh = append(fresh, marker)
 		}
 	}
-	if len(fresh) > 0 && !local && s.mayBroadcast() {
-		s.broadcast(s.urgent(nil, fresh))
+	if len(fresh) > 0 && !local && s.reserveBroadcast() {
+		s.broadcast(s.urgentMessage(nil, fresh))
 	}
 	for _, straggler := range message.Stragglers {
 		if validName(straggler.Server) && len(s.stragglers) < maxMarkers {
@@ -108,10 +108,10 @@
 			fresh = append(fresh, straggler)
 		}
 	}
-	if len(fresh) > 0 && s.mayBroadcast() {
+	if len(fresh) > 0 && s.reserveBroadcast() {
 		message, left := s.newMessage()
 		message.Urgent = true
-		message.Stragglers = fill(left, left.left, fresh, new(int))
+		message.Stragglers = fill(left, left.remaining, fresh, new(int))
 		s.broadcast(message)
 	}
 	return s.outputs
@@ -130,7 +130,7 @@
 // expireMarkers drops markers whose time is over.
 func (s *State) expireMarkers(now time.Time) {
 	for server, d := range s.drains {
-		if now.Sub(d.until) >= markerMemory {
+		if now.Sub(d.expiresAt) >= expiredMarkerRetention {
 			delete(s.drains, server)
 		}
 	}
@@ -143,12 +143,12 @@
 	}
 }
 
-// drainMarkers returns all markers, cleared ones included, by server.
-func (s *State) drainMarkers(now time.Time) []DrainMarker {
+// unexpiredDrainMarkers returns all markers, cleared ones included, by server.
+func (s *State) unexpiredDrainMarkers(now time.Time) []DrainMarker {
 	var list []DrainMarker
 	for _, server := range sortedKeys(s.drains) {
 		d := s.drains[server]
-		d.marker.Remaining = d.until.Sub(now)
+		d.marker.Remaining = d.expiresAt.Sub(now)
 		if d.marker.Remaining > 0 {
 			list = append(list, d.marker)
 		}
@@ -159,7 +159,7 @@
 // Draining returns the backend servers that are leaving, by server.
 func (s *State) Draining(now time.Time) []DrainMarker {
 	var list []DrainMarker
-	for _, marker := range s.drainMarkers(now) {
+	for _, marker := range s.unexpiredDrainMarkers(now) {
 		if !marker.Cleared {
 			list = append(list, marker)
 		}
--- a/membership/message.go
+++ b/membership/message.go
@@ -58,10 +58,10 @@
 	return r.Counter > other.Counter
 }
 
-// Beat is the newest heartbeat of a member. The member is named by the hash of
+// HeartbeatCounter is the newest heartbeat of a member. The member is named by the hash of
 // its ID, so that one message has room for a whole failure domain.
-type Beat struct {
-	Hash        uint64
+type HeartbeatCounter struct {
+	IDHash      uint64
 	Incarnation uint64
 	Counter     uint64
 }
@@ -86,8 +86,8 @@
 	Remaining time.Duration
 }
 
-// Count is the number of requests that the sender has in flight at a backend server.
-type Count struct {
+// InFlightCount is the number of requests that the sender has in flight at a backend server.
+type InFlightCount struct {
 	Server   string
 	InFlight int
 	// Long is how many of them are of class long.
@@ -110,8 +110,8 @@
 	Address string
 }
 
-// Summary represents another failure domain.
-type Summary struct {
+// DomainSummary represents another failure domain.
+type DomainSummary struct {
 	FailureDomain string
 	Members       int
 	Load          int
@@ -127,14 +127,14 @@
 	From Record
 	// Urgent messages are sent at once; the receiver in another failure domain
 	// forwards what is new to its members.
-	Urgent     bool
-	Beats      []Beat
-	Records    []Record
-	Drains     []DrainMarker
-	Stragglers []Straggler
-	Counts     []Count
-	Demand     []Demand
-	Summaries  []Summary
+	Urgent            bool
+	HeartbeatCounters []HeartbeatCounter
+	Records           []Record
+	DrainMarkers      []DrainMarker
+	Stragglers        []Straggler
+	InFlightCounts    []InFlightCount
+	Demand            []Demand
+	Summaries         []DomainSummary
 }
 
 // Output is what the adapter carries out or passes on.
@@ -147,24 +147,24 @@
 		Address string
 		Message Message
 	}
-	// Changed reports a member that joined, is suspected, was removed or left.
-	Changed struct{ Record Record }
-	// RevisionHeard reports a configuration revision above all known before.
-	RevisionHeard struct {
+	// MemberChanged reports a member that joined, is suspected, was removed or left.
+	MemberChanged struct{ Record Record }
+	// NewRevision reports a configuration revision above all known before.
+	NewRevision struct {
 		Revision int64
 		Address  string
 	}
-	// DrainLearned reports a drain marker that is new here.
-	DrainLearned struct{ Marker DrainMarker }
-	// CountsHeard reports a peer's requests in flight.
-	CountsHeard struct {
+	// NewDrainMarker reports a drain marker that is new here.
+	NewDrainMarker struct{ Marker DrainMarker }
+	// InFlightCountsReceived reports a peer's requests in flight.
+	InFlightCountsReceived struct {
 		Instance string
-		Counts   []Count
+		Counts   []InFlightCount
 	}
 )
 
-func (Send) membershipOutput()          {}
-func (Changed) membershipOutput()       {}
-func (RevisionHeard) membershipOutput() {}
-func (DrainLearned) membershipOutput()  {}
-func (CountsHeard) membershipOutput()   {}
+func (Send) membershipOutput()                   {}
+func (MemberChanged) membershipOutput()          {}
+func (NewRevision) membershipOutput()            {}
+func (NewDrainMarker) membershipOutput()         {}
+func (InFlightCountsReceived) membershipOutput() {}
--- a/membership/receive.go
+++ b/membership/receive.go
@@ -13,17 +13,17 @@
 	m, known := s.members[from.ID]
 	// A refuted suspicion raises the incarnation but keeps the counter.
 	fresh := !known || from.Incarnation > m.record.Incarnation && from.Counter < m.record.Counter
-	s.hearRevision(from.Revision, from.Address)
+	s.noteRevision(from.Revision, from.Address)
 	if local {
 		s.receiveLocal(now, message)
 	} else {
-		s.hearDomain(now, from)
+		s.noteDomainContact(now, from)
 		s.forwardLeave(message)
 	}
 	for _, summary := range message.Summaries {
 		s.mergeSummary(now, summary)
 	}
-	s.receiveMarkers(now, message, local)
+	s.mergeMarkers(now, message, local)
 	switch {
 	case !local || from.State == Left:
 	case fresh:
@@ -32,15 +32,15 @@
 	case from.Incarnation < m.record.Incarnation:
 		// A clock that went back gave a restarted member too low an incarnation. It
 		// raises it when it hears of the higher one.
-		s.send(from.Address, s.urgent([]Record{m.record}, nil))
+		s.send(from.Address, s.urgentMessage([]Record{m.record}, nil))
 	}
 	return s.outputs
 }
 
 // forwardLeave tells the members that a contact in another failure domain left.
 func (s *State) forwardLeave(message Message) {
-	if message.Urgent && message.From.State == Left && s.mayBroadcast() {
-		s.broadcast(s.urgent([]Record{message.From}, nil))
+	if message.Urgent && message.From.State == Left && s.reserveBroadcast() {
+		s.broadcast(s.urgentMessage([]Record{message.From}, nil))
 	}
 }
 
@@ -57,24 +57,24 @@
 			s.dropContact(record)
 		}
 	}
-	for _, beat := range message.Beats {
-		s.mergeBeat(now, beat)
+	for _, beat := range message.HeartbeatCounters {
+		s.mergeHeartbeatCounter(now, beat)
 	}
-	if len(message.Counts) > 0 {
-		s.outputs = append(s.outputs, CountsHeard{from.ID, message.Counts})
+	if len(message.InFlightCounts) > 0 {
+		s.outputs = append(s.outputs, InFlightCountsReceived{from.ID, message.InFlightCounts})
 	}
 	if len(message.Demand) > 0 {
 		s.mergeDemand(now, from.ID, message.Demand)
 	}
 }
 
-// hearRevision reports a revision that is new here.
-func (s *State) hearRevision(revision int64, address string) {
-	if revision <= s.highest {
+// noteRevision reports a revision that is new here.
+func (s *State) noteRevision(revision int64, address string) {
+	if revision <= s.highestRevision {
 		return
 	}
-	s.highest = revision
-	s.outputs = append(s.outputs, RevisionHeard{revision, address})
+	s.highestRevision = revision
+	s.outputs = append(s.outputs, NewRevision{revision, address})
 }
 
 // mergeRecord takes what another member knows of a member.
@@ -87,18 +87,18 @@
 	if !known {
 		// A member that is only known as dead needs no entry.
 		if record.State <= Suspected {
-			s.join(now, record)
+			s.addMember(now, record)
 		}
 		return
 	}
-	if record.Incarnation >= m.recorded {
-		m.recorded, m.record.Address = record.Incarnation, record.Address
+	if record.Incarnation >= m.addressIncarnation {
+		m.addressIncarnation, m.record.Address = record.Incarnation, record.Address
 	}
 	m.record.Revision = max(m.record.Revision, record.Revision)
 	fresh := record.newer(m.record)
 	if fresh {
 		m.record.Load = record.Load
-		s.advance(now, m, record.Incarnation, record.Counter)
+		s.noteHeartbeat(now, m, record.Incarnation, record.Counter)
 	}
 	// Suspicion spreads by silence: each member hears the counters itself. Only a
 	// leave is taken over, since it comes from the member.
@@ -107,29 +107,29 @@
 	}
 }
 
-// mergeBeat takes a heartbeat counter that another member heard.
-func (s *State) mergeBeat(now time.Time, beat Beat) {
-	m, known := s.members[s.byHash[beat.Hash]]
+// mergeHeartbeatCounter takes a heartbeat counter that another member heard.
+func (s *State) mergeHeartbeatCounter(now time.Time, beat HeartbeatCounter) {
+	m, known := s.members[s.idByHash[beat.IDHash]]
 	if known && (Record{Incarnation: beat.Incarnation, Counter: beat.Counter}).newer(m.record) {
-		s.advance(now, m, beat.Incarnation, beat.Counter)
+		s.noteHeartbeat(now, m, beat.Incarnation, beat.Counter)
 	}
 }
 
-// advance notes a later heartbeat. It brings a suspected or removed member back;
+// noteHeartbeat notes a later heartbeat. It brings a suspected or removed member back;
 // the heartbeat with which a member left is its last one.
-func (s *State) advance(now time.Time, m *member, incarnation, counter uint64) {
+func (s *State) noteHeartbeat(now time.Time, m *member, incarnation, counter uint64) {
 	m.record.Incarnation, m.record.Counter = incarnation, counter
-	m.heard = now
+	m.lastHeartbeat = now
 	s.setState(m, Alive, now)
 }
 
-func (s *State) join(now time.Time, record Record) {
+func (s *State) addMember(now time.Time, record Record) {
 	record.State = Alive
-	m := &member{record: record, heard: now, since: now, news: newsRepeats, recorded: record.Incarnation}
+	m := &member{record: record, lastHeartbeat: now, stateSince: now, repeatsLeft: changeRepeats, addressIncarnation: record.Incarnation}
 	s.members[record.ID] = m
-	s.byHash[hashID(record.ID)] = record.ID
-	s.sorted = nil
-	s.outputs = append(s.outputs, Changed{record})
+	s.idByHash[hashID(record.ID)] = record.ID
+	s.sortedLive = nil
+	s.outputs = append(s.outputs, MemberChanged{record})
 }
 
 // refute answers a suspicion of this instance, or an older incarnation of it,
--- a/membership/size.go
+++ b/membership/size.go
@@ -6,12 +6,12 @@
 // tag of one byte; a length or number below 128 takes one byte.
 const (
 	tagBytes = 1
-	// nestedBytes is the tag and length of an embedded message.
-	nestedBytes = tagBytes + 2
-	// fixedBytes is a 64-bit hash in a packed list.
-	fixedBytes = 8
-	// packedHeaders are tags and lengths of the three lists of beats.
-	packedHeaders = 3 * nestedBytes
+	// embeddedHeaderBytes is the tag and length of an embedded message.
+	embeddedHeaderBytes = tagBytes + 2
+	// fixed64Bytes is a 64-bit hash in a packed list.
+	fixed64Bytes = 8
+	// packedListHeaderBytes are tags and lengths of the three lists of beats.
+	packedListHeaderBytes = 3 * embeddedHeaderBytes
 )
 
 func stringBytes(s string) int { return tagBytes + varintBytes(uint64(len(s))) + len(s) }
@@ -30,30 +30,34 @@
 func millisBytes(d time.Duration) int { return numberBytes(d.Milliseconds()) }
 
 func (r Record) bytes() int {
-	return nestedBytes + stringBytes(r.ID) + stringBytes(r.FailureDomain) + stringBytes(r.Address) +
+	return embeddedHeaderBytes + stringBytes(r.ID) + stringBytes(r.FailureDomain) + stringBytes(r.Address) +
 		numberBytes(r.Incarnation) + numberBytes(r.Counter) + numberBytes(int(r.State)) + numberBytes(r.Load) + numberBytes(r.Revision)
 }
 
-func (b Beat) bytes() int { return fixedBytes + varintBytes(b.Incarnation) + varintBytes(b.Counter) }
+func (b HeartbeatCounter) bytes() int {
+	return fixed64Bytes + varintBytes(b.Incarnation) + varintBytes(b.Counter)
+}
 
 func (m DrainMarker) bytes() int {
-	return nestedBytes + stringBytes(m.Server) + numberBytes(m.Incarnation) + numberBytes(1) + millisBytes(m.Remaining)
+	return embeddedHeaderBytes + stringBytes(m.Server) + numberBytes(m.Incarnation) + numberBytes(1) + millisBytes(m.Remaining)
 }
 
-func (s Straggler) bytes() int { return nestedBytes + stringBytes(s.Server) + millisBytes(s.Remaining) }
+func (s Straggler) bytes() int {
+	return embeddedHeaderBytes + stringBytes(s.Server) + millisBytes(s.Remaining)
+}
 
-func (c Count) bytes() int {
-	return nestedBytes + stringBytes(c.Server) + numberBytes(c.InFlight) + numberBytes(c.Long)
+func (c InFlightCount) bytes() int {
+	return embeddedHeaderBytes + stringBytes(c.Server) + numberBytes(c.InFlight) + numberBytes(c.Long)
 }
 
 func (d Demand) bytes() int {
-	return nestedBytes + stringBytes(d.Organisation) + numberBytes(d.MilliPerSecond)
+	return embeddedHeaderBytes + stringBytes(d.Organisation) + numberBytes(d.MilliPerSecond)
 }
 
-func (c Contact) bytes() int { return nestedBytes + stringBytes(c.ID) + stringBytes(c.Address) }
+func (c Contact) bytes() int { return embeddedHeaderBytes + stringBytes(c.ID) + stringBytes(c.Address) }
 
-func (s Summary) bytes() int {
-	return nestedBytes + stringBytes(s.FailureDomain) + numberBytes(s.Members) + numberBytes(s.Load) +
+func (s DomainSummary) bytes() int {
+	return embeddedHeaderBytes + stringBytes(s.FailureDomain) + numberBytes(s.Members) + numberBytes(s.Load) +
 		numberBytes(s.Revision) + millisBytes(s.Age) + listBytes(s.Contacts) + listBytes(s.Demand)
 }
 
@@ -67,19 +71,19 @@
 
 // Bytes returns an upper bound of the encoded size.
 func (m Message) Bytes() int {
-	return m.From.bytes() + numberBytes(1) + packedHeaders + listBytes(m.Beats) + listBytes(m.Records) +
-		listBytes(m.Drains) + listBytes(m.Stragglers) + listBytes(m.Counts) + listBytes(m.Demand) + listBytes(m.Summaries)
+	return m.From.bytes() + numberBytes(1) + packedListHeaderBytes + listBytes(m.HeartbeatCounters) + listBytes(m.Records) +
+		listBytes(m.DrainMarkers) + listBytes(m.Stragglers) + listBytes(m.InFlightCounts) + listBytes(m.Demand) + listBytes(m.Summaries)
 }
 
 type sized interface{ bytes() int }
 
-// room is the space left in a message.
-type room struct{ left int }
+// byteBudget is the space left in a message.
+type byteBudget struct{ remaining int }
 
 // fill returns as many items as fit into a number of bytes, starting after those
 // that the last call returned, so that every item gets its turn.
-func fill[T sized](r *room, most int, items []T, cursor *int) []T {
-	most = min(most, r.left)
+func fill[T sized](r *byteBudget, most int, items []T, cursor *int) []T {
+	most = min(most, r.remaining)
 	var taken []T
 	for range items {
 		item := items[*cursor%len(items)]
@@ -87,7 +91,7 @@
 			break
 		}
 		most -= item.bytes()
-		r.left -= item.bytes()
+		r.remaining -= item.bytes()
 		taken = append(taken, item)
 		*cursor = (*cursor + 1) % len(items)
 	}
--- a/membership/state.go
+++ b/membership/state.go
@@ -20,21 +20,21 @@
 	// tombstoneLifetime is how long a removed member stays known, so that late
 	// messages don't bring it back and that a healed partition is found.
 	tombstoneLifetime = 15 * time.Minute
-	// pausedAfter is the time between two ticks from which on this instance itself
+	// pauseThreshold is the time between two ticks from which on this instance itself
 	// was paused. The silence of others then proves nothing.
-	pausedAfter = 3 * time.Second
+	pauseThreshold = 3 * time.Second
 )
 
 // Counts of messages per tick.
 const (
 	fanOut = 2
-	// crossEvery is the number of ticks between heartbeats to another failure domain.
-	crossEvery = 5
-	// probeEvery is the number of ticks between heartbeats to a candidate in place
+	// crossDomainTicks is the number of ticks between heartbeats to another failure domain.
+	crossDomainTicks = 5
+	// probeTicks is the number of ticks between heartbeats to a candidate in place
 	// of a member.
-	probeEvery = 3
-	// newsRepeats is how often a changed record goes first.
-	newsRepeats = 6
+	probeTicks = 3
+	// changeRepeats is how often a changed record goes first.
+	changeRepeats = 6
 	// maxBroadcasts bounds the urgent broadcasts between two ticks. Further news
 	// travels with heartbeats.
 	maxBroadcasts = 8
@@ -55,57 +55,57 @@
 // member is a record with what this instance knows of its freshness.
 type member struct {
 	record Record
-	// heard is when its heartbeat counter last rose.
-	heard time.Time
-	// since is when the state last changed.
-	since time.Time
-	// news counts the messages in which the record still goes first.
-	news int
-	// recorded is the incarnation of the address.
-	recorded uint64
+	// lastHeartbeat is when its heartbeat counter last rose.
+	lastHeartbeat time.Time
+	// stateSince is when the state last changed.
+	stateSince time.Time
+	// repeatsLeft counts the messages in which the record still goes first.
+	repeatsLeft int
+	// addressIncarnation is the incarnation of the address.
+	addressIncarnation uint64
 }
 
 // State is the state machine. It is not safe for concurrent use.
 type State struct {
-	self   Record
-	random *rand.Rand
-	ticks  int
-	last   time.Time
+	self     Record
+	random   *rand.Rand
+	ticks    int
+	lastTick time.Time
 
 	// members holds the other members of the failure domain, dead ones included.
-	members map[string]*member
-	byHash  map[uint64]string
-	// sorted caches the live and suspected members by ID; nil after a change.
-	sorted []*member
+	members  map[string]*member
+	idByHash map[uint64]string
+	// sortedLive caches the live and suspected members by ID; nil after a change.
+	sortedLive []*member
 	// rotation holds the IDs of the next targets.
 	rotation []string
 	domains  map[string]*domain
 	// candidates holds addresses that may belong to instances.
 	candidates map[string]Candidate
 
-	drains     map[string]drain
-	stragglers map[string]Straggler
-	counts     []Count
-	demand     []Demand
-	// demandUntil is the tick until which an organisation is reported.
-	demandUntil map[string]int
+	drains         map[string]drainEntry
+	stragglers     map[string]Straggler
+	inFlightCounts []InFlightCount
+	demand         []Demand
+	// demandUntilTick is the tick until which an organisation is reported.
+	demandUntilTick map[string]int
 	// peerDemand holds what other members reported, by ID.
-	peerDemand map[string][]heardDemand
+	peerDemand map[string][]timedDemand
 
-	// highest is the highest revision known, domainRevision the highest in force
+	// highestRevision is the highestRevision revision known, domainRevision the highestRevision in force
 	// at another member of the failure domain.
-	highest        int64
-	domainRevision int64
+	highestRevision int64
+	domainRevision  int64
 
 	cursors cursors
-	// broadcasts is the number of urgent broadcasts left until the next tick.
-	broadcasts int
-	outputs    []Output
+	// broadcastsLeft is the number of urgent broadcastsLeft left until the next tick.
+	broadcastsLeft int
+	outputs        []Output
 }
 
 // cursors are positions in the lists that take turns.
 type cursors struct {
-	section, beats, records, summaries, demand, counts, stragglers, drains int
+	section, heartbeatCounters, records, summaries, demand, inFlightCounts, stragglers, drains int
 }
 
 // Candidate is an instance of the platform's list, which is a hint only, or of
@@ -120,26 +120,26 @@
 	return &State{
 		self: Record{ID: identity.ID, FailureDomain: identity.FailureDomain, Address: identity.Address,
 			Incarnation: identity.Incarnation, Counter: 1},
-		random:      random,
-		last:        now,
-		members:     map[string]*member{},
-		byHash:      map[uint64]string{},
-		domains:     map[string]*domain{},
-		candidates:  map[string]Candidate{},
-		drains:      map[string]drain{},
-		stragglers:  map[string]Straggler{},
-		peerDemand:  map[string][]heardDemand{},
-		demandUntil: map[string]int{},
+		random:          random,
+		lastTick:        now,
+		members:         map[string]*member{},
+		idByHash:        map[uint64]string{},
+		domains:         map[string]*domain{},
+		candidates:      map[string]Candidate{},
+		drains:          map[string]drainEntry{},
+		stragglers:      map[string]Straggler{},
+		peerDemand:      map[string][]timedDemand{},
+		demandUntilTick: map[string]int{},
 	}
 }
 
-// Hint replaces the candidates to contact. It never changes what is known of a
+// SetCandidates replaces the candidates to contact. It never changes what is known of a
 // member. Of too many candidates a random part is kept, those of the own failure
 // domain first.
-func (s *State) Hint(candidates []Candidate) {
+func (s *State) SetCandidates(candidates []Candidate) {
 	shuffled := slices.Clone(candidates)
 	s.random.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
-	slices.SortStableFunc(shuffled, func(a, b Candidate) int { return s.distance(a) - s.distance(b) })
+	slices.SortStableFunc(shuffled, func(a, b Candidate) int { return s.domainRank(a) - s.domainRank(b) })
 	s.candidates = map[string]Candidate{}
 	for _, c := range shuffled {
 		if len(s.candidates) < maxCandidates && c.Address != s.self.Address && validName(c.Address) {
@@ -148,8 +148,8 @@
 	}
 }
 
-// distance is 0 for a candidate of the own or of an unknown failure domain.
-func (s *State) distance(c Candidate) int {
+// domainRank is 0 for a candidate of the own or of an unknown failure domain.
+func (s *State) domainRank(c Candidate) int {
 	if c.FailureDomain == "" || c.FailureDomain == s.self.FailureDomain {
 		return 0
 	}
@@ -162,35 +162,35 @@
 	if s.self.State == Left {
 		return nil
 	}
-	if gap := now.Sub(s.last); gap > pausedAfter {
+	if gap := now.Sub(s.lastTick); gap > pauseThreshold {
 		s.shiftTimes(gap)
 	}
-	s.last = now
+	s.lastTick = now
 	s.ticks++
 	s.self.Counter++
-	s.broadcasts = maxBroadcasts
+	s.broadcastsLeft = maxBroadcasts
 	s.expire(now)
 	for _, address := range s.targets() {
 		s.send(address, s.heartbeat(now))
 	}
-	if s.ticks%crossEvery == s.phase() {
-		if address, ok := s.crossTarget(); ok {
-			s.send(address, s.crossHeartbeat(now))
+	if s.ticks%crossDomainTicks == s.crossDomainPhase() {
+		if address, ok := s.crossDomainTarget(); ok {
+			s.send(address, s.crossDomainHeartbeat(now))
 		}
 	}
 	return s.outputs
 }
 
-// phase spreads the heartbeats between failure domains over time.
-func (s *State) phase() int {
-	return int(hashID(s.self.ID) % crossEvery)
+// crossDomainPhase spreads the heartbeats between failure domains over time.
+func (s *State) crossDomainPhase() int {
+	return int(hashID(s.self.ID) % crossDomainTicks)
 }
 
 // shiftTimes shifts all times by the time for which this instance was paused.
 func (s *State) shiftTimes(gap time.Duration) {
 	for _, m := range s.members {
-		m.heard = m.heard.Add(gap)
-		m.since = m.since.Add(gap)
+		m.lastHeartbeat = m.lastHeartbeat.Add(gap)
+		m.stateSince = m.stateSince.Add(gap)
 	}
 }
 
@@ -203,13 +203,13 @@
 			tombstones++
 		}
 		switch {
-		case m.record.State == Alive && now.Sub(m.heard) >= SuspectAfter:
+		case m.record.State == Alive && now.Sub(m.lastHeartbeat) >= SuspectAfter:
 			s.setState(m, Suspected, now)
-		case m.record.State == Suspected && now.Sub(m.since) >= RemoveAfter:
+		case m.record.State == Suspected && now.Sub(m.stateSince) >= RemoveAfter:
 			s.setState(m, Removed, now)
-		case m.record.State >= Removed && (now.Sub(m.since) > tombstoneLifetime || tombstones > maxTombstones):
+		case m.record.State >= Removed && (now.Sub(m.stateSince) > tombstoneLifetime || tombstones > maxTombstones):
 			delete(s.members, id)
-			delete(s.byHash, hashID(id))
+			delete(s.idByHash, hashID(id))
 		}
 	}
 	s.expireDomains(now)
@@ -221,27 +221,27 @@
 	if m.record.State == state {
 		return
 	}
-	m.record.State, m.since, m.news = state, now, newsRepeats
-	s.sorted = nil
+	m.record.State, m.stateSince, m.repeatsLeft = state, now, changeRepeats
+	s.sortedLive = nil
 	if state >= Removed {
 		delete(s.peerDemand, m.record.ID)
 	}
-	s.outputs = append(s.outputs, Changed{m.record})
+	s.outputs = append(s.outputs, MemberChanged{m.record})
 }
 
-// others returns the live and suspected other members of the failure domain by ID.
-func (s *State) others() []Record {
-	if s.sorted == nil {
-		s.sorted = s.sortMembers()
+// otherLiveMembers returns the live and suspected other members of the failure domain by ID.
+func (s *State) otherLiveMembers() []Record {
+	if s.sortedLive == nil {
+		s.sortedLive = s.sortLiveMembers()
 	}
-	records := make([]Record, len(s.sorted), len(s.sorted)+1)
-	for i, m := range s.sorted {
+	records := make([]Record, len(s.sortedLive), len(s.sortedLive)+1)
+	for i, m := range s.sortedLive {
 		records[i] = m.record
 	}
 	return records
 }
 
-func (s *State) sortMembers() []*member {
+func (s *State) sortLiveMembers() []*member {
 	sorted := make([]*member, 0, len(s.members))
 	for _, m := range s.members {
 		if m.record.State <= Suspected {
--- a/membership/targets.go
+++ b/membership/targets.go
@@ -3,12 +3,12 @@
 // targets returns the addresses of this tick's heartbeats in the failure domain.
 func (s *State) targets() []string {
 	var addresses []string
-	if s.ticks%probeEvery == 0 || len(s.others()) < fanOut {
-		if candidate, ok := s.candidate(); ok {
+	if s.ticks%probeTicks == 0 || len(s.otherLiveMembers()) < fanOut {
+		if candidate, ok := s.probeTarget(); ok {
 			addresses = append(addresses, candidate)
 		}
 	}
-	for range min(fanOut-len(addresses), len(s.others())) {
+	for range min(fanOut-len(addresses), len(s.otherLiveMembers())) {
 		addresses = append(addresses, s.nextMember())
 	}
 	return addresses
@@ -25,7 +25,7 @@
 			return m.record.Address
 		}
 	}
-	live := s.others()
+	live := s.otherLiveMembers()
 	s.random.Shuffle(len(live), func(i, j int) { live[i], live[j] = live[j], live[i] })
 	for _, r := range live[1:] {
 		s.rotation = append(s.rotation, r.ID)
@@ -33,16 +33,16 @@
 	return live[0].Address
 }
 
-// candidate returns a random address of the own failure domain that no live
-// member has: a candidate, or a member that was removed but did not leave.
-func (s *State) candidate() (string, bool) {
+// probeTarget returns a random address of the own failure domain that no live
+// member has: a probeTarget, or a member that was removed but did not leave.
+func (s *State) probeTarget() (string, bool) {
 	taken := map[string]bool{s.self.Address: true}
-	for _, r := range s.others() {
+	for _, r := range s.otherLiveMembers() {
 		taken[r.Address] = true
 	}
 	found := map[string]bool{}
 	for address, c := range s.candidates {
-		if !taken[address] && s.distance(c) == 0 {
+		if !taken[address] && s.domainRank(c) == 0 {
 			found[address] = true
 		}
 	}
