--- a/membership/build.go
+++ b/membership/build.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// Bounds of the sections of a heartbeat in bytes. What doesn't fit has its turn
+// Limits of the parts of a heartbeat, in encoded bytes. Items that don't fit are sent
 // in a later heartbeat.
 const (
 	maxLeadSectionBytes      = 600
@@ -13,13 +13,15 @@
 	maxHeartbeatCounterBytes = 400
 )
 
-// newMessage returns a message with its header and the room that is left.
+// newMessage returns a message with only its header, and the bytes that remain for
+// its items.
 func (s *State) newMessage() (Message, *byteBudget) {
 	message := Message{From: s.self}
 	return message, &byteBudget{MaxMessageBytes - message.Bytes()}
 }
 
-// section is a part of a heartbeat that takes turns with the others.
+// section is a part of a heartbeat that shares the remaining space with the other
+// sections by rotation.
 type section int
 
 const (
@@ -31,81 +33,83 @@
 	numSections
 )
 
-// heartbeat returns a heartbeat to a member of the own failure domain. One
-// section leads and has room for its largest item; the others get what is left.
+// heartbeat returns a heartbeat to a member of the own failure domain. The sections
+// take turns to lead: the leading one is filled first and has space for its largest
+// item, the others share the space that remains at the end.
 func (s *State) heartbeat(now time.Time) Message {
-	message, left := s.newMessage()
+	message, budget := s.newMessage()
 	lead := section(s.cursors.section % int(numSections))
 	s.cursors.section++
-	s.fillSection(&message, lead, left, maxLeadSectionBytes, now)
-	message.HeartbeatCounters = fill(left, maxHeartbeatCounterBytes, s.heartbeatCounters(), &s.cursors.heartbeatCounters)
-	message.Records = append(message.Records, s.changedRecords(left)...)
-	message.DrainMarkers = fill(left, maxDrainMarkerBytes, s.unexpiredDrainMarkers(now), &s.cursors.drains)
+	s.fillSection(&message, lead, budget, maxLeadSectionBytes, now)
+	message.HeartbeatCounters = fill(budget, maxHeartbeatCounterBytes, s.heartbeatCounters(), &s.cursors.heartbeatCounters)
+	message.Records = append(message.Records, s.changedRecords(budget)...)
+	message.DrainMarkers = fill(budget, maxDrainMarkerBytes, s.unexpiredDrainMarkers(now), &s.cursors.drains)
 	for i := section(1); i < numSections; i++ {
-		s.fillSection(&message, (lead+i)%numSections, left, left.remaining, now)
+		s.fillSection(&message, (lead+i)%numSections, budget, budget.remaining, now)
 	}
 	return message
 }
 
-// fillSection adds up to a number of bytes of one section.
-func (s *State) fillSection(message *Message, which section, left *byteBudget, most int, now time.Time) {
-	switch which {
+// fillSection adds items of one section, up to maxBytes encoded bytes.
+func (s *State) fillSection(message *Message, kind section, budget *byteBudget, maxBytes int, now time.Time) {
+	switch kind {
 	case sectionRecords:
-		message.Records = append(message.Records, fill(left, most, s.otherLiveMembers(), &s.cursors.records)...)
+		message.Records = append(message.Records, fill(budget, maxBytes, s.otherLiveMembers(), &s.cursors.records)...)
 	case sectionSummaries:
-		message.Summaries = fill(left, most, s.summaries(now), &s.cursors.summaries)
+		message.Summaries = fill(budget, maxBytes, s.summaries(now), &s.cursors.summaries)
 	case sectionDemand:
-		message.Demand = fill(left, most, s.demand, &s.cursors.demand)
+		message.Demand = fill(budget, maxBytes, s.demand, &s.cursors.demand)
 	case sectionInFlightCounts:
-		message.InFlightCounts = fill(left, most, s.inFlightCounts, &s.cursors.inFlightCounts)
+		message.InFlightCounts = fill(budget, maxBytes, s.inFlightCounts, &s.cursors.inFlightCounts)
 	case sectionStragglers:
-		message.Stragglers = fill(left, most, s.ownStragglers(), &s.cursors.stragglers)
+		message.Stragglers = fill(budget, maxBytes, s.ownStragglers(), &s.cursors.stragglers)
 	}
 }
 
-// crossDomainHeartbeat returns a heartbeat to a contact in another failure domain.
+// crossDomainHeartbeat returns a heartbeat to an instance of another failure domain.
 func (s *State) crossDomainHeartbeat(now time.Time) Message {
-	message, left := s.newMessage()
-	message.Summaries = fill(left, left.remaining, []DomainSummary{s.ownSummary()}, new(int))
-	message.DrainMarkers = fill(left, maxDrainMarkerBytes, s.unexpiredDrainMarkers(now), &s.cursors.drains)
-	message.Summaries = append(message.Summaries, fill(left, left.remaining, s.summaries(now), &s.cursors.summaries)...)
+	message, budget := s.newMessage()
+	message.Summaries = fill(budget, budget.remaining, []DomainSummary{s.ownSummary()}, new(int))
+	message.DrainMarkers = fill(budget, maxDrainMarkerBytes, s.unexpiredDrainMarkers(now), &s.cursors.drains)
+	message.Summaries = append(message.Summaries, fill(budget, budget.remaining, s.summaries(now), &s.cursors.summaries)...)
 	return message
 }
 
-// changedRecords returns changed records, dead members included.
-func (s *State) changedRecords(left *byteBudget) []Record {
+// changedRecords returns records with a recent change of state, those of removed
+// members and of members that left included. Each is returned changeRepeats times.
+func (s *State) changedRecords(budget *byteBudget) []Record {
 	var records []Record
 	used := 0
 	for _, id := range sortedKeys(s.members) {
 		m := s.members[id]
 		size := m.record.bytes()
-		if m.repeatsLeft == 0 || used+size > min(maxChangedRecordBytes, left.remaining) {
+		if m.repeatsLeft == 0 || used+size > min(maxChangedRecordBytes, budget.remaining) {
 			continue
 		}
 		m.repeatsLeft--
 		used += size
 		records = append(records, m.record)
 	}
-	left.remaining -= used
+	budget.remaining -= used
 	return records
 }
 
-// heartbeatCounters returns the newest heartbeats of all live members.
+// heartbeatCounters returns the newest heartbeat counters of the other live members.
 func (s *State) heartbeatCounters() []HeartbeatCounter {
 	others := s.otherLiveMembers()
-	beats := make([]HeartbeatCounter, len(others))
+	counters := make([]HeartbeatCounter, len(others))
 	for i, r := range others {
-		beats[i] = HeartbeatCounter{hashID(r.ID), r.Incarnation, r.Counter}
+		counters[i] = HeartbeatCounter{hashID(r.ID), r.Incarnation, r.Counter}
 	}
-	return beats
+	return counters
 }
 
-// urgentMessage returns a message with only what must arrive at once.
+// urgentMessage returns a message that holds only items to be sent at once.
 func (s *State) urgentMessage(records []Record, drains []DrainMarker) Message {
-	message, left := s.newMessage()
+	message, budget := s.newMessage()
 	message.Urgent = true
-	message.Records = fill(left, left.remaining, records, new(int))
-	message.DrainMarkers = fill(left, left.remaining, drains, new(int))
+	message.Records = fill(budget, budget.remaining, records, new(int))
+	message.DrainMarkers = fill(budget, budget.remaining, drains, new(int))
 	return message
 }
 
@@ -116,8 +120,8 @@
 	}
 }
 
-// broadcastToOtherDomains sends a message to one contact of each other failure domain that
-// the filter accepts.
+// broadcastToOtherDomains sends a message to one contact of each other failure
+// domain that the filter accepts.
 func (s *State) broadcastToOtherDomains(message Message, accept func(*domain) bool) {
 	for _, name := range sortedKeys(s.domains) {
 		d := s.domains[name]
@@ -127,7 +131,8 @@
 	}
 }
 
-// reserveBroadcast takes one of the urgent broadcasts of this tick.
+// reserveBroadcast uses up one of the urgent broadcasts that are allowed until the
+// next tick, and returns false if none is left.
 func (s *State) reserveBroadcast() bool {
 	s.broadcastsLeft--
 	return s.broadcastsLeft >= 0
@@ -135,8 +140,8 @@
 
 func everyDomain(*domain) bool { return true }
 
-// Leave returns the messages of an instance that stops. Afterwards Tick and
-// Receive do nothing.
+// Leave marks this instance as left and returns the messages that announce it.
+// Afterwards Tick and Receive do nothing.
 func (s *State) Leave(time.Time) []Output {
 	s.outputs = nil
 	s.self.State = Left
@@ -147,9 +152,10 @@
 	return s.outputs
 }
 
-// SetRevision reports that a configuration revision is in force here. The
-// members of the failure domain get it at once unless one of them had it before;
-// with fromStore, so do the other failure domains that aren't known to have it.
+// SetRevision reports that a configuration revision is in force at this instance. It
+// is sent at once to the members of the failure domain, unless one of them had it
+// before, and with fromStore also to the other failure domains that aren't known to
+// have it.
 func (s *State) SetRevision(revision int64, fromStore bool) []Output {
 	s.outputs = nil
 	if revision <= s.self.Revision {
@@ -167,8 +173,9 @@
 	return s.outputs
 }
 
-// SetLoad reports the number of requests in flight.
+// SetLoad reports the number of requests that this instance has in flight.
 func (s *State) SetLoad(load int) { s.self.Load = max(0, load) }
 
-// SetInFlightCounts reports the requests in flight by backend server.
+// SetInFlightCounts reports the requests that this instance has in flight by backend
+// server.
 func (s *State) SetInFlightCounts(counts []InFlightCount) { s.inFlightCounts = counts }
--- a/membership/demand.go
+++ b/membership/demand.go
@@ -7,15 +7,17 @@
 )
 
 const (
-	// demandLifetime is how long the demand of a member is believed. In a failure
-	// domain of 30, a list of the longest names takes more than 30 s to pass.
+	// demandLifetime is how long a reported demand counts after it was received. In
+	// a failure domain of 30 instances, it takes more than 30 s to send a list of
+	// the longest names completely.
 	demandLifetime = 2 * time.Minute
-	// endedDemandTicks is how long the end of an organisation's demand is reported, so
-	// that the others needn't wait for demandLifetime.
+	// endedDemandTicks is how many ticks a rate of 0 is reported after the demand of
+	// an organisation ended, so that the other members needn't wait for
+	// demandLifetime.
 	endedDemandTicks = int(demandLifetime / Interval)
 )
 
-// timedDemand is a rate that another member reported.
+// timedDemand is a rate that another member reported, with the time of receipt.
 type timedDemand struct {
 	Demand
 	receivedAt time.Time
@@ -27,32 +29,33 @@
 	// Instances is the number of instances that the report covers.
 	Instances int
 	Demand    []Demand
-	// Complete reports whether the organisations that are not named have no demand.
+	// Complete reports whether organisations that are not listed have no demand.
 	Complete bool
 }
 
-// SetDemand reports the largest organisations by demand; those after MaxDemand
-// are dropped. Where there is room, organisations that are no longer named are
-// reported with a rate of 0 for a while.
+// SetDemand reports the organisations with the largest demand at this instance,
+// largest first; those after MaxDemand are dropped. In free places of the list,
+// organisations that are no longer listed are reported with a rate of 0 for
+// endedDemandTicks.
 func (s *State) SetDemand(demand []Demand) {
 	list := slices.Clone(demand[:min(len(demand), MaxDemand)])
 	for _, d := range list {
 		s.demandUntilTick[d.Organisation] = s.ticks + endedDemandTicks
 	}
 	for _, name := range sortedKeys(s.demandUntilTick) {
-		named := slices.ContainsFunc(list, func(d Demand) bool { return d.Organisation == name })
+		listed := slices.ContainsFunc(list, func(d Demand) bool { return d.Organisation == name })
 		switch {
 		case s.demandUntilTick[name] < s.ticks:
 			delete(s.demandUntilTick, name)
-		case !named && len(list) < MaxDemand:
+		case !listed && len(list) < MaxDemand:
 			list = append(list, Demand{Organisation: name})
 		}
 	}
 	s.demand = list
 }
 
-// Demand returns the largest organisations of the own failure domain and, by
-// name, of the others.
+// Demand returns the organisations with the largest demand in the own failure
+// domain, and in the others by the name of the failure domain.
 func (s *State) Demand(now time.Time) (own []Demand, others map[string][]Demand) {
 	others = map[string][]Demand{}
 	for _, summary := range s.summaries(now) {
@@ -61,14 +64,14 @@
 	return s.domainDemand(), others
 }
 
-// PeerDemand returns what each other live member and each other failure domain
-// reported.
+// PeerDemand returns the demand that each other live member and each other failure
+// domain reported.
 func (s *State) PeerDemand(now time.Time) []DemandReport {
 	var reports []DemandReport
 	for _, record := range s.otherLiveMembers() {
 		report := DemandReport{Instances: 1}
-		for _, heard := range s.peerDemand[record.ID] {
-			report.Demand = append(report.Demand, heard.Demand)
+		for _, timed := range s.peerDemand[record.ID] {
+			report.Demand = append(report.Demand, timed.Demand)
 		}
 		report.Complete = len(report.Demand) < MaxDemand
 		reports = append(reports, report)
@@ -79,13 +82,15 @@
 	return reports
 }
 
-// listsAllOrganisations reports whether a summary had room for one more organisation.
+// listsAllOrganisations reports whether a summary had space for one more
+// organisation, so that none was left out.
 func (s DomainSummary) listsAllOrganisations() bool {
 	longest := Demand{string(make([]byte, MaxNameBytes)), 1 << 62}
 	return len(s.Demand) < MaxDemand && s.bytes()+longest.bytes() <= maxSummaryBytes
 }
 
-// domainDemand returns the largest organisations of the failure domain.
+// domainDemand returns the organisations with the largest demand in the own failure
+// domain, largest first.
 func (s *State) domainDemand() []Demand {
 	total := map[string]int64{}
 	for _, d := range s.demand {
@@ -106,24 +111,24 @@
 	return list[:min(len(list), MaxDemand)]
 }
 
-// mergeDemand keeps the newest rate by organisation. A heartbeat may hold a part
-// of the list only.
+// mergeDemand stores the rates that a member reported and keeps its older rates of
+// other organisations, because a heartbeat may hold only a part of its list.
 func (s *State) mergeDemand(now time.Time, instance string, demand []Demand) {
 	var merged []timedDemand
-	named := map[string]bool{}
+	updated := map[string]bool{}
 	for _, d := range demand {
 		merged = append(merged, timedDemand{d, now})
-		named[d.Organisation] = true
+		updated[d.Organisation] = true
 	}
 	for _, old := range s.peerDemand[instance] {
-		if !named[old.Organisation] {
+		if !updated[old.Organisation] {
 			merged = append(merged, old)
 		}
 	}
 	s.peerDemand[instance] = merged[:min(len(merged), MaxDemand)]
 }
 
-// expireDemand drops the demand that members no longer report.
+// expireDemand drops demand that was last reported demandLifetime ago.
 func (s *State) expireDemand(now time.Time) {
 	for instance, demand := range s.peerDemand {
 		s.peerDemand[instance] = slices.DeleteFunc(demand, func(d timedDemand) bool {
--- a/membership/domains.go
+++ b/membership/domains.go
@@ -9,21 +9,23 @@
 // maxContacts is the number of contacts in a summary.
 const maxContacts = 2
 
-// maxSummaryBytes leaves out the smallest of the 16 organisations when their
-// names are long, so that a summary fits the leading section of a heartbeat.
+// maxSummaryBytes bounds a summary, so that it fits the leading section of a
+// heartbeat. When organisations have long names, those with the smallest demand are
+// left out of the summary.
 const maxSummaryBytes = maxLeadSectionBytes - 10
 
-// domain is another failure domain.
+// domain holds the newest summary of another failure domain.
 type domain struct {
 	summary DomainSummary
-	// createdAt is when the summary was createdAt, by the clock of this instance.
+	// createdAt is when the summary was created, by the clock of this instance.
 	createdAt time.Time
-	// expired is true when there was no news for summaryLifetime. Its contacts are
-	// still tried.
+	// expired is true when the summary is older than summaryLifetime. Heartbeats are
+	// still sent to its contacts.
 	expired bool
 }
 
-// ownSummary describes the own failure domain.
+// ownSummary returns the summary of the own failure domain. Its contacts are this
+// instance and a random other member.
 func (s *State) ownSummary() DomainSummary {
 	summary := DomainSummary{FailureDomain: s.self.FailureDomain, Members: 1, Load: s.self.Load, Revision: s.self.Revision,
 		Contacts: []Contact{{s.self.ID, s.self.Address}}}
@@ -45,14 +47,14 @@
 	return summary
 }
 
-// mergeSummary keeps the newest summary of a failure domain.
+// mergeSummary stores a received summary if it is newer than the known one.
 func (s *State) mergeSummary(now time.Time, summary DomainSummary) {
 	if summary.FailureDomain == s.self.FailureDomain || !validName(summary.FailureDomain) || summary.Age > summaryLifetime {
 		return
 	}
-	made := now.Add(-max(0, summary.Age))
+	createdAt := now.Add(-max(0, summary.Age))
 	d, known := s.domains[summary.FailureDomain]
-	if known && !made.After(d.createdAt) {
+	if known && !createdAt.After(d.createdAt) {
 		return
 	}
 	summary.Contacts = summary.Contacts[:min(len(summary.Contacts), maxContacts)]
@@ -60,13 +62,14 @@
 	if known {
 		summary.Revision = max(summary.Revision, d.summary.Revision)
 	}
-	s.domains[summary.FailureDomain] = &domain{summary: summary, createdAt: made}
+	s.domains[summary.FailureDomain] = &domain{summary: summary, createdAt: createdAt}
 	if len(summary.Contacts) > 0 {
 		s.noteRevision(summary.Revision, summary.Contacts[0].Address)
 	}
 }
 
-// noteDomainContact notes a message of a member of another failure domain.
+// noteDomainContact handles the sender of a message from another failure domain. It
+// becomes the first contact of its failure domain, or no contact if it left.
 func (s *State) noteDomainContact(now time.Time, from Record) {
 	d, known := s.domains[from.FailureDomain]
 	if !known {
@@ -81,22 +84,23 @@
 	d.summary.Contacts = contacts[:min(len(contacts), maxContacts)]
 }
 
-// dropContact forgets a contact that left.
+// dropContact removes a member that left from the contacts of its failure domain.
 func (s *State) dropContact(record Record) {
 	if d, known := s.domains[record.FailureDomain]; known {
 		d.summary.Contacts = slices.DeleteFunc(d.summary.Contacts, func(c Contact) bool { return c.ID == record.ID })
 	}
 }
 
-// expireDomains marks failure domains without news. Their contacts remain, so
-// that a healed partition is noticed.
+// expireDomains marks failure domains whose summary is too old. Their contacts are
+// kept, so that the domains find each other again after a network partition.
 func (s *State) expireDomains(now time.Time) {
 	for _, d := range s.domains {
 		d.expired = now.Sub(d.createdAt) > summaryLifetime
 	}
 }
 
-// summaries returns the failure domains that are believed, oldest news last.
+// summaries returns the summaries of the other failure domains that have not
+// expired, sorted by name.
 func (s *State) summaries(now time.Time) []DomainSummary {
 	var list []DomainSummary
 	for _, name := range sortedKeys(s.domains) {
@@ -111,7 +115,7 @@
 	return list
 }
 
-// randomContact returns the address of a random randomContact.
+// randomContact returns the address of a random contact of a failure domain.
 func (s *State) randomContact(d *domain) (string, bool) {
 	if len(d.summary.Contacts) == 0 {
 		return "", false
@@ -119,8 +123,8 @@
 	return d.summary.Contacts[s.random.IntN(len(d.summary.Contacts))].Address, true
 }
 
-// crossDomainTarget returns an address in a random other failure domain: a contact, or
-// now and then a candidate in case the contacts are gone.
+// crossDomainTarget returns a random address in a random other failure domain: a
+// contact or a candidate. Candidates are included because the contacts may be gone.
 func (s *State) crossDomainTarget() (string, bool) {
 	options := map[string][]string{}
 	for name, d := range s.domains {
@@ -142,49 +146,51 @@
 	return addresses[s.random.IntN(len(addresses))], true
 }
 
-// Summaries returns the other failure domains that are believed, by name.
+// Summaries returns the summaries of the other failure domains that have not
+// expired, sorted by name.
 func (s *State) Summaries(now time.Time) []DomainSummary {
 	return s.summaries(now)
 }
 
-// LiveMembers returns this instance and the live or suspected members of its failure
-// domain, by ID.
+// LiveMembers returns this instance and the live and suspected members of its
+// failure domain, sorted by ID.
 func (s *State) LiveMembers() []Record {
 	live := append(s.otherLiveMembers(), s.self)
 	slices.SortFunc(live, func(a, b Record) int { return strings.Compare(a.ID, b.ID) })
 	return live
 }
 
-// Candidates returns the addresses that may belong to other instances.
+// Candidates returns the addresses that SetCandidates stored, sorted.
 func (s *State) Candidates() []string { return sortedKeys(s.candidates) }
 
 // Self returns the record of this instance.
 func (s *State) Self() Record { return s.self }
 
-// HighestRevision returns the highest configuration revision that is in force at
-// any instance that was heard of.
+// HighestRevision returns the highest configuration revision that is known to be in
+// force at any instance.
 func (s *State) HighestRevision() int64 { return s.highestRevision }
 
-// AddressesWithRevision returns addresses of instances that have at least a revision: members
-// of the failure domain, or contacts in others when there is none.
+// AddressesWithRevision returns the addresses of instances that have a configuration
+// revision or a later one: members of the own failure domain or, if there are none,
+// contacts of other failure domains.
 func (s *State) AddressesWithRevision(revision int64) []string {
-	var holders []string
+	var addresses []string
 	for _, r := range s.otherLiveMembers() {
 		if r.Revision >= revision {
-			holders = append(holders, r.Address)
+			addresses = append(addresses, r.Address)
 		}
 	}
-	if len(holders) > 0 {
-		return holders
+	if len(addresses) > 0 {
+		return addresses
 	}
 	for _, name := range sortedKeys(s.domains) {
 		if d := s.domains[name]; d.summary.Revision >= revision {
 			for _, c := range d.summary.Contacts {
-				holders = append(holders, c.Address)
+				addresses = append(addresses, c.Address)
 			}
 		}
 	}
-	return holders
+	return addresses
 }
 
 // InstanceCount returns the number of live instances in all failure domains.
--- a/membership/markers.go
+++ b/membership/markers.go
@@ -3,25 +3,28 @@
 import "time"
 
 const (
-	// maxMarkerLifetime bounds how long a marker is believed.
+	// maxMarkerLifetime bounds the time until a marker expires.
 	maxMarkerLifetime = 5 * time.Minute
-	// minMarkerExtension is by how much a marker must outlast the known one. Without it the
-	// delay of each hop would extend a marker that goes around.
+	// minMarkerExtension is by how much a received marker must outlast the known one
+	// to replace it. Without it, the delay of each hop would extend the lifetime of
+	// a marker that members keep sending to each other.
 	minMarkerExtension = 2 * time.Second
-	// expiredMarkerRetention is how long an expired marker stays known, so that a late copy
-	// isn't taken for a new one.
+	// expiredMarkerRetention is how long an expired marker is kept, so that a delayed
+	// copy isn't taken for a new marker.
 	expiredMarkerRetention = 30 * time.Second
-	// maxMarkers bounds the drain markers and the straggler markers.
+	// maxMarkers bounds the number of drain markers and that of straggler markers.
 	maxMarkers = 512
 )
 
-// drainEntry is a drainEntry marker with its local expiry.
+// drainEntry is a drain marker with its expiry by the local clock.
 type drainEntry struct {
 	marker    DrainMarker
 	expiresAt time.Time
 }
 
-// supersedes reports whether a marker tells more than the known one.
+// supersedes reports whether a marker replaces the known one: it has a higher
+// incarnation, or the known one of the same incarnation is cleared and it is not, or
+// it expires later by more than minMarkerExtension.
 func (d drainEntry) supersedes(known drainEntry) bool {
 	switch {
 	case d.marker.Incarnation != known.marker.Incarnation:
@@ -32,13 +35,15 @@
 	return d.expiresAt.Sub(known.expiresAt) > minMarkerExtension
 }
 
-// MarkDraining reports a backend server that refuses because it leaves. All
-// members of the failure domain and a contact of each other one get it at once.
+// MarkDraining reports that a backend server refuses requests because it is
+// draining. The marker is sent at once to all members of the failure domain and to
+// one contact of each other failure domain.
 func (s *State) MarkDraining(now time.Time, server string, incarnation int64, lifetime time.Duration) []Output {
 	return s.setDrainMarker(now, DrainMarker{Server: server, Incarnation: incarnation, Remaining: lifetime})
 }
 
-// ClearDraining reports a backend server that came back with a new incarnation.
+// ClearDraining reports that a backend server with a drain marker has restarted with
+// a new incarnation.
 func (s *State) ClearDraining(now time.Time, server string, incarnation int64) []Output {
 	known, ok := s.drains[server]
 	if !ok || known.marker.Incarnation >= incarnation {
@@ -57,7 +62,8 @@
 	return s.outputs
 }
 
-// mergeDrain returns whether the marker is new here.
+// mergeDrain stores a marker, unless it is invalid, doesn't supersede the known marker
+// of the backend server, or exceeds maxMarkers. It returns whether it did.
 func (s *State) mergeDrain(now time.Time, marker DrainMarker) bool {
 	if !validName(marker.Server) || marker.Remaining <= 0 {
 		return false
@@ -72,16 +78,17 @@
 	return true
 }
 
-// mergeMarkers takes markers and forwards new ones of another failure domain.
+// mergeMarkers stores the markers of a message. New drain markers from another
+// failure domain are forwarded to the members of the own one.
 func (s *State) mergeMarkers(now time.Time, message Message, local bool) {
-	var fresh []DrainMarker
+	var newMarkers []DrainMarker
 	for _, marker := range message.DrainMarkers {
 		if s.mergeDrain(now, marker) {
-			fresh = append(fresh, marker)
+			newMarkers = append(newMarkers, marker)
 		}
 	}
-	if len(fresh) > 0 && !local && s.reserveBroadcast() {
-		s.broadcast(s.urgentMessage(nil, fresh))
+	if len(newMarkers) > 0 && !local && s.reserveBroadcast() {
+		s.broadcast(s.urgentMessage(nil, newMarkers))
 	}
 	for _, straggler := range message.Stragglers {
 		if validName(straggler.Server) && len(s.stragglers) < maxMarkers {
@@ -92,8 +99,9 @@
 
 func markerKey(instance, server string) string { return instance + "\x00" + server }
 
-// SetStragglers reports the slow backend servers that this instance sees. The
-// other members of the failure domain get one that is new at once.
+// SetStragglers replaces the backend servers that this instance reports as slow.
+// Those that it did not report before are sent at once to the other members of the
+// failure domain.
 func (s *State) SetStragglers(stragglers []Straggler) []Output {
 	s.outputs = nil
 	known := map[string]bool{}
@@ -101,17 +109,17 @@
 		known[straggler.Server] = true
 		delete(s.stragglers, markerKey(s.self.ID, straggler.Server))
 	}
-	var fresh []Straggler
+	var newStragglers []Straggler
 	for _, straggler := range stragglers {
 		s.stragglers[markerKey(s.self.ID, straggler.Server)] = straggler
 		if !known[straggler.Server] {
-			fresh = append(fresh, straggler)
+			newStragglers = append(newStragglers, straggler)
 		}
 	}
-	if len(fresh) > 0 && s.reserveBroadcast() {
-		message, left := s.newMessage()
+	if len(newStragglers) > 0 && s.reserveBroadcast() {
+		message, budget := s.newMessage()
 		message.Urgent = true
-		message.Stragglers = fill(left, left.remaining, fresh, new(int))
+		message.Stragglers = fill(budget, budget.remaining, newStragglers, new(int))
 		s.broadcast(message)
 	}
 	return s.outputs
@@ -127,7 +135,8 @@
 	return list
 }
 
-// expireMarkers drops markers whose time is over.
+// expireMarkers drops straggler markers that have expired, and drain markers that
+// expired expiredMarkerRetention ago.
 func (s *State) expireMarkers(now time.Time) {
 	for server, d := range s.drains {
 		if now.Sub(d.expiresAt) >= expiredMarkerRetention {
@@ -143,7 +152,8 @@
 	}
 }
 
-// unexpiredDrainMarkers returns all markers, cleared ones included, by server.
+// unexpiredDrainMarkers returns the drain markers that have not expired, cleared ones
+// included, sorted by backend server.
 func (s *State) unexpiredDrainMarkers(now time.Time) []DrainMarker {
 	var list []DrainMarker
 	for _, server := range sortedKeys(s.drains) {
@@ -156,7 +166,8 @@
 	return list
 }
 
-// Draining returns the backend servers that are leaving, by server.
+// Draining returns the markers of the backend servers that are draining, sorted by
+// backend server.
 func (s *State) Draining(now time.Time) []DrainMarker {
 	var list []DrainMarker
 	for _, marker := range s.unexpiredDrainMarkers(now) {
@@ -167,14 +178,14 @@
 	return list
 }
 
-// PeerStragglers returns for each backend server that other members see as slow
-// how many of them do.
+// PeerStragglers returns, by backend server, how many other members report it as
+// slow.
 func (s *State) PeerStragglers() map[string]int {
-	seen := map[string]int{}
+	reports := map[string]int{}
 	for key, straggler := range s.stragglers {
 		if key != markerKey(s.self.ID, straggler.Server) {
-			seen[straggler.Server]++
+			reports[straggler.Server]++
 		}
 	}
-	return seen
+	return reports
 }
--- a/membership/message.go
+++ b/membership/message.go
@@ -1,7 +1,7 @@
-// Package membership holds what an instance knows of the others: live members of
-// its failure domain, summaries of other failure domains, drain markers and
-// peers' load counts. It is a state machine without I/O; the adapter delivers
-// the messages that it returns.
+// Package membership implements gossip membership: the live members of the own
+// failure domain, summaries of the other failure domains, drain markers of backend
+// servers, and the load that peers report. It is a state machine without I/O; the
+// adapter sends the messages that it returns.
 package membership
 
 import (
@@ -10,14 +10,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MaxMessageBytes bounds one encoded message, so that it fits one datagram on
-// every path.
+// MaxMessageBytes bounds an encoded message, so that it fits into one datagram on
+// every network path.
 const MaxMessageBytes = 1200
 
-// MaxNameBytes bounds IDs, names and addresses in messages.
+// MaxNameBytes bounds each ID, name and address in a message.
 const MaxNameBytes = 64
 
-// MemberState is the state of a member as its failure domain sees it.
+// MemberState is the state of a member in the view of its failure domain.
 type MemberState int
 
 // States of a member. A higher state of the same incarnation and counter replaces
@@ -33,13 +33,13 @@
 	return [...]string{"alive", "suspected", "removed", "left"}[s]
 }
 
-// Record is what is known of one member.
+// Record describes one member of a failure domain.
 type Record struct {
 	ID            string
 	FailureDomain string
-	// Address is the IP number and port of the peer service.
+	// Address is the IP address and port of the peer service.
 	Address string
-	// Incarnation rises with each restart and with each refuted suspicion.
+	// Incarnation increases with each restart and with each refuted suspicion.
 	Incarnation uint64
 	// Counter is the number of heartbeats since the start.
 	Counter uint64
@@ -50,7 +50,7 @@
 	Revision int64
 }
 
-// newer reports whether r shows a later heartbeat than other.
+// newer reports whether r is of a later heartbeat than other.
 func (r Record) newer(other Record) bool {
 	if r.Incarnation != other.Incarnation {
 		return r.Incarnation > other.Incarnation
@@ -58,8 +58,9 @@
 	return r.Counter > other.Counter
 }
 
-// HeartbeatCounter is the newest heartbeat of a member. The member is named by the hash of
-// its ID, so that one message has room for a whole failure domain.
+// HeartbeatCounter identifies the newest heartbeat of a member. It holds a hash of
+// the member's ID instead of the ID, so that the counters of a whole failure domain
+// fit into one message.
 type HeartbeatCounter struct {
 	IDHash      uint64
 	Incarnation uint64
@@ -70,27 +71,30 @@
 	return xxhash.Sum64String(id)
 }
 
-// DrainMarker says that a backend server leaves, or with Cleared that it came
-// back with a new incarnation.
+// DrainMarker reports that a backend server is draining or, with Cleared, that it
+// has restarted with a new incarnation.
 type DrainMarker struct {
-	Server      string
+	Server string
+	// Incarnation is that of the backend server.
 	Incarnation int64
 	Cleared     bool
 	// Remaining is the time until the marker expires.
 	Remaining time.Duration
 }
 
-// Straggler says that the sender sees a slow backend server.
+// Straggler reports that a backend server is slow for the sender.
 type Straggler struct {
-	Server    string
+	Server string
+	// Remaining is the time until the report expires.
 	Remaining time.Duration
 }
 
-// InFlightCount is the number of requests that the sender has in flight at a backend server.
+// InFlightCount is the number of requests that the sender has in flight at a
+// backend server.
 type InFlightCount struct {
 	Server   string
 	InFlight int
-	// Long is how many of them are of class long.
+	// Long is how many of these requests are of the class long.
 	Long int
 }
 
@@ -101,32 +105,36 @@
 	MilliPerSecond int64
 }
 
-// MaxDemand is the number of organisations whose demand is reported.
+// MaxDemand bounds the number of organisations in a list of demand.
 const MaxDemand = 16
 
-// Contact is a member that other failure domains may write to.
+// Contact is a member to which instances of other failure domains send messages.
 type Contact struct {
 	ID      string
 	Address string
 }
 
-// DomainSummary represents another failure domain.
+// DomainSummary describes a failure domain to the others.
 type DomainSummary struct {
 	FailureDomain string
-	Members       int
-	Load          int
-	Revision      int64
-	Contacts      []Contact
-	Demand        []Demand
-	// Age is the time since the summary was made.
+	// Members is the number of live and suspected members.
+	Members int
+	// Load is the number of requests that the members have in flight.
+	Load int
+	// Revision is the highest configuration revision in force at a member.
+	Revision int64
+	Contacts []Contact
+	Demand   []Demand
+	// Age is the time since the summary was created.
 	Age time.Duration
 }
 
 // Message is one heartbeat or urgent message.
 type Message struct {
 	From Record
-	// Urgent messages are sent at once; the receiver in another failure domain
-	// forwards what is new to its members.
+	// Urgent is set on a message that is sent at once instead of with the next
+	// heartbeat. A receiver in another failure domain forwards what is new in it to
+	// its members: drain markers and the leave of the sender.
 	Urgent            bool
 	HeartbeatCounters []HeartbeatCounter
 	Records           []Record
@@ -137,26 +145,28 @@
 	Summaries         []DomainSummary
 }
 
-// Output is what the adapter carries out or passes on.
+// Output is an action or event for the adapter.
 type Output interface{ membershipOutput() }
 
 // Outputs of the state machine.
 type (
-	// Send asks to send a message to an address.
+	// Send requests that a message is sent to an address.
 	Send struct {
 		Address string
 		Message Message
 	}
-	// MemberChanged reports a member that joined, is suspected, was removed or left.
+	// MemberChanged reports a member that joined, is suspected, is alive again, was
+	// removed or left.
 	MemberChanged struct{ Record Record }
-	// NewRevision reports a configuration revision above all known before.
+	// NewRevision reports a configuration revision that is higher than all known
+	// before, with the address of an instance that has it.
 	NewRevision struct {
 		Revision int64
 		Address  string
 	}
-	// NewDrainMarker reports a drain marker that is new here.
+	// NewDrainMarker reports a drain marker that is new at this instance.
 	NewDrainMarker struct{ Marker DrainMarker }
-	// InFlightCountsReceived reports a peer's requests in flight.
+	// InFlightCountsReceived reports counts that another instance sent.
 	InFlightCountsReceived struct {
 		Instance string
 		Counts   []InFlightCount
--- a/membership/network_test.go
+++ b/membership/network_test.go
@@ -9,7 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// testNetwork delivers messages between instances in memory.
+// testNetwork simulates a network: it delivers messages between instances in memory.
 type testNetwork struct {
 	c      *qt.C
 	now    time.Time
@@ -17,19 +17,23 @@
 	// instances holds the instances by address, order their addresses.
 	instances map[string]*State
 	order     []string
-	// phases is the order in which instances tick.
+	// phases is the order in which the instances tick within an interval, as positions
+	// in order.
 	phases []int
 	queue  []Send
-	// loss is the share of lost messages.
+	// loss is the probability that a message is lost.
 	loss float64
-	// partitioned reports whether two instances can't reach each other.
+	// partitioned reports whether two instances can't reach each other; nil for no
+	// partition.
 	partitioned func(a, b Record) bool
-	// paused instances neither tick nor receive; their last messages wait.
+	// paused instances, by address, neither tick nor receive. Messages to them are
+	// queued until they resume.
 	paused            map[string]bool
 	queuedWhilePaused map[string][]Message
-	// removed counts removals that were reported, by member.
+	// removed counts the reported removals by the ID of the removed member.
 	removed map[string]int
-	// suspected counts suspicions by the member that has them.
+	// suspected counts the reported suspicions by the ID of the instance that reported
+	// them.
 	suspected                 map[string]int
 	messages, maxMessageBytes int
 }
@@ -39,125 +43,129 @@
 		paused: map[string]bool{}, queuedWhilePaused: map[string][]Message{}, removed: map[string]int{}, suspected: map[string]int{}}
 }
 
-// start adds instances to the failure domains; each knows one seed address.
-func (f *testNetwork) start(domains, perDomain int) {
+// start adds a number of instances to each of a number of failure domains. Each
+// instance knows the address of the first instance of its failure domain, and those
+// outside the first failure domain that of the very first instance.
+func (net *testNetwork) start(domains, perDomain int) {
 	for d := range domains {
 		for i := range perDomain {
-			f.add(fmt.Sprintf("entry-%02d-%03d", d, i), fmt.Sprintf("domain-%02d", d), 1)
+			net.add(fmt.Sprintf("entry-%02d-%03d", d, i), fmt.Sprintf("domain-%02d", d), 1)
 		}
 	}
-	for i, address := range f.order {
-		seeds := []Candidate{{Address: f.order[0]}}
+	for i, address := range net.order {
+		seeds := []Candidate{{Address: net.order[0]}}
 		if i >= perDomain {
-			first := f.order[i-i%perDomain]
-			seeds = []Candidate{{FailureDomain: f.instances[first].self.FailureDomain, Address: first}, {FailureDomain: "domain-00", Address: f.order[0]}}
+			first := net.order[i-i%perDomain]
+			seeds = []Candidate{{FailureDomain: net.instances[first].self.FailureDomain, Address: first}, {FailureDomain: "domain-00", Address: net.order[0]}}
 		}
-		f.instances[address].SetCandidates(seeds)
+		net.instances[address].SetCandidates(seeds)
 	}
 }
 
-func (f *testNetwork) add(id, domain string, incarnation uint64) *State {
-	address := fmt.Sprintf("10.0.0.1:%d", 10000+len(f.order))
-	state := New(Identity{id, domain, address, incarnation}, rand.New(rand.NewPCG(f.random.Uint64(), f.random.Uint64())), f.now)
-	f.instances[address] = state
-	f.order = append(f.order, address)
+func (net *testNetwork) add(id, domain string, incarnation uint64) *State {
+	address := fmt.Sprintf("10.0.0.1:%d", 10000+len(net.order))
+	state := New(Identity{id, domain, address, incarnation}, rand.New(rand.NewPCG(net.random.Uint64(), net.random.Uint64())), net.now)
+	net.instances[address] = state
+	net.order = append(net.order, address)
 	return state
 }
 
-func (f *testNetwork) stop(address string) { delete(f.instances, address) }
+func (net *testNetwork) stop(address string) { delete(net.instances, address) }
 
-// apply takes the outputs of one instance.
-func (f *testNetwork) apply(from *State, outputs []Output) {
+// apply queues the messages that an instance sends and counts the changes that it
+// reports. It fails the test if a message is too large.
+func (net *testNetwork) apply(from *State, outputs []Output) {
 	for _, output := range outputs {
 		switch out := output.(type) {
 		case Send:
 			if size := out.Message.Bytes(); size > MaxMessageBytes {
-				f.c.Fatalf("message has %d bytes", size)
+				net.c.Fatalf("message has %d bytes", size)
 			}
-			f.messages++
-			f.maxMessageBytes = max(f.maxMessageBytes, out.Message.Bytes())
-			if f.random.Float64() >= f.loss {
-				f.queue = append(f.queue, out)
+			net.messages++
+			net.maxMessageBytes = max(net.maxMessageBytes, out.Message.Bytes())
+			if net.random.Float64() >= net.loss {
+				net.queue = append(net.queue, out)
 			}
 		case MemberChanged:
 			switch out.Record.State {
 			case Removed:
-				f.removed[out.Record.ID]++
+				net.removed[out.Record.ID]++
 			case Suspected:
-				f.suspected[from.self.ID]++
+				net.suspected[from.self.ID]++
 			}
 		}
 	}
 }
 
-// deliver passes all messages on, those that they cause included.
-func (f *testNetwork) deliver() {
-	for len(f.queue) > 0 {
-		out := f.queue[0]
-		f.queue = f.queue[1:]
-		to, up := f.instances[out.Address]
+// deliver delivers all queued messages and the messages sent in response.
+func (net *testNetwork) deliver() {
+	for len(net.queue) > 0 {
+		out := net.queue[0]
+		net.queue = net.queue[1:]
+		to, running := net.instances[out.Address]
 		switch {
-		case !up || f.partitioned != nil && f.partitioned(out.Message.From, to.self):
-		case f.paused[out.Address]:
+		case !running || net.partitioned != nil && net.partitioned(out.Message.From, to.self):
+		case net.paused[out.Address]:
 			const socketBuffer = 50
-			if len(f.queuedWhilePaused[out.Address]) < socketBuffer {
-				f.queuedWhilePaused[out.Address] = append(f.queuedWhilePaused[out.Address], out.Message)
+			if len(net.queuedWhilePaused[out.Address]) < socketBuffer {
+				net.queuedWhilePaused[out.Address] = append(net.queuedWhilePaused[out.Address], out.Message)
 			}
 		default:
-			f.apply(to, to.Receive(f.now, out.Message))
+			net.apply(to, to.Receive(net.now, out.Message))
 		}
 	}
 }
 
-// round lets one interval pass. Instances tick one after the other in an order
-// that stays, as those with independent timers do.
-func (f *testNetwork) round() {
-	if len(f.phases) != len(f.order) {
-		f.phases = f.random.Perm(len(f.order))
+// round simulates one interval. The instances tick one after the other in an order
+// that stays the same, like instances with independent timers.
+func (net *testNetwork) round() {
+	if len(net.phases) != len(net.order) {
+		net.phases = net.random.Perm(len(net.order))
 	}
-	start := f.now
-	for i, phase := range f.phases {
-		f.now = start.Add(Interval * time.Duration(i) / time.Duration(len(f.phases)))
-		address := f.order[phase]
-		if node, up := f.instances[address]; up && !f.paused[address] {
-			f.apply(node, node.Tick(f.now))
-			f.deliver()
+	start := net.now
+	for i, phase := range net.phases {
+		net.now = start.Add(Interval * time.Duration(i) / time.Duration(len(net.phases)))
+		address := net.order[phase]
+		if instance, running := net.instances[address]; running && !net.paused[address] {
+			net.apply(instance, instance.Tick(net.now))
+			net.deliver()
 		}
 	}
-	f.now = start.Add(Interval)
+	net.now = start.Add(Interval)
 }
 
-func (f *testNetwork) rounds(n int) {
+func (net *testNetwork) rounds(n int) {
 	for range n {
-		f.round()
+		net.round()
 	}
 }
 
-// resume ends a pause.
-func (f *testNetwork) resume(address string) {
-	f.paused[address] = false
-	f.apply(f.instances[address], f.instances[address].Tick(f.now))
-	for _, message := range f.queuedWhilePaused[address] {
-		f.apply(f.instances[address], f.instances[address].Receive(f.now, message))
+// resume ends the pause of an instance and delivers its queued messages.
+func (net *testNetwork) resume(address string) {
+	net.paused[address] = false
+	net.apply(net.instances[address], net.instances[address].Tick(net.now))
+	for _, message := range net.queuedWhilePaused[address] {
+		net.apply(net.instances[address], net.instances[address].Receive(net.now, message))
 	}
-	f.queuedWhilePaused[address] = nil
-	f.deliver()
+	net.queuedWhilePaused[address] = nil
+	net.deliver()
 }
 
-// roundsUntil counts rounds roundsUntil all running instances satisfy a condition.
-func (f *testNetwork) roundsUntil(most int, condition func(*State) bool) int {
-	for n := range most {
-		if f.all(condition) {
+// roundsUntil plays rounds until all running instances satisfy a condition, at most
+// maxRounds, and returns how many it played.
+func (net *testNetwork) roundsUntil(maxRounds int, condition func(*State) bool) int {
+	for n := range maxRounds {
+		if net.all(condition) {
 			return n
 		}
-		f.round()
+		net.round()
 	}
-	return most
+	return maxRounds
 }
 
-func (f *testNetwork) all(condition func(*State) bool) bool {
-	for _, node := range f.instances {
-		if !condition(node) {
+func (net *testNetwork) all(condition func(*State) bool) bool {
+	for _, instance := range net.instances {
+		if !condition(instance) {
 			return false
 		}
 	}
@@ -168,8 +176,8 @@
 	return func(s *State) bool { return len(s.LiveMembers()) == n }
 }
 
-// forSeeds runs a test with fixed seeds.
-func forSeeds(t *testing.T, run func(f *testNetwork)) {
+// forSeeds runs a test with each of four fixed seeds.
+func forSeeds(t *testing.T, run func(net *testNetwork)) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { run(newTestNetwork(qt.New(t), seed)) })
 	}
--- a/membership/receive.go
+++ b/membership/receive.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Receive takes a message of another instance.
+// Receive handles a message from another instance and returns the resulting messages
+// and events. It ignores its own messages and those with an invalid sender.
 func (s *State) Receive(now time.Time, message Message) []Output {
 	s.outputs = nil
 	from := message.From
@@ -11,8 +12,8 @@
 	}
 	local := from.FailureDomain == s.self.FailureDomain
 	m, known := s.members[from.ID]
-	// A refuted suspicion raises the incarnation but keeps the counter.
-	fresh := !known || from.Incarnation > m.record.Incarnation && from.Counter < m.record.Counter
+	// A refuted suspicion also raises the incarnation, but keeps the counter.
+	started := !known || from.Incarnation > m.record.Incarnation && from.Counter < m.record.Counter
 	s.noteRevision(from.Revision, from.Address)
 	if local {
 		s.receiveLocal(now, message)
@@ -26,18 +27,19 @@
 	s.mergeMarkers(now, message, local)
 	switch {
 	case !local || from.State == Left:
-	case fresh:
-		// A member that started just now may know nobody yet.
+	case started:
+		// A member that has just started may not know any other member yet.
 		s.send(from.Address, s.heartbeat(now))
 	case from.Incarnation < m.record.Incarnation:
-		// A clock that went back gave a restarted member too low an incarnation. It
-		// raises it when it hears of the higher one.
+		// The clock of a restarted member went back, so that its incarnation is lower
+		// than before. The member raises it when it receives its old record.
 		s.send(from.Address, s.urgentMessage([]Record{m.record}, nil))
 	}
 	return s.outputs
 }
 
-// forwardLeave tells the members that a contact in another failure domain left.
+// forwardLeave forwards to the members that an instance of another failure domain
+// left, because it may be one of their contacts.
 func (s *State) forwardLeave(message Message) {
 	if message.Urgent && message.From.State == Left && s.reserveBroadcast() {
 		s.broadcast(s.urgentMessage([]Record{message.From}, nil))
@@ -57,8 +59,8 @@
 			s.dropContact(record)
 		}
 	}
-	for _, beat := range message.HeartbeatCounters {
-		s.mergeHeartbeatCounter(now, beat)
+	for _, counter := range message.HeartbeatCounters {
+		s.mergeHeartbeatCounter(now, counter)
 	}
 	if len(message.InFlightCounts) > 0 {
 		s.outputs = append(s.outputs, InFlightCountsReceived{from.ID, message.InFlightCounts})
@@ -68,7 +70,7 @@
 	}
 }
 
-// noteRevision reports a revision that is new here.
+// noteRevision reports a revision that is higher than all known before.
 func (s *State) noteRevision(revision int64, address string) {
 	if revision <= s.highestRevision {
 		return
@@ -77,7 +79,7 @@
 	s.outputs = append(s.outputs, NewRevision{revision, address})
 }
 
-// mergeRecord takes what another member knows of a member.
+// mergeRecord merges a received record into the own state.
 func (s *State) mergeRecord(now time.Time, record Record) {
 	if record.ID == s.self.ID {
 		s.refute(record)
@@ -85,7 +87,7 @@
 	}
 	m, known := s.members[record.ID]
 	if !known {
-		// A member that is only known as dead needs no entry.
+		// An unknown member that was removed or left needs no entry.
 		if record.State <= Suspected {
 			s.addMember(now, record)
 		}
@@ -95,28 +97,30 @@
 		m.addressIncarnation, m.record.Address = record.Incarnation, record.Address
 	}
 	m.record.Revision = max(m.record.Revision, record.Revision)
-	fresh := record.newer(m.record)
-	if fresh {
+	newer := record.newer(m.record)
+	if newer {
 		m.record.Load = record.Load
 		s.noteHeartbeat(now, m, record.Incarnation, record.Counter)
 	}
-	// Suspicion spreads by silence: each member hears the counters itself. Only a
-	// leave is taken over, since it comes from the member.
-	if record.State == Left && (fresh || !m.record.newer(record)) {
+	// Received suspicions and removals are ignored: each instance decides on them
+	// by the heartbeat counters that it receives. Only Left is adopted, because the
+	// member itself reported it.
+	if record.State == Left && (newer || !m.record.newer(record)) {
 		s.setState(m, Left, now)
 	}
 }
 
-// mergeHeartbeatCounter takes a heartbeat counter that another member heard.
-func (s *State) mergeHeartbeatCounter(now time.Time, beat HeartbeatCounter) {
-	m, known := s.members[s.idByHash[beat.IDHash]]
-	if known && (Record{Incarnation: beat.Incarnation, Counter: beat.Counter}).newer(m.record) {
-		s.noteHeartbeat(now, m, beat.Incarnation, beat.Counter)
+// mergeHeartbeatCounter merges a heartbeat counter that another member forwarded.
+func (s *State) mergeHeartbeatCounter(now time.Time, counter HeartbeatCounter) {
+	m, known := s.members[s.idByHash[counter.IDHash]]
+	if known && (Record{Incarnation: counter.Incarnation, Counter: counter.Counter}).newer(m.record) {
+		s.noteHeartbeat(now, m, counter.Incarnation, counter.Counter)
 	}
 }
 
-// noteHeartbeat notes a later heartbeat. It brings a suspected or removed member back;
-// the heartbeat with which a member left is its last one.
+// noteHeartbeat stores a newer heartbeat of a member. It makes a suspected or removed
+// member alive again, and also one that left: its leave was its last heartbeat, so
+// that a newer one is from a new process.
 func (s *State) noteHeartbeat(now time.Time, m *member, incarnation, counter uint64) {
 	m.record.Incarnation, m.record.Counter = incarnation, counter
 	m.lastHeartbeat = now
@@ -132,12 +136,12 @@
 	s.outputs = append(s.outputs, MemberChanged{record})
 }
 
-// refute answers a suspicion of this instance, or an older incarnation of it,
-// with a higher incarnation.
+// refute raises the incarnation of this instance if another member suspects or
+// removed it, or has a record of it with a higher incarnation.
 func (s *State) refute(record Record) {
-	stale := record.Incarnation > s.self.Incarnation
-	accused := record.State != Alive && record.Incarnation == s.self.Incarnation
-	if s.self.State == Alive && (stale || accused) {
+	outranked := record.Incarnation > s.self.Incarnation
+	suspected := record.State != Alive && record.Incarnation == s.self.Incarnation
+	if s.self.State == Alive && (outranked || suspected) {
 		s.self.Incarnation = record.Incarnation + 1
 	}
 }
--- a/membership/size.go
+++ b/membership/size.go
@@ -2,15 +2,17 @@
 
 import "time"
 
-// Sizes are upper bounds of the protobuf encoding in bytes. Every field has a
-// tag of one byte; a length or number below 128 takes one byte.
+// The functions named bytes return upper bounds of the size of the protobuf encoding
+// in bytes. Every field has a tag of one byte; a length or number below 128 takes
+// one byte.
 const (
 	tagBytes = 1
-	// embeddedHeaderBytes is the tag and length of an embedded message.
+	// embeddedHeaderBytes bounds the tag and length of an embedded message.
 	embeddedHeaderBytes = tagBytes + 2
-	// fixed64Bytes is a 64-bit hash in a packed list.
+	// fixed64Bytes is the size of a 64-bit hash in a packed list.
 	fixed64Bytes = 8
-	// packedListHeaderBytes are tags and lengths of the three lists of beats.
+	// packedListHeaderBytes bounds the tags and lengths of the three packed lists to
+	// which heartbeat counters are encoded.
 	packedListHeaderBytes = 3 * embeddedHeaderBytes
 )
 
@@ -69,7 +71,7 @@
 	return total
 }
 
-// Bytes returns an upper bound of the encoded size.
+// Bytes returns an upper bound of the encoded size in bytes.
 func (m Message) Bytes() int {
 	return m.From.bytes() + numberBytes(1) + packedListHeaderBytes + listBytes(m.HeartbeatCounters) + listBytes(m.Records) +
 		listBytes(m.DrainMarkers) + listBytes(m.Stragglers) + listBytes(m.InFlightCounts) + listBytes(m.Demand) + listBytes(m.Summaries)
@@ -77,23 +79,24 @@
 
 type sized interface{ bytes() int }
 
-// byteBudget is the space left in a message.
+// byteBudget is the number of bytes that remain in a message.
 type byteBudget struct{ remaining int }
 
-// fill returns as many items as fit into a number of bytes, starting after those
-// that the last call returned, so that every item gets its turn.
-func fill[T sized](r *byteBudget, most int, items []T, cursor *int) []T {
-	most = min(most, r.remaining)
-	var taken []T
+// fill returns as many items as fit into maxBytes and the budget. It starts after
+// the items that the last call with the cursor returned, so that all items take
+// turns.
+func fill[T sized](budget *byteBudget, maxBytes int, items []T, cursor *int) []T {
+	maxBytes = min(maxBytes, budget.remaining)
+	var selected []T
 	for range items {
 		item := items[*cursor%len(items)]
-		if item.bytes() > most {
+		if item.bytes() > maxBytes {
 			break
 		}
-		most -= item.bytes()
-		r.remaining -= item.bytes()
-		taken = append(taken, item)
+		maxBytes -= item.bytes()
+		budget.remaining -= item.bytes()
+		selected = append(selected, item)
 		*cursor = (*cursor + 1) % len(items)
 	}
-	return taken
+	return selected
 }
--- a/membership/state.go
+++ b/membership/state.go
@@ -7,115 +7,124 @@
 	"time"
 )
 
-// Times of section 8.4 of the design page.
+// Timing of failure detection, as in section 8.4 of the design page.
 const (
 	// Interval is the time between two calls of Tick.
 	Interval = time.Second
-	// SuspectAfter is how long a member may be silent.
+	// SuspectAfter is how long after its last heartbeat a member is suspected.
 	SuspectAfter = 5 * time.Second
-	// RemoveAfter is the time in which a suspected member can refute.
+	// RemoveAfter is how long a suspected member has to refute the suspicion before
+	// it is removed.
 	RemoveAfter = 3 * time.Second
-	// summaryLifetime is how long a failure domain is believed without news.
+	// summaryLifetime is how long the summary of a failure domain is valid.
 	summaryLifetime = 30 * time.Second
-	// tombstoneLifetime is how long a removed member stays known, so that late
-	// messages don't bring it back and that a healed partition is found.
+	// tombstoneLifetime is how long the record of a member that was removed or left
+	// is kept, so that delayed messages don't add the member again and that members
+	// find each other again after a network partition.
 	tombstoneLifetime = 15 * time.Minute
-	// pauseThreshold is the time between two ticks from which on this instance itself
-	// was paused. The silence of others then proves nothing.
+	// pauseThreshold is the time between two ticks above which this instance was
+	// paused itself. Missing heartbeats then don't prove that other members failed.
 	pauseThreshold = 3 * time.Second
 )
 
-// Counts of messages per tick.
 const (
+	// fanOut is the number of heartbeats that each tick sends in the own failure
+	// domain.
 	fanOut = 2
-	// crossDomainTicks is the number of ticks between heartbeats to another failure domain.
+	// crossDomainTicks is the number of ticks between heartbeats to another failure
+	// domain.
 	crossDomainTicks = 5
-	// probeTicks is the number of ticks between heartbeats to a candidate in place
-	// of a member.
+	// probeTicks is the number of ticks between heartbeats that go to a candidate
+	// instead of a member.
 	probeTicks = 3
-	// changeRepeats is how often a changed record goes first.
+	// changeRepeats is in how many messages a changed record is sent with priority.
 	changeRepeats = 6
-	// maxBroadcasts bounds the urgent broadcasts between two ticks. Further news
-	// travels with heartbeats.
+	// maxBroadcasts bounds the urgent broadcasts between two ticks. Further changes
+	// are sent with heartbeats only.
 	maxBroadcasts = 8
-	// maxTombstones and maxCandidates bound the state.
+	// maxTombstones and maxCandidates bound the size of the state.
 	maxTombstones = 256
 	maxCandidates = 64
 )
 
-// Identity is what the adapter knows of its own instance.
+// Identity describes the own instance.
 type Identity struct {
 	ID            string
 	FailureDomain string
 	Address       string
-	// Incarnation must rise with each start; the adapter takes the time in seconds.
+	// Incarnation must increase with each start. The adapter uses the Unix time in
+	// seconds.
 	Incarnation uint64
 }
 
-// member is a record with what this instance knows of its freshness.
+// member is the record of a member with its local bookkeeping.
 type member struct {
 	record Record
-	// lastHeartbeat is when its heartbeat counter last rose.
+	// lastHeartbeat is when the heartbeat counter last increased.
 	lastHeartbeat time.Time
 	// stateSince is when the state last changed.
 	stateSince time.Time
-	// repeatsLeft counts the messages in which the record still goes first.
+	// repeatsLeft is in how many more messages the record is sent with priority.
 	repeatsLeft int
-	// addressIncarnation is the incarnation of the address.
+	// addressIncarnation is the incarnation that reported the address.
 	addressIncarnation uint64
 }
 
-// State is the state machine. It is not safe for concurrent use.
+// State is the state machine of one instance. It is not safe for concurrent use.
 type State struct {
 	self     Record
 	random   *rand.Rand
 	ticks    int
 	lastTick time.Time
 
-	// members holds the other members of the failure domain, dead ones included.
+	// members holds the other members of the failure domain, those that were removed
+	// or left included.
 	members  map[string]*member
 	idByHash map[uint64]string
-	// sortedLive caches the live and suspected members by ID; nil after a change.
+	// sortedLive caches the live and suspected members, sorted by ID. It is nil after
+	// a change.
 	sortedLive []*member
-	// rotation holds the IDs of the next targets.
+	// rotation holds the IDs of the members that get the next heartbeats.
 	rotation []string
 	domains  map[string]*domain
-	// candidates holds addresses that may belong to instances.
+	// candidates holds the candidates by address.
 	candidates map[string]Candidate
 
 	drains         map[string]drainEntry
 	stragglers     map[string]Straggler
 	inFlightCounts []InFlightCount
 	demand         []Demand
-	// demandUntilTick is the tick until which an organisation is reported.
+	// demandUntilTick holds, by organisation, the tick until which it is reported.
 	demandUntilTick map[string]int
-	// peerDemand holds what other members reported, by ID.
+	// peerDemand holds the demand that other members reported, by ID.
 	peerDemand map[string][]timedDemand
 
-	// highestRevision is the highestRevision revision known, domainRevision the highestRevision in force
-	// at another member of the failure domain.
+	// highestRevision is the highest known configuration revision, domainRevision the
+	// highest one in force at another member of the failure domain.
 	highestRevision int64
 	domainRevision  int64
 
 	cursors cursors
-	// broadcastsLeft is the number of urgent broadcastsLeft left until the next tick.
+	// broadcastsLeft is the number of urgent broadcasts allowed until the next tick.
 	broadcastsLeft int
 	outputs        []Output
 }
 
-// cursors are positions in the lists that take turns.
+// cursors are the positions from which the next heartbeat continues each list, and
+// the next section to lead.
 type cursors struct {
 	section, heartbeatCounters, records, summaries, demand, inFlightCounts, stragglers, drains int
 }
 
-// Candidate is an instance of the platform's list, which is a hint only, or of
-// the settings; these don't tell its failure domain.
+// Candidate is the address of a possible instance, from the platform's list, which
+// may be outdated, or from the settings.
 type Candidate struct {
+	// FailureDomain is empty for a candidate from the settings.
 	FailureDomain string
 	Address       string
 }
 
-// New returns the state of an instance that knows nobody.
+// New returns the state of an instance that knows no other instances.
 func New(identity Identity, random *rand.Rand, now time.Time) *State {
 	return &State{
 		self: Record{ID: identity.ID, FailureDomain: identity.FailureDomain, Address: identity.Address,
@@ -133,9 +142,9 @@
 	}
 }
 
-// SetCandidates replaces the candidates to contact. It never changes what is known of a
-// member. Of too many candidates a random part is kept, those of the own failure
-// domain first.
+// SetCandidates replaces the candidates to contact. It never changes the state of a
+// member. Of more than maxCandidates, a random part is kept, those of the own or an
+// unknown failure domain first.
 func (s *State) SetCandidates(candidates []Candidate) {
 	shuffled := slices.Clone(candidates)
 	s.random.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
@@ -148,7 +157,8 @@
 	}
 }
 
-// domainRank is 0 for a candidate of the own or of an unknown failure domain.
+// domainRank returns 0 for a candidate of the own or an unknown failure domain, 1 for
+// others.
 func (s *State) domainRank(c Candidate) int {
 	if c.FailureDomain == "" || c.FailureDomain == s.self.FailureDomain {
 		return 0
@@ -181,12 +191,15 @@
 	return s.outputs
 }
 
-// crossDomainPhase spreads the heartbeats between failure domains over time.
+// crossDomainPhase returns the tick, modulo crossDomainTicks, at which this instance
+// sends to another failure domain. It differs between instances to spread the
+// messages over time.
 func (s *State) crossDomainPhase() int {
 	return int(hashID(s.self.ID) % crossDomainTicks)
 }
 
-// shiftTimes shifts all times by the time for which this instance was paused.
+// shiftTimes shifts the times of all members by the time for which this instance was
+// paused.
 func (s *State) shiftTimes(gap time.Duration) {
 	for _, m := range s.members {
 		m.lastHeartbeat = m.lastHeartbeat.Add(gap)
@@ -194,7 +207,7 @@
 	}
 }
 
-// expire suspects and removes silent members and drops what is too old.
+// expire suspects and removes members without heartbeats and drops outdated state.
 func (s *State) expire(now time.Time) {
 	tombstones := 0
 	for _, id := range sortedKeys(s.members) {
@@ -229,7 +242,8 @@
 	s.outputs = append(s.outputs, MemberChanged{m.record})
 }
 
-// otherLiveMembers returns the live and suspected other members of the failure domain by ID.
+// otherLiveMembers returns the live and suspected other members of the failure
+// domain, sorted by ID.
 func (s *State) otherLiveMembers() []Record {
 	if s.sortedLive == nil {
 		s.sortedLive = s.sortLiveMembers()
@@ -256,7 +270,7 @@
 	s.outputs = append(s.outputs, Send{address, message})
 }
 
-// sortedKeys makes the order of a map independent of the run.
+// sortedKeys returns the keys of a map in an order that is the same in each run.
 func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for key := range m {
--- a/membership/state_test.go
+++ b/membership/state_test.go
@@ -7,81 +7,82 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Guards against members that take each other for dead while every tenth message
-// is lost, and against failure domains that never learn of each other.
-func TestLossRemovesNobody(t *testing.T) {
-	forSeeds(t, func(f *testNetwork) {
-		f.loss = 0.1
-		f.start(3, 13)
-		f.c.Assert(f.roundsUntil(40, live(13)) < 40, qt.IsTrue)
-		f.rounds(200)
-		f.c.Assert(f.removed, qt.HasLen, 0)
-		f.c.Assert(f.all(func(s *State) bool { return len(s.Summaries(f.now)) == 2 && s.InstanceCount(f.now) == 39 }), qt.IsTrue)
+// Guards against live members that are removed while 10 % of the messages are lost,
+// and against failure domains that never discover each other.
+func TestMessageLossRemovesNoMember(t *testing.T) {
+	forSeeds(t, func(net *testNetwork) {
+		net.loss = 0.1
+		net.start(3, 13)
+		net.c.Assert(net.roundsUntil(40, live(13)) < 40, qt.IsTrue)
+		net.rounds(200)
+		net.c.Assert(net.removed, qt.HasLen, 0)
+		net.c.Assert(net.all(func(s *State) bool { return len(s.Summaries(net.now)) == 2 && s.InstanceCount(net.now) == 39 }), qt.IsTrue)
 	})
 }
 
-// Guards against a dead member that stays a target, and that old gossip brings back.
-func TestDeadMemberIsRemovedEverywhere(t *testing.T) {
-	forSeeds(t, func(f *testNetwork) {
-		f.loss = 0.05
-		f.start(1, 22)
-		f.rounds(30)
-		f.stop(f.order[5])
+// Guards against a failed member that stays a target of heartbeats, or that outdated
+// messages add again.
+func TestFailedMemberIsRemovedEverywhere(t *testing.T) {
+	forSeeds(t, func(net *testNetwork) {
+		net.loss = 0.05
+		net.start(1, 22)
+		net.rounds(30)
+		net.stop(net.order[5])
 		detection := int((SuspectAfter+RemoveAfter)/Interval) + 8
-		f.c.Assert(f.roundsUntil(detection, live(21)) < detection, qt.IsTrue)
-		f.rounds(60)
-		f.c.Assert(f.all(live(21)), qt.IsTrue)
+		net.c.Assert(net.roundsUntil(detection, live(21)) < detection, qt.IsTrue)
+		net.rounds(60)
+		net.c.Assert(net.all(live(21)), qt.IsTrue)
 	})
 }
 
-// Guards against a member that was paused and afterwards takes all others for
-// dead, or is never taken back.
+// Guards against a member that removes all others after it was paused, or that the
+// others never add again.
 func TestPausedMemberReturns(t *testing.T) {
-	forSeeds(t, func(f *testNetwork) {
-		f.start(1, 9)
-		f.rounds(20)
-		f.paused[f.order[3]] = true
-		f.rounds(30)
-		paused := f.instances[f.order[3]]
-		f.c.Assert(f.removed, qt.DeepEquals, map[string]int{paused.self.ID: 8})
-		f.suspected = map[string]int{}
-		f.resume(f.order[3])
-		f.c.Assert(paused.LiveMembers(), qt.HasLen, 9)
-		f.c.Assert(f.roundsUntil(10, live(9)) < 10, qt.IsTrue)
-		f.c.Assert(f.removed, qt.HasLen, 1)
-		f.c.Assert(f.suspected[paused.self.ID], qt.Equals, 0)
+	forSeeds(t, func(net *testNetwork) {
+		net.start(1, 9)
+		net.rounds(20)
+		net.paused[net.order[3]] = true
+		net.rounds(30)
+		paused := net.instances[net.order[3]]
+		net.c.Assert(net.removed, qt.DeepEquals, map[string]int{paused.self.ID: 8})
+		net.suspected = map[string]int{}
+		net.resume(net.order[3])
+		net.c.Assert(paused.LiveMembers(), qt.HasLen, 9)
+		net.c.Assert(net.roundsUntil(10, live(9)) < 10, qt.IsTrue)
+		net.c.Assert(net.removed, qt.HasLen, 1)
+		net.c.Assert(net.suspected[paused.self.ID], qt.Equals, 0)
 	})
 }
 
-// Guards against a partition that never heals although no list of instances tells
-// the members of each other.
-func TestPartitionHeals(t *testing.T) {
-	forSeeds(t, func(f *testNetwork) {
-		f.start(2, 8)
-		f.rounds(30)
-		for _, node := range f.instances {
-			node.SetCandidates(nil)
+// Guards against members that don't find each other again after a network partition
+// when no list of candidates is available.
+func TestMembersRejoinAfterPartition(t *testing.T) {
+	forSeeds(t, func(net *testNetwork) {
+		net.start(2, 8)
+		net.rounds(30)
+		for _, instance := range net.instances {
+			instance.SetCandidates(nil)
 		}
 		side := func(r Record) bool { return r.ID < "entry-00-004" || r.ID >= "entry-01" && r.ID < "entry-01-004" }
-		f.partitioned = func(a, b Record) bool { return side(a) != side(b) || a.FailureDomain != b.FailureDomain }
-		f.rounds(60)
-		f.c.Assert(f.all(live(4)), qt.IsTrue)
-		f.c.Assert(f.all(func(s *State) bool { return len(s.Summaries(f.now)) == 0 }), qt.IsTrue)
-		f.partitioned = nil
-		healed := func(s *State) bool { return len(s.LiveMembers()) == 8 && len(s.Summaries(f.now)) == 1 }
-		f.c.Assert(f.roundsUntil(40, healed) < 40, qt.IsTrue)
+		net.partitioned = func(a, b Record) bool { return side(a) != side(b) || a.FailureDomain != b.FailureDomain }
+		net.rounds(60)
+		net.c.Assert(net.all(live(4)), qt.IsTrue)
+		net.c.Assert(net.all(func(s *State) bool { return len(s.Summaries(net.now)) == 0 }), qt.IsTrue)
+		net.partitioned = nil
+		healed := func(s *State) bool { return len(s.LiveMembers()) == 8 && len(s.Summaries(net.now)) == 1 }
+		net.c.Assert(net.roundsUntil(40, healed) < 40, qt.IsTrue)
 	})
 }
 
-// Guards against a restarted member that is known by its old address or taken
-// for the old process.
+// Guards against a restarted member that keeps its old address in the records of the
+// others, or whose messages they treat as those of the old process.
 func TestRestartedMemberIsKnownByNewAddress(t *testing.T) {
-	forSeeds(t, func(f *testNetwork) {
-		f.start(1, 9)
-		f.rounds(20)
-		f.stop(f.order[4])
-		next := f.add("entry-00-004", "domain-00", 2)
-		next.SetCandidates([]Candidate{{Address: f.order[0]}})
+	forSeeds(t, func(net *testNetwork) {
+		net.start(1, 9)
+		net.rounds(20)
+		net.stop(net.order[4])
+		next := net.add("entry-00-004", "domain-00", 2)
+		next.SetCandidates([]Candidate{{Address: net.order[0]}})
 		known := func(s *State) bool {
 			for _, r := range s.LiveMembers() {
 				if r.ID == next.self.ID && r.Address == next.self.Address && len(s.LiveMembers()) == 9 {
@@ -90,63 +91,63 @@
 			}
 			return false
 		}
-		f.c.Assert(f.roundsUntil(12, known) < 12, qt.IsTrue)
+		net.c.Assert(net.roundsUntil(12, known) < 12, qt.IsTrue)
 	})
 }
 
-// Guards against a restart with a clock that went back: the others would drop the
-// heartbeats of an incarnation that they take for an old one.
-func TestRestartWithLowerIncarnationIsHeard(t *testing.T) {
-	forSeeds(t, func(f *testNetwork) {
-		f.start(1, 5)
-		f.instances[f.order[2]].self.Incarnation = 50
-		f.rounds(10)
-		f.stop(f.order[2])
-		f.rounds(12)
-		f.c.Assert(f.all(live(4)), qt.IsTrue)
-		f.add("entry-00-002", "domain-00", 3).SetCandidates([]Candidate{{Address: f.order[0]}})
-		f.c.Assert(f.roundsUntil(15, live(5)) < 15, qt.IsTrue)
+// Guards against a member that can't rejoin after a restart with a clock that went
+// back: the others ignore heartbeats of a lower incarnation than the known one.
+func TestMemberRejoinsWithLowerIncarnation(t *testing.T) {
+	forSeeds(t, func(net *testNetwork) {
+		net.start(1, 5)
+		net.instances[net.order[2]].self.Incarnation = 50
+		net.rounds(10)
+		net.stop(net.order[2])
+		net.rounds(12)
+		net.c.Assert(net.all(live(4)), qt.IsTrue)
+		net.add("entry-00-002", "domain-00", 3).SetCandidates([]Candidate{{Address: net.order[0]}})
+		net.c.Assert(net.roundsUntil(15, live(5)) < 15, qt.IsTrue)
 	})
 }
 
 // Guards against a suspicion that a live member can't refute.
 func TestSuspicionIsRefuted(t *testing.T) {
 	c := qt.New(t)
-	f := newTestNetwork(c, 1)
-	f.start(1, 3)
-	f.rounds(5)
-	self := f.instances[f.order[0]]
+	net := newTestNetwork(c, 1)
+	net.start(1, 3)
+	net.rounds(5)
+	self := net.instances[net.order[0]]
 	before := self.Self().Incarnation
-	accusation := self.Self()
-	accusation.State = Suspected
-	from := f.instances[f.order[1]].Self()
-	self.Receive(f.now, Message{From: from, Records: []Record{accusation}})
+	suspicion := self.Self()
+	suspicion.State = Suspected
+	from := net.instances[net.order[1]].Self()
+	self.Receive(net.now, Message{From: from, Records: []Record{suspicion}})
 	c.Assert(self.Self().Incarnation, qt.Equals, before+1)
-	f.rounds(5)
-	for _, r := range f.instances[f.order[2]].LiveMembers() {
-		if r.ID == accusation.ID {
+	net.rounds(5)
+	for _, r := range net.instances[net.order[2]].LiveMembers() {
+		if r.ID == suspicion.ID {
 			c.Assert(r.Incarnation, qt.Equals, before+1)
 			c.Assert(r.State, qt.Equals, Alive)
 		}
 	}
 }
 
-// Guards against a member that left and stays a target, or that heartbeats on
-// their way bring back, or that stays a contact of another failure domain.
-func TestLeaveIsKnownAtOnce(t *testing.T) {
-	forSeeds(t, func(f *testNetwork) {
-		f.start(2, 4)
-		f.rounds(30)
-		leaver := f.instances[f.order[1]]
-		late := leaver.heartbeat(f.now)
-		f.apply(leaver, leaver.Leave(f.now))
-		f.stop(f.order[1])
-		f.deliver()
-		f.c.Assert(f.instances[f.order[0]].LiveMembers(), qt.HasLen, 3)
-		f.c.Assert(f.all(func(s *State) bool { return !hasContact(s, leaver.self.ID) }), qt.IsTrue)
-		f.apply(f.instances[f.order[0]], f.instances[f.order[0]].Receive(f.now, late))
-		f.rounds(20)
-		f.c.Assert(f.instances[f.order[0]].LiveMembers(), qt.HasLen, 3)
+// Guards against a member that left and stays a target of heartbeats, that a delayed
+// heartbeat adds again, or that stays a contact in another failure domain.
+func TestLeaveTakesEffectAtOnce(t *testing.T) {
+	forSeeds(t, func(net *testNetwork) {
+		net.start(2, 4)
+		net.rounds(30)
+		leaving := net.instances[net.order[1]]
+		late := leaving.heartbeat(net.now)
+		net.apply(leaving, leaving.Leave(net.now))
+		net.stop(net.order[1])
+		net.deliver()
+		net.c.Assert(net.instances[net.order[0]].LiveMembers(), qt.HasLen, 3)
+		net.c.Assert(net.all(func(s *State) bool { return !hasContact(s, leaving.self.ID) }), qt.IsTrue)
+		net.apply(net.instances[net.order[0]], net.instances[net.order[0]].Receive(net.now, late))
+		net.rounds(20)
+		net.c.Assert(net.instances[net.order[0]].LiveMembers(), qt.HasLen, 3)
 	})
 }
 
@@ -161,29 +162,29 @@
 	return false
 }
 
-// Guards against a platform list that lags: it may neither remove nor add members.
-func TestListIsOnlyAHint(t *testing.T) {
+// Guards against an outdated list of candidates that removes or adds members.
+func TestCandidatesDontChangeMembers(t *testing.T) {
 	c := qt.New(t)
-	f := newTestNetwork(c, 1)
-	f.start(1, 3)
-	f.rounds(5)
-	f.instances[f.order[0]].SetCandidates([]Candidate{{FailureDomain: "domain-00", Address: "10.0.0.9:1"}})
-	f.rounds(20)
-	c.Assert(f.instances[f.order[0]].LiveMembers(), qt.HasLen, 3)
+	net := newTestNetwork(c, 1)
+	net.start(1, 3)
+	net.rounds(5)
+	net.instances[net.order[0]].SetCandidates([]Candidate{{FailureDomain: "domain-00", Address: "10.0.0.9:1"}})
+	net.rounds(20)
+	c.Assert(net.instances[net.order[0]].LiveMembers(), qt.HasLen, 3)
 }
 
-// Guards against a member that by chance hears nobody for so long that it takes
-// the others for dead.
+// Guards against a member that by chance receives no heartbeat for so long that it
+// removes the others.
 func TestHeartbeatsGoToAllMembersInTurn(t *testing.T) {
 	c := qt.New(t)
-	f := newTestNetwork(c, 1)
-	f.start(1, 22)
-	f.rounds(30)
-	node, targets := f.instances[f.order[0]], map[string]int{}
-	node.rotation = nil
-	node.SetCandidates(nil)
+	net := newTestNetwork(c, 1)
+	net.start(1, 22)
+	net.rounds(30)
+	instance, targets := net.instances[net.order[0]], map[string]int{}
+	instance.rotation = nil
+	instance.SetCandidates(nil)
 	for range 21 {
-		for _, address := range node.targets() {
+		for _, address := range instance.targets() {
 			targets[address]++
 		}
 	}
@@ -193,124 +194,124 @@
 	}
 }
 
-// Guards against a refusal that the other instances learn too late to keep from
-// sending to the server, when no message is lost.
+// Guards against a drain marker that reaches the other instances late although no
+// message is lost, so that they still send requests to the draining server.
 func TestDrainMarkerIsSentAtOnce(t *testing.T) {
 	c := qt.New(t)
-	f := newTestNetwork(c, 1)
-	f.start(3, 9)
-	f.rounds(30)
-	node := f.instances[f.order[12]]
-	f.apply(node, node.MarkDraining(f.now, "engine-1", 1, time.Minute))
-	f.deliver()
-	c.Assert(f.all(func(s *State) bool { return len(s.Draining(f.now)) == 1 }), qt.IsTrue)
+	net := newTestNetwork(c, 1)
+	net.start(3, 9)
+	net.rounds(30)
+	instance := net.instances[net.order[12]]
+	net.apply(instance, instance.MarkDraining(net.now, "engine-1", 1, time.Minute))
+	net.deliver()
+	c.Assert(net.all(func(s *State) bool { return len(s.Draining(net.now)) == 1 }), qt.IsTrue)
 }
 
-// Guards against a marker that never expires because each hop on its way extends
-// it by its delay.
+// Guards against a marker that never expires because each hop extends its lifetime
+// by the delay of the message.
 func TestDelaysDontExtendMarkers(t *testing.T) {
 	c := qt.New(t)
-	f := newTestNetwork(c, 1)
-	a, b := f.add("a", "d", 1), f.add("b", "d", 1)
-	a.MarkDraining(f.now, "engine-1", 1, 15*time.Second)
+	net := newTestNetwork(c, 1)
+	a, b := net.add("a", "d", 1), net.add("b", "d", 1)
+	a.MarkDraining(net.now, "engine-1", 1, 15*time.Second)
 	const delay = time.Second
 	for range 20 {
-		f.now = f.now.Add(delay)
-		b.Tick(f.now)
-		b.Receive(f.now, Message{From: a.Self(), DrainMarkers: a.unexpiredDrainMarkers(f.now.Add(-delay))})
-		a.Tick(f.now)
-		a.Receive(f.now, Message{From: b.Self(), DrainMarkers: b.unexpiredDrainMarkers(f.now.Add(-delay))})
+		net.now = net.now.Add(delay)
+		b.Tick(net.now)
+		b.Receive(net.now, Message{From: a.Self(), DrainMarkers: a.unexpiredDrainMarkers(net.now.Add(-delay))})
+		a.Tick(net.now)
+		a.Receive(net.now, Message{From: b.Self(), DrainMarkers: b.unexpiredDrainMarkers(net.now.Add(-delay))})
 	}
-	c.Assert(a.Draining(f.now), qt.HasLen, 0)
-	c.Assert(b.Draining(f.now), qt.HasLen, 0)
+	c.Assert(a.Draining(net.now), qt.HasLen, 0)
+	c.Assert(b.Draining(net.now), qt.HasLen, 0)
 }
 
-// Guards against drain markers that are late, that come back after the server
-// restarted, or that never expire because each hop extends them.
+// Guards against drain markers that arrive late, that are set again after the server
+// restarted, or that never expire because each hop extends their lifetime.
 func TestDrainMarkerReachesAllAndIsCleared(t *testing.T) {
-	forSeeds(t, func(f *testNetwork) {
-		f.loss = 0.1
-		f.start(3, 9)
-		f.rounds(30)
+	forSeeds(t, func(net *testNetwork) {
+		net.loss = 0.1
+		net.start(3, 9)
+		net.rounds(30)
 		drained := func(n int) func(*State) bool {
-			return func(s *State) bool { return len(s.Draining(f.now)) == n }
+			return func(s *State) bool { return len(s.Draining(net.now)) == n }
 		}
-		node := f.instances[f.order[4]]
-		f.apply(node, node.MarkDraining(f.now, "engine-1", 7, 40*time.Second))
-		f.deliver()
+		instance := net.instances[net.order[4]]
+		net.apply(instance, instance.MarkDraining(net.now, "engine-1", 7, 40*time.Second))
+		net.deliver()
 		local := func(s *State) bool {
-			return s.self.FailureDomain != node.self.FailureDomain || len(s.Draining(f.now)) == 1
+			return s.self.FailureDomain != instance.self.FailureDomain || len(s.Draining(net.now)) == 1
 		}
-		f.c.Assert(f.roundsUntil(4, local) <= 3, qt.IsTrue)
-		f.c.Assert(f.roundsUntil(20, drained(1)) < 20, qt.IsTrue)
-		f.apply(node, node.ClearDraining(f.now, "engine-1", 8))
-		f.c.Assert(f.roundsUntil(20, drained(0)) < 20, qt.IsTrue)
+		net.c.Assert(net.roundsUntil(4, local) <= 3, qt.IsTrue)
+		net.c.Assert(net.roundsUntil(20, drained(1)) < 20, qt.IsTrue)
+		net.apply(instance, instance.ClearDraining(net.now, "engine-1", 8))
+		net.c.Assert(net.roundsUntil(20, drained(0)) < 20, qt.IsTrue)
 		late := DrainMarker{Server: "engine-1", Incarnation: 7, Remaining: 30 * time.Second}
-		f.apply(node, node.Receive(f.now, Message{From: f.instances[f.order[5]].Self(), DrainMarkers: []DrainMarker{late}}))
-		f.rounds(5)
-		f.c.Assert(f.all(drained(0)), qt.IsTrue)
+		net.apply(instance, instance.Receive(net.now, Message{From: net.instances[net.order[5]].Self(), DrainMarkers: []DrainMarker{late}}))
+		net.rounds(5)
+		net.c.Assert(net.all(drained(0)), qt.IsTrue)
 
-		f.apply(node, node.MarkDraining(f.now, "engine-2", 1, 15*time.Second))
-		f.deliver()
-		f.rounds(20)
-		f.c.Assert(f.all(drained(0)), qt.IsTrue)
+		net.apply(instance, instance.MarkDraining(net.now, "engine-2", 1, 15*time.Second))
+		net.deliver()
+		net.rounds(20)
+		net.c.Assert(net.all(drained(0)), qt.IsTrue)
 	})
 }
 
-// Guards against lists that never pass completely because they don't fit one
-// message, and against messages over the bound.
+// Guards against lists that are never sent completely because they don't fit into
+// one message, and against messages larger than MaxMessageBytes.
 func TestLongListsTakeTurns(t *testing.T) {
 	c := qt.New(t)
-	f := newTestNetwork(c, 3)
-	f.start(2, 30)
-	heard := map[string]bool{}
-	node := f.instances[f.order[0]]
-	for _, address := range f.order {
+	net := newTestNetwork(c, 3)
+	net.start(2, 30)
+	received := map[string]bool{}
+	instance := net.instances[net.order[0]]
+	for _, address := range net.order {
 		var counts []InFlightCount
 		var demand []Demand
 		for i := range 200 {
 			counts = append(counts, InFlightCount{longName(i), i, i})
 			demand = append(demand, Demand{longName(i), int64(1000 + i)})
 		}
-		f.instances[address].SetInFlightCounts(counts)
-		f.instances[address].SetDemand(demand)
-		f.apply(node, f.instances[address].MarkDraining(f.now, longName(len(address)), 1, time.Minute))
+		net.instances[address].SetInFlightCounts(counts)
+		net.instances[address].SetDemand(demand)
+		net.apply(instance, net.instances[address].MarkDraining(net.now, longName(len(address)), 1, time.Minute))
 	}
-	f.rounds(200)
+	net.rounds(200)
 	for range 300 {
-		for _, count := range node.heartbeat(f.now).InFlightCounts {
-			heard[count.Server] = true
+		for _, count := range instance.heartbeat(net.now).InFlightCounts {
+			received[count.Server] = true
 		}
 	}
-	c.Assert(heard, qt.HasLen, 200)
-	own, others := node.Demand(f.now)
+	c.Assert(received, qt.HasLen, 200)
+	own, others := instance.Demand(net.now)
 	c.Assert(own, qt.HasLen, MaxDemand)
 	c.Assert(own[0].MilliPerSecond > 20*1000, qt.IsTrue)
 	c.Assert(len(others["domain-01"]) > 0, qt.IsTrue)
-	c.Assert(f.removed, qt.HasLen, 0)
+	c.Assert(net.removed, qt.HasLen, 0)
 }
 
-// longName returns a name of the longest allowed length.
+// longName returns a name of MaxNameBytes bytes.
 func longName(i int) string {
 	name := []byte("server-000-------------------------------------------------------")[:MaxNameBytes]
 	copy(name[7:], []byte{byte('0' + i/100), byte('0' + i/10%10), byte('0' + i%10)})
 	return string(name)
 }
 
-// Guards against demand that ended at a member but is believed for
-// demandLifetime, which keeps a share of the rate from the others.
+// Guards against demand that ended at a member but counts for demandLifetime longer,
+// so that the other instances get a smaller share of the rate.
 func TestEndOfDemandIsReported(t *testing.T) {
 	c := qt.New(t)
-	f := newTestNetwork(c, 4)
-	f.start(1, 2)
-	sender, receiver := f.instances[f.order[0]], f.instances[f.order[1]]
+	net := newTestNetwork(c, 4)
+	net.start(1, 2)
+	sender, receiver := net.instances[net.order[0]], net.instances[net.order[1]]
 	sender.SetDemand([]Demand{{"acme", 5000}})
-	f.rounds(10)
-	c.Assert(receiver.PeerDemand(f.now)[0].Demand, qt.DeepEquals, []Demand{{"acme", 5000}})
+	net.rounds(10)
+	c.Assert(receiver.PeerDemand(net.now)[0].Demand, qt.DeepEquals, []Demand{{"acme", 5000}})
 	sender.SetDemand(nil)
-	f.rounds(10)
-	c.Assert(receiver.PeerDemand(f.now)[0].Demand, qt.DeepEquals, []Demand{{"acme", 0}})
-	f.stop(f.order[0])
-	f.rounds(int(demandLifetime / Interval))
+	net.rounds(10)
+	c.Assert(receiver.PeerDemand(net.now)[0].Demand, qt.DeepEquals, []Demand{{"acme", 0}})
+	net.stop(net.order[0])
+	net.rounds(int(demandLifetime / Interval))
 	c.Assert(receiver.peerDemand["entry-00-000"], qt.HasLen, 0)
 }
--- a/membership/targets.go
+++ b/membership/targets.go
@@ -1,6 +1,7 @@
 package membership
 
-// targets returns the addresses of this tick's heartbeats in the failure domain.
+// targets returns the addresses in the own failure domain to which this tick sends
+// heartbeats.
 func (s *State) targets() []string {
 	var addresses []string
 	if s.ticks%probeTicks == 0 || len(s.otherLiveMembers()) < fanOut {
@@ -14,9 +15,9 @@
 	return addresses
 }
 
-// nextMember walks through the members in random order and starts again with
-// another one. With independent draws a member now and then heard nobody for
-// eight intervals and took the others for dead.
+// nextMember returns the addresses of the members in turn, in a random order that
+// changes after each pass. With independent random targets, a member sometimes
+// received no heartbeat for eight intervals and removed the others.
 func (s *State) nextMember() string {
 	for len(s.rotation) > 0 {
 		m, known := s.members[s.rotation[0]]
@@ -34,26 +35,26 @@
 }
 
 // probeTarget returns a random address of the own failure domain that no live
-// member has: a probeTarget, or a member that was removed but did not leave.
+// member has: that of a candidate, or of a member that was removed but did not leave.
 func (s *State) probeTarget() (string, bool) {
-	taken := map[string]bool{s.self.Address: true}
+	inUse := map[string]bool{s.self.Address: true}
 	for _, r := range s.otherLiveMembers() {
-		taken[r.Address] = true
+		inUse[r.Address] = true
 	}
-	found := map[string]bool{}
+	free := map[string]bool{}
 	for address, c := range s.candidates {
-		if !taken[address] && s.domainRank(c) == 0 {
-			found[address] = true
+		if !inUse[address] && s.domainRank(c) == 0 {
+			free[address] = true
 		}
 	}
 	for _, m := range s.members {
-		if m.record.State == Removed && !taken[m.record.Address] {
-			found[m.record.Address] = true
+		if m.record.State == Removed && !inUse[m.record.Address] {
+			free[m.record.Address] = true
 		}
 	}
-	if len(found) == 0 {
+	if len(free) == 0 {
 		return "", false
 	}
-	addresses := sortedKeys(found)
+	addresses := sortedKeys(free)
 	return addresses[s.random.IntN(len(addresses))], true
 }
