--- /dev/null
+++ b/internal/gateway/stagerequest.go
@@ -0,0 +1,152 @@
+package gateway
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"math"
+	"time"
+
+	"github.com/coltsfootdrift/coltsfootdrift/internal/events"
+	"github.com/coltsfootdrift/coltsfootdrift/internal/peer/peerpb"
+	"github.com/coltsfootdrift/coltsfootdrift/stagework"
+)
+
+const (
+	// peerAnswerTimeout bounds one call to the owner of a service, which answers after
+	// awaitPollTimeout at the latest, even when the stage has not ended. The rest is a
+	// margin for slow machines.
+	peerAnswerTimeout = awaitPollTimeout + 350*time.Millisecond
+	// maxOwners bounds the instances that one stage is sent to in turn.
+	maxOwners = 3
+)
+
+// requestStage has stage i run by the instance that owns its service, or by the next
+// one in the order of owners when that does not answer.
+func (r *stageRun) requestStage(ctx context.Context, i int, inputs []string) ([]string, error) {
+	stage := r.Route.Stages[i]
+	owners := r.cluster.Owners(stage.Service)
+	owners = owners[:min(maxOwners, len(owners))]
+	var lastErr error
+	for try, address := range owners {
+		started := time.Now()
+		request := r.newRunStageRequest(i, inputs)
+		request.Forced = try == len(owners)-1
+		response, err := r.requestFrom(ctx, address, i, request)
+		if ctx.Err() != nil {
+			return nil, ctx.Err()
+		}
+		if err != nil {
+			lastErr = err
+			r.cluster.Avoid(address)
+			events.StagePeerFailed.Log(ctx, r.logger, slog.String("id", r.RequestID), slog.Int("stage", i), slog.String("address", address),
+				slog.Int64("waited_ms", time.Since(started).Milliseconds()), slog.Any("error", err))
+			continue
+		}
+		if response.Refusal == string(stagework.RefusedMoved) {
+			r.cluster.Avoid(address)
+			events.StageMoved.Log(ctx, r.logger, slog.String("id", r.RequestID), slog.Int("stage", i), slog.String("address", address))
+			continue
+		}
+		events.StageEnded.Log(ctx, r.logger, slog.String("id", r.RequestID), slog.Int("stage", i), slog.String("service", stage.Service),
+			slog.Int("pieces", r.Graph.Counts[i]), slog.String("caller", address), slog.Int64("took_ms", time.Since(started).Milliseconds()),
+			slog.Int64("left_ms", time.Until(r.Deadline).Milliseconds()), slog.Int64("queue_ms", response.WaitMs), slog.String("refusal", response.Refusal))
+		r.recordQueueState(stage.Service, response)
+		if response.Refusal != "" {
+			return nil, &RefusedError{Stage: i, Reason: stagework.Refusal(response.Refusal), Wait: time.Duration(response.WaitMs) * time.Millisecond}
+		}
+		if len(response.Results) != r.Graph.Counts[i] {
+			return nil, fmt.Errorf("stage %d has %d results for %d pieces", i, len(response.Results), r.Graph.Counts[i])
+		}
+		return response.Results, nil
+	}
+	return nil, errors.Join(&RefusedError{Stage: i, Reason: stagework.RefusedFailed}, lastErr)
+}
+
+// newRunStageRequest returns the request that has stage i run.
+func (r *stageRun) newRunStageRequest(i int, inputs []string) *peerpb.RunStageRequest {
+	stage := r.Route.Stages[i]
+	r.mu.Lock()
+	tail, started := r.progress.Tail(i), r.progress.AnyEnded()
+	r.mu.Unlock()
+	request := &peerpb.RunStageRequest{
+		Service: stage.Service, RequestId: r.RequestID, Stage: int32(i), Key: r.Key, Inputs: inputs,
+		ResultBytes: stage.ResultBytes, Priority: int32(r.Priority),
+		DueMs:      time.Until(r.Due.Add(-tail)).Milliseconds(),
+		DeadlineMs: min(time.Until(r.Deadline.Add(-tail)), r.inputLifetime(i)).Milliseconds(),
+		Started:    started,
+	}
+	for _, j := range r.Graph.After[i] {
+		producer := r.Route.Stages[j]
+		request.InputBytes += int64(r.Graph.Counts[j]) * producer.ResultBytes
+		request.TellFetched = request.TellFetched || r.resultMemoryShort(producer.Service)
+	}
+	request.FailureDomain = r.preferredDomain(request)
+	for piece := range r.Graph.Counts[i] {
+		request.Pieces = append(request.Pieces, int32(piece))
+	}
+	return request
+}
+
+// preferredDomain returns the failure domain in which a stage should run: the one that
+// holds most of its inputs, as each piece fetches all of them, or the one where its
+// results are used when those are larger.
+func (r *stageRun) preferredDomain(request *peerpb.RunStageRequest) string {
+	if request.InputBytes <= request.ResultBytes {
+		return r.FailureDomain
+	}
+	inputs := map[string]int{}
+	preferred := r.FailureDomain
+	for _, input := range request.Inputs {
+		domain := r.DomainOf(input)
+		if inputs[domain]++; inputs[domain] > inputs[preferred] {
+			preferred = domain
+		}
+	}
+	return preferred
+}
+
+// inputLifetime returns how long the inputs of stage i are kept when they have just
+// been produced. A stage that waits longer would find them gone.
+func (r *stageRun) inputLifetime(i int) time.Duration {
+	lifetime := time.Duration(math.MaxInt64)
+	for _, j := range r.Graph.After[i] {
+		if producer := r.Table.Service(r.Route.Stages[j].Service); producer != nil && producer.Work != nil && producer.Work.ResultLife > 0 {
+			lifetime = min(lifetime, producer.Work.ResultLife)
+		}
+	}
+	return lifetime
+}
+
+// requestFrom has a stage run by the instance at an address, or by this one for an
+// empty address, and polls until the stage has ended. It returns an error when a call
+// is not answered in time.
+func (r *stageRun) requestFrom(ctx context.Context, address string, i int, request *peerpb.RunStageRequest) (*peerpb.RunStageResponse, error) {
+	response, err := r.callRunStage(ctx, address, request)
+	for err == nil && response.Pending != 0 {
+		if response.InputsFetched {
+			r.freeInputsOf(i)
+		}
+		response, err = r.callAwaitStage(ctx, address, &peerpb.AwaitStageRequest{Service: request.Service, Job: response.Pending})
+	}
+	return response, err
+}
+
+func (r *stageRun) callRunStage(ctx context.Context, address string, request *peerpb.RunStageRequest) (*peerpb.RunStageResponse, error) {
+	if address == "" {
+		return r.scheduler.RunStage(ctx, request)
+	}
+	ctx, cancel := context.WithTimeout(ctx, peerAnswerTimeout)
+	defer cancel()
+	return r.client.RunStage(ctx, address, request)
+}
+
+func (r *stageRun) callAwaitStage(ctx context.Context, address string, request *peerpb.AwaitStageRequest) (*peerpb.RunStageResponse, error) {
+	if address == "" {
+		return r.scheduler.AwaitStage(ctx, request)
+	}
+	ctx, cancel := context.WithTimeout(ctx, peerAnswerTimeout)
+	defer cancel()
+	return r.client.AwaitStage(ctx, address, request)
+}
