--- a/engine/copy.go
+++ b/engine/copy.go
@@ -21,7 +21,7 @@
 
 // bestSource returns the server that keeps most of a prompt. Of equal ones it is that of
 // the own region, then the one from which was copied least recently.
-func (s *Set) bestSource(now time.Time, prompt []Part) (best source) {
+func (s *Scheduler) bestSource(now time.Time, prompt []Part) (best source) {
 	for _, c := range s.list {
 		if now.Before(c.pausedUntil) {
 			continue
@@ -35,7 +35,7 @@
 }
 
 // before orders servers that keep the same parts as sources.
-func (s *Set) before(a, b *state) bool {
+func (s *Scheduler) before(a, b *state) bool {
 	if near := a.Region == s.region; near != (b.Region == s.region) {
 		return near
 	}
@@ -61,8 +61,8 @@
 	return parts
 }
 
-// Kept records parts that another instance has placed at a server.
-func (s *Set) Kept(now time.Time, server string, parts []Part) {
+// RecordCached records parts that another instance has placed at a server.
+func (s *Scheduler) RecordCached(now time.Time, server string, parts []Part) {
 	if c := s.byID[server]; c != nil {
 		c.keep(now, parts)
 	}
--- a/engine/copy_test.go
+++ b/engine/copy_test.go
@@ -10,14 +10,14 @@
 
 // copying returns a set whose servers copy a token in a hundredth of the time that
 // they take to read it.
-func copying() *Set {
+func copying() *Scheduler {
 	s := set()
 	var servers []Server
 	for _, c := range s.list {
 		c.CopyRate = 100 * readRate
 		servers = append(servers, c.Server)
 	}
-	s.Update(servers)
+	s.SetServers(servers)
 	return s
 }
 
@@ -53,15 +53,15 @@
 func TestPartsOfOtherRegionsAreCopied(t *testing.T) {
 	c := qt.New(t)
 	s := copying()
-	s.Kept(start, "4", []Part{{"system", 2000}, {"x", 4000}})
-	s.Kept(start, "gone", []Part{{"system", 2000}})
+	s.RecordCached(start, "4", []Part{{"system", 2000}, {"x", 4000}})
+	s.RecordCached(start, "gone", []Part{{"system", 2000}})
 	placed, _ := s.Place(start, Query{Prompt: prompt("x", "1")})
 	c.Assert(placed.CopyFrom, qt.Equals, "4")
-	c.Assert(placed.New, qt.DeepEquals, []Part{{"system", 2000}, {"x", 4000}})
+	c.Assert(placed.NewParts, qt.DeepEquals, []Part{{"system", 2000}, {"x", 4000}})
 	again, _ := s.Place(start.Add(time.Second), Query{Prompt: prompt("x", "2")})
 	c.Assert(again.Server, qt.Equals, placed.Server)
 	c.Assert(again.CopyFrom, qt.Equals, "")
-	c.Assert(again.New, qt.HasLen, 0)
+	c.Assert(again.NewParts, qt.HasLen, 0)
 }
 
 // Guards against copies that take longer than reading, from servers that fail, and of
@@ -69,16 +69,16 @@
 func TestCopiesThatDoNotPayAreNotMade(t *testing.T) {
 	c := qt.New(t)
 	slow := set()
-	slow.Kept(start, "4", []Part{{"system", 2000}, {"x", 4000}})
+	slow.RecordCached(start, "4", []Part{{"system", 2000}, {"x", 4000}})
 	placed, _ := slow.Place(start, Query{Prompt: prompt("x", "1")})
 	c.Assert(placed.CopyFrom, qt.Equals, "")
 	failing := copying()
-	failing.Kept(start, "4", []Part{{"system", 2000}, {"x", 4000}})
+	failing.RecordCached(start, "4", []Part{{"system", 2000}, {"x", 4000}})
 	failing.Report(start, Report{Server: "4", Failed: true})
 	placed, _ = failing.Place(start, Query{Prompt: prompt("x", "1")})
 	c.Assert(placed.CopyFrom, qt.Equals, "")
 	small := copying()
-	small.Kept(start, "4", []Part{{"s", minCopy - 1}})
+	small.RecordCached(start, "4", []Part{{"s", minCopy - 1}})
 	placed, _ = small.Place(start, Query{Prompt: []Part{{"s", minCopy - 1}, {"own", 10}}})
 	c.Assert(placed.CopyFrom, qt.Equals, "")
 }
@@ -88,11 +88,11 @@
 	c := qt.New(t)
 	s := copying()
 	for _, id := range []string{"1", "2"} {
-		s.Kept(start, id, []Part{{"system", 2000}, {"x", 4000}})
+		s.RecordCached(start, id, []Part{{"system", 2000}, {"x", 4000}})
 	}
 	sources := map[string]int{}
 	for i := range 4 {
-		s.Restore("3", nil)
+		s.ReplaceCached("3", nil)
 		placed, _ := s.Place(start.Add(time.Duration(i)*time.Second), Query{Prompt: prompt("x", fmt.Sprint(i)), Excluded: []string{"1", "2"}})
 		sources[placed.CopyFrom]++
 	}
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -86,9 +86,9 @@
 	lagAt time.Time
 }
 
-// Set is the model servers of one service in one region. It is not safe for
+// Scheduler is the model servers of one service in one region. It is not safe for
 // concurrent use.
-type Set struct {
+type Scheduler struct {
 	region  string
 	byID    map[string]*state
 	list    []*state
@@ -97,13 +97,13 @@
 	pace float64
 }
 
-// NewSet returns an empty set for the instances of a region.
-func NewSet(region string) *Set {
-	return &Set{region: region, byID: map[string]*state{}, pace: 1}
+// NewScheduler returns an empty set for the instances of a region.
+func NewScheduler(region string) *Scheduler {
+	return &Scheduler{region: region, byID: map[string]*state{}, pace: 1}
 }
 
-// Update replaces the servers.
-func (s *Set) Update(servers []Server) {
+// SetServers replaces the servers.
+func (s *Scheduler) SetServers(servers []Server) {
 	byID := make(map[string]*state, len(servers))
 	s.list = s.list[:0]
 	for _, listed := range servers {
@@ -141,13 +141,13 @@
 	// CopyFrom is the server from which the chosen one copies what it lacks of the
 	// prompt; empty when it reads all of that.
 	CopyFrom string
-	// New holds the shared parts that the server was not believed to keep.
-	New []Part
+	// NewParts holds the shared parts that the server was not believed to keep.
+	NewParts []Part
 }
 
 // Place chooses a server and counts the prompt there, or returns false when there
 // is none. Servers of other regions are used only when the own one has none.
-func (s *Set) Place(now time.Time, q Query) (Placement, bool) {
+func (s *Scheduler) Place(now time.Time, q Query) (Placement, bool) {
 	candidates := s.candidates(now, q, true)
 	if len(candidates) == 0 {
 		candidates = s.candidates(now, q, false)
@@ -173,14 +173,14 @@
 	if bestNeed.copied > 0 {
 		placed.CopyFrom, from.server.copiedAt = from.server.ID, now
 	}
-	placed.New = best.lacking(q.Prompt)
+	placed.NewParts = best.lacking(q.Prompt)
 	s.count(best, now, q.Prompt, bestNeed)
 	return placed, true
 }
 
 // candidates returns the servers that are not excluded, of the region or of all.
 // Paused ones are left out while others remain.
-func (s *Set) candidates(now time.Time, q Query, local bool) []*state {
+func (s *Scheduler) candidates(now time.Time, q Query, local bool) []*state {
 	var good, rest []*state
 	for _, c := range s.list {
 		switch {
@@ -206,14 +206,14 @@
 }
 
 // needOf returns what a server has to do for a prompt.
-func (s *Set) needOf(c *state, prompt []Part, from source) need {
+func (s *Scheduler) needOf(c *state, prompt []Part, from source) need {
 	unread, shared := c.unread(prompt)
 	copied := from.copied(c, unread)
 	return need{read: unread - copied, reread: max(0, shared-copied), copied: copied}
 }
 
 // expected returns the expected time to the first event at a server.
-func (s *Set) expected(c *state, now time.Time, n need) time.Duration {
+func (s *Scheduler) expected(c *state, now time.Time, n need) time.Duration {
 	expected := max(0, c.busyUntil.Sub(now)) + s.work(c, n)
 	if now.Sub(c.lagAt) < lagLife {
 		expected += c.lag
@@ -222,7 +222,7 @@
 }
 
 // work returns the time that a server needs for a prompt.
-func (s *Set) work(c *state, n need) time.Duration {
+func (s *Scheduler) work(c *state, n need) time.Duration {
 	work := s.reading(n.read)
 	if n.copied > 0 {
 		work += time.Duration(float64(n.copied) / c.CopyRate * float64(time.Second))
@@ -232,7 +232,7 @@
 
 // cost returns the expected time to the first event at a server with what else
 // speaks against the server.
-func (s *Set) cost(c *state, now time.Time, q Query, n need, key uint64) time.Duration {
+func (s *Scheduler) cost(c *state, now time.Time, q Query, n need, key uint64) time.Duration {
 	cost := s.expected(c, now, n) + time.Duration(n.reread)*rereadPenalty + time.Duration(n.copied)*copyPenalty
 	const megabyte = 1e6
 	for domain, bytes := range q.InputBytes {
@@ -244,7 +244,7 @@
 }
 
 // reading returns the time in which a server reads tokens.
-func (s *Set) reading(tokens int) time.Duration {
+func (s *Scheduler) reading(tokens int) time.Duration {
 	return time.Duration(s.pace * float64(tokens) / readRate * float64(time.Second))
 }
 
@@ -268,7 +268,7 @@
 }
 
 // count adds a prompt to what a server does and keeps.
-func (s *Set) count(c *state, now time.Time, prompt []Part, n need) {
+func (s *Scheduler) count(c *state, now time.Time, prompt []Part, n need) {
 	if c.busyUntil.Before(now) {
 		c.busyUntil = now
 	}
@@ -298,8 +298,8 @@
 	delete(c.parts, oldest)
 }
 
-// Restore replaces what a server is believed to keep by its own list.
-func (s *Set) Restore(server string, parts []Part) {
+// ReplaceCached replaces what a server is believed to keep by its own list.
+func (s *Scheduler) ReplaceCached(server string, parts []Part) {
 	c := s.byID[server]
 	if c == nil {
 		return
@@ -313,8 +313,8 @@
 	c.parts = listed
 }
 
-// Local returns the servers of the region.
-func (s *Set) Local() (ids []string) {
+// LocalServers returns the servers of the region.
+func (s *Scheduler) LocalServers() (ids []string) {
 	for _, c := range s.list {
 		if c.Region == s.region {
 			ids = append(ids, c.ID)
@@ -344,10 +344,10 @@
 	return (float64(key>>11) + 0.5) / (1 << 53)
 }
 
-// Domain chooses the failure domain for a prompt whose inputs are made by a number
+// ChooseDomain chooses the failure domain for a prompt whose inputs are made by a number
 // of servers in each domain, by weighted rendezvous hashing. It returns an empty
 // string without producers.
-func Domain(prompt []Part, producers map[string]int, draw float64) string {
+func ChooseDomain(prompt []Part, producers map[string]int, draw float64) string {
 	key := sharedKey(prompt)
 	if key == 0 {
 		key = math.Float64bits(draw)
@@ -372,7 +372,7 @@
 }
 
 // Report learns from what became of a placement.
-func (s *Set) Report(now time.Time, r Report) {
+func (s *Scheduler) Report(now time.Time, r Report) {
 	c := s.byID[r.Server]
 	if c == nil {
 		return
@@ -403,6 +403,6 @@
 	s.typical += time.Duration(typicalWeight * float64(r.Delay-s.typical))
 }
 
-// Typical returns the typical time from a send to the first event, 0 while none
+// TypicalDelay returns the typical time from a send to the first event, 0 while none
 // was reported.
-func (s *Set) Typical() time.Duration { return s.typical }
+func (s *Scheduler) TypicalDelay() time.Duration { return s.typical }
--- a/engine/engine_test.go
+++ b/engine/engine_test.go
@@ -10,9 +10,9 @@
 
 var start = time.Unix(1000, 0)
 
-func set() *Set {
-	s := NewSet("r")
-	s.Update([]Server{
+func set() *Scheduler {
+	s := NewScheduler("r")
+	s.SetServers([]Server{
 		{ID: "1", Region: "r", FailureDomain: "a"}, {ID: "2", Region: "r", FailureDomain: "a"},
 		{ID: "3", Region: "r", FailureDomain: "b"}, {ID: "4", Region: "far", FailureDomain: "c"},
 	})
@@ -23,7 +23,7 @@
 	return []Part{{"system", 2000}, {shared, 4000}, {own, 1000}}
 }
 
-func place(c *qt.C, s *Set, now time.Time, q Query) string {
+func place(c *qt.C, s *Scheduler, now time.Time, q Query) string {
 	placed, ok := s.Place(now, q)
 	c.Assert(ok, qt.IsTrue)
 	return placed.Server
@@ -81,10 +81,10 @@
 	c := qt.New(t)
 	counts := map[string]int{}
 	for i := range 3000 {
-		counts[Domain(prompt(fmt.Sprint(i), ""), map[string]int{"a": 2, "b": 1}, 0)]++
+		counts[ChooseDomain(prompt(fmt.Sprint(i), ""), map[string]int{"a": 2, "b": 1}, 0)]++
 	}
 	c.Assert(counts["a"] > 1800 && counts["a"] < 2200, qt.IsTrue, qt.Commentf(fmt.Sprint(counts)))
-	c.Assert(Domain(nil, nil, 0.5), qt.Equals, "")
+	c.Assert(ChooseDomain(nil, nil, 0.5), qt.Equals, "")
 }
 
 // Guards against a failed server that keeps getting prompts, and against none
@@ -118,9 +118,9 @@
 // against memory that grows with the prompts ever seen.
 func TestKeptPartsAreForgotten(t *testing.T) {
 	c := qt.New(t)
-	s := NewSet("r")
+	s := NewScheduler("r")
 	servers := []Server{{ID: "1", Region: "r", CacheTokens: 20_000}}
-	s.Update(servers)
+	s.SetServers(servers)
 	for i := range 50 {
 		place(c, s, start.Add(time.Duration(i)*time.Second), Query{Prompt: prompt(fmt.Sprint("x", i), fmt.Sprint("o", i))})
 	}
@@ -129,7 +129,7 @@
 	unread, _ := one.unread(prompt("x49", "new"))
 	c.Assert(unread, qt.Equals, 1000)
 	servers[0].Incarnation = 1
-	s.Update(servers)
+	s.SetServers(servers)
 	unread, shared := s.byID["1"].unread(prompt("x49", "new"))
 	c.Assert(unread, qt.Equals, 7000)
 	c.Assert(shared, qt.Equals, 6000)
@@ -152,9 +152,9 @@
 	c := qt.New(t)
 	for _, server := range []string{"1", "2", "3"} {
 		s := set()
-		s.Restore(server, []Part{{"system", 2000}, {"x", 4000}})
+		s.ReplaceCached(server, []Part{{"system", 2000}, {"x", 4000}})
 		c.Assert(place(c, s, start, Query{Prompt: prompt("x", "1")}), qt.Equals, server)
-		s.Restore(server, nil)
+		s.ReplaceCached(server, nil)
 		unread, _ := s.byID[server].unread(prompt("x", "2"))
 		c.Assert(unread, qt.Equals, 7000)
 	}
--- a/internal/experiment/stages.go
+++ b/internal/experiment/stages.go
@@ -16,8 +16,8 @@
 
 // sharedStages is the system's own policy.
 func sharedStages() stagePolicy {
-	var fetch stagework.Fetch
-	return stagePolicy{queues: 1, freedAfter: fetch.Time(stageShape, mostPieces*stageResult)}
+	var fetch stagework.FetchEstimator
+	return stagePolicy{queues: 1, freedAfter: fetch.Duration(stageShape, mostPieces*stageResult)}
 }
 
 // Many requests with a few pieces each share stage servers whose capacity exists only
--- a/internal/experiment/stagesim.go
+++ b/internal/experiment/stagesim.go
@@ -10,7 +10,7 @@
 )
 
 // stageShape is the stage server of the experiments.
-var stageShape = stagework.Shape{
+var stageShape = stagework.ServerProfile{
 	Slots: 1, Batch: 8, CallTime: 200 * time.Millisecond, PieceTime: 20 * time.Millisecond,
 	RoomBytes: 12 * stageResult, ResultLife: 4 * time.Second,
 }
@@ -148,8 +148,8 @@
 		for {
 			if s.policy.alone {
 				shape := stageShape
-				shape.Batch = max(1, q.FirstWaiting(now))
-				q.SetShape(shape)
+				shape.Batch = max(1, q.WaitingOfFirstJob(now))
+				q.SetProfile(shape)
 			}
 			call, ok := q.Next(now)
 			if !ok {
@@ -182,7 +182,7 @@
 
 func (s *stageSim) apply(q *stagework.Queue, e stagework.Effects, now time.Time) {
 	q.Freed(e.Orphans)
-	for _, done := range e.Done {
+	for _, done := range e.Ended {
 		r := s.requests[done.Job]
 		switch {
 		case done.Refusal != "":
--- a/internal/gateway/chain.go
+++ b/internal/gateway/chain.go
@@ -39,7 +39,7 @@
 	users []int
 	// released holds the stages whose inputs are not needed any more.
 	released []bool
-	progress *stagework.Progress
+	progress *stagework.StageSchedule
 	// changed is closed and replaced whenever a stage ends.
 	changed chan struct{}
 }
@@ -50,7 +50,7 @@
 	n := len(chain.Route.Stages)
 	r := &run{
 		Stages: s, Chain: chain, done: make([]chan struct{}, n), results: make([][]string, n), users: make([]int, n), released: make([]bool, n),
-		progress: stagework.NewProgress(chain.Graph.After, chain.Graph.Counts), changed: make(chan struct{}),
+		progress: stagework.NewStageSchedule(chain.Graph.After, chain.Graph.Counts), changed: make(chan struct{}),
 	}
 	for i := range n {
 		r.done[i] = make(chan struct{})
@@ -101,7 +101,7 @@
 	r.typical.learn(r.Route.Stages[i].Service, time.Since(started))
 	r.mu.Lock()
 	r.results[i] = results
-	r.progress.End(i)
+	r.progress.MarkEnded(i)
 	close(r.changed)
 	r.changed = make(chan struct{})
 	r.mu.Unlock()
@@ -141,11 +141,11 @@
 	for {
 		typical := r.typicalTimes()
 		r.mu.Lock()
-		r.progress.SetTypical(typical)
+		r.progress.SetTypicalDurations(typical)
 		now := time.Now()
-		wait, changed := r.progress.Delay(i, now), r.changed
+		wait, changed := r.progress.StartDelay(i, now), r.changed
 		if wait == 0 {
-			r.progress.Start(i, now)
+			r.progress.MarkStarted(i, now)
 		}
 		r.mu.Unlock()
 		if wait == 0 {
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -236,9 +236,9 @@
 	w := plain(c, route.Stream)
 	w.config.Routes[0].Resumable, w.config.Routes[0].Stages = resumable, stages
 	w.config.Routes[0].Target = time.Second
-	w.config.Services[0].Engine = &route.EngineShape{}
+	w.config.Services[0].Engine = &route.EngineProfile{}
 	w.config.Services = append(w.config.Services, route.Service{Name: "stage",
-		Work: &stagework.Shape{Slots: 1, Batch: 4, CallTime: time.Millisecond, PieceTime: time.Millisecond, ResultLife: time.Second}})
+		StageProfile: &stagework.ServerProfile{Slots: 1, Batch: 4, CallTime: time.Millisecond, PieceTime: time.Millisecond, ResultLife: time.Second}})
 	return w
 }
 
--- a/internal/gateway/fetches.go
+++ b/internal/gateway/fetches.go
@@ -11,16 +11,16 @@
 // fetches holds by service of model servers how long they take to fetch inputs.
 type fetches struct {
 	mu        sync.Mutex
-	byService map[string]*stagework.Fetch
+	byService map[string]*stagework.FetchEstimator
 }
 
-func newFetches() *fetches { return &fetches{byService: map[string]*stagework.Fetch{}} }
+func newFetches() *fetches { return &fetches{byService: map[string]*stagework.FetchEstimator{}} }
 
 // of returns the estimate of a service. It is called with the lock held.
-func (f *fetches) of(service string) *stagework.Fetch {
+func (f *fetches) of(service string) *stagework.FetchEstimator {
 	known := f.byService[service]
 	if known == nil {
-		known = &stagework.Fetch{}
+		known = &stagework.FetchEstimator{}
 		f.byService[service] = known
 	}
 	return known
@@ -32,8 +32,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for made := range results {
-		if described := table.Service(made); described != nil && described.Work != nil {
-			longest = max(longest, f.of(service).Time(*described.Work, bytes))
+		if described := table.Service(made); described != nil && described.StageProfile != nil {
+			longest = max(longest, f.of(service).Duration(*described.StageProfile, bytes))
 		}
 	}
 	return longest
@@ -45,8 +45,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if found {
-		f.of(service).Fetched()
+		f.of(service).RecordFetched()
 	} else {
-		f.of(service).Lost()
+		f.of(service).RecordLost()
 	}
 }
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -32,7 +32,7 @@
 	mu      sync.Mutex
 	random  *rand.Rand
 	plain   map[string]*routing.Pool
-	engines map[string]*engine.Set
+	engines map[string]*engine.Scheduler
 	servers map[string]upstream.Server
 	budgets map[string]*routing.RetryBudget
 }
@@ -42,7 +42,7 @@
 	return &Fleet{
 		settings: s, instances: cluster.Instances,
 		random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		plain:  map[string]*routing.Pool{}, engines: map[string]*engine.Set{},
+		plain:  map[string]*routing.Pool{}, engines: map[string]*engine.Scheduler{},
 		servers: map[string]upstream.Server{}, budgets: map[string]*routing.RetryBudget{},
 	}
 }
@@ -62,7 +62,7 @@
 			f.servers[s.ID] = upstream.Server{ID: s.ID, Address: s.Address, MaxConnections: connectionLimit(service, instances)}
 		}
 		switch {
-		case service.Work != nil:
+		case service.StageProfile != nil:
 		case service.Engine != nil:
 			f.updateEngines(service, v.Servers[service.Name])
 		default:
@@ -81,7 +81,7 @@
 func (f *Fleet) updateEngines(service *route.Service, listed []view.Server) {
 	set := f.engines[service.Name]
 	if set == nil {
-		set = engine.NewSet(f.settings.Region)
+		set = engine.NewScheduler(f.settings.Region)
 		f.engines[service.Name] = set
 	}
 	servers := make([]engine.Server, len(listed))
@@ -89,7 +89,7 @@
 		servers[i] = engine.Server{ID: s.ID, Region: f.settings.Regions[s.FailureDomain], FailureDomain: s.FailureDomain, Incarnation: s.Incarnation,
 			CacheTokens: service.Engine.CacheTokens, CopyRate: service.Engine.CopyRate()}
 	}
-	set.Update(servers)
+	set.SetServers(servers)
 }
 
 func (f *Fleet) updatePlain(service string, listed []view.Server) {
@@ -139,7 +139,7 @@
 
 // Engines calls use with the model servers of a service, or returns false when
 // there are none.
-func (f *Fleet) Engines(service string, use func(*engine.Set)) bool {
+func (f *Fleet) Engines(service string, use func(*engine.Scheduler)) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	set := f.engines[service]
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -124,7 +124,7 @@
 		wait = min(wait, a.demand.Wait)
 	}
 	a.deadline = a.arrived.Add(wait)
-	a.service = table.Service(a.route.Choose(a.fleet.Draw()))
+	a.service = table.Service(a.route.ChooseService(a.fleet.Draw()))
 	if a.service == nil {
 		a.refuse("no service", retryLater)
 		return false
@@ -138,7 +138,7 @@
 // rank combines the priority of an organisation with that of a route, which counts
 // only between requests of equal organisations.
 func rank(o *route.Organisation, r *route.Route) int {
-	if !o.Ranked {
+	if !o.HasPriority {
 		return r.Priority
 	}
 	return o.Priority*routeRanks + min(r.Priority, routeRanks-1)
--- a/internal/gateway/inputs.go
+++ b/internal/gateway/inputs.go
@@ -29,7 +29,7 @@
 	if len(near) == 0 {
 		near = all
 	}
-	domain := engine.Domain(g.demand.Prompt, near, g.fleet.Draw())
+	domain := engine.ChooseDomain(g.demand.Prompt, near, g.fleet.Draw())
 	if g.inputBytes() < heavyInputs {
 		return domain
 	}
@@ -116,7 +116,7 @@
 		g.domain = g.chooseDomain()
 	}
 	var typical time.Duration
-	g.fleet.Engines(g.service.Name, func(s *engine.Set) { typical = s.Typical() })
+	g.fleet.Engines(g.service.Name, func(s *engine.Scheduler) { typical = s.TypicalDelay() })
 	ctx, cancel := g.untilClosing()
 	defer cancel()
 	inputs, err := g.stages.Run(ctx, Chain{
@@ -160,7 +160,7 @@
 // ends by the deadline and its first event comes while the client still waits.
 func (g *generation) stagesDeadline(firstEvent time.Duration) time.Time {
 	end := g.deadline.Add(-max(firstEvent, g.runs.of(g.route.Name)))
-	if patience := g.arrived.Add(g.route.Patience - firstEvent); g.route.Patience > 0 && patience.Before(end) {
+	if patience := g.arrived.Add(g.route.MaxFirstEventWait - firstEvent); g.route.MaxFirstEventWait > 0 && patience.Before(end) {
 		return patience
 	}
 	return end
--- a/internal/gateway/placer.go
+++ b/internal/gateway/placer.go
@@ -67,7 +67,7 @@
 
 func (p *Placer) restore(ctx context.Context, service string) {
 	var ids []string
-	p.fleet.Engines(service, func(s *engine.Set) { ids = s.Local() })
+	p.fleet.Engines(service, func(s *engine.Scheduler) { ids = s.LocalServers() })
 	for _, id := range ids {
 		server, known := p.fleet.Server(id)
 		if !known {
@@ -78,7 +78,7 @@
 			events.CacheUnknown.Log(ctx, p.logger, slog.String("server", id), slog.Any("error", err))
 			continue
 		}
-		p.fleet.Engines(service, func(s *engine.Set) { s.Restore(id, parts) })
+		p.fleet.Engines(service, func(s *engine.Scheduler) { s.ReplaceCached(id, parts) })
 	}
 	events.PlacerChanged.Log(ctx, p.logger, slog.String("service", service), slog.Int("servers", len(ids)))
 }
@@ -126,7 +126,7 @@
 }
 
 func (p *Placer) placeHere(service string, q engine.Query) (placed engine.Placement, ok bool) {
-	p.fleet.Engines(service, func(s *engine.Set) { placed, ok = s.Place(time.Now(), q) })
+	p.fleet.Engines(service, func(s *engine.Scheduler) { placed, ok = s.Place(time.Now(), q) })
 	return placed, ok
 }
 
@@ -134,7 +134,7 @@
 // tells the other regions what the server will keep.
 func (p *Placer) placeForRegion(service string, q engine.Query) (engine.Placement, bool) {
 	placed, ok := p.placeHere(service, q)
-	if len(placed.New) > 0 {
+	if len(placed.NewParts) > 0 {
 		p.share(service, placed)
 	}
 	return placed, ok
@@ -150,7 +150,7 @@
 
 // Report tells what became of a placement, here and where it was made.
 func (p *Placer) Report(service string, r engine.Report) {
-	p.fleet.Engines(service, func(s *engine.Set) { s.Report(time.Now(), r) })
+	p.fleet.Engines(service, func(s *engine.Scheduler) { s.Report(time.Now(), r) })
 	address := p.cluster.Callers(placerKey(service))[0]
 	if address == "" {
 		return
@@ -172,5 +172,5 @@
 		Server: request.Server, Failed: request.Failed, Refused: request.Refused,
 		Expected: time.Duration(request.ExpectedUs) * time.Microsecond, Delay: time.Duration(request.DelayUs) * time.Microsecond,
 	}
-	p.fleet.Engines(request.Service, func(s *engine.Set) { s.Report(time.Now(), r) })
+	p.fleet.Engines(request.Service, func(s *engine.Scheduler) { s.Report(time.Now(), r) })
 }
--- a/internal/gateway/plain_test.go
+++ b/internal/gateway/plain_test.go
@@ -333,7 +333,7 @@
 // Guards against an organisation whose priority yields to that of a route.
 func TestOrganisationsRankBeforeRoutes(t *testing.T) {
 	c := qt.New(t)
-	first, second := &route.Organisation{Priority: 0, Ranked: true}, &route.Organisation{Priority: 1, Ranked: true}
+	first, second := &route.Organisation{Priority: 0, HasPriority: true}, &route.Organisation{Priority: 1, HasPriority: true}
 	c.Assert(rank(first, &route.Route{Priority: 7}) < rank(second, &route.Route{Priority: 0}), qt.IsTrue)
 	c.Assert(rank(second, &route.Route{Priority: 0}) < rank(second, &route.Route{Priority: 1}), qt.IsTrue)
 	c.Assert(rank(&route.Organisation{}, &route.Route{Priority: 2}), qt.Equals, 2)
--- a/internal/gateway/servicequeue.go
+++ b/internal/gateway/servicequeue.go
@@ -26,7 +26,7 @@
 type stageJob struct {
 	request  *peerpb.RunStageRequest
 	deadline time.Time
-	done     chan stagework.Done
+	done     chan stagework.EndedJob
 	// fetched is closed when the inputs may be freed. It is nil when the requester
 	// does not ask for that.
 	fetched chan struct{}
@@ -38,7 +38,7 @@
 
 func newServiceQueue(service string) *serviceQueue {
 	return &serviceQueue{
-		service: service, queue: stagework.NewQueue(stagework.Shape{}),
+		service: service, queue: stagework.NewQueue(stagework.ServerProfile{}),
 		jobs: map[stagework.JobID]*stageJob{}, pending: map[stagework.JobID]*stageJob{},
 	}
 }
@@ -49,14 +49,14 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	response.WaitMs, response.RoomShort = w.queue.Wait(now).Milliseconds(), w.queue.RoomShort(now)
+	response.WaitMs, response.RoomShort = w.queue.EstimatedWait(now).Milliseconds(), w.queue.RoomShort(now)
 	return response
 }
 
 // begun schedules the message that the inputs of jobs were fetched. It is called with
 // the lock held.
 func (w *serviceQueue) begun(call stagework.Call) {
-	for _, id := range call.Begun {
+	for _, id := range call.FullyDispatched {
 		job := w.jobs[id]
 		if job == nil || !job.request.TellFetched {
 			continue
--- a/internal/gateway/shares.go
+++ b/internal/gateway/shares.go
@@ -32,7 +32,7 @@
 	if len(waiting) == 0 {
 		time.AfterFunc(sharePause, func() { p.sendShares(service) })
 	}
-	p.shares[service] = append(waiting, &peerpb.SharedPlacement{Server: placed.Server, Parts: encodeParts(placed.New)})
+	p.shares[service] = append(waiting, &peerpb.SharedPlacement{Server: placed.Server, Parts: encodeParts(placed.NewParts)})
 }
 
 func (p *Placer) sendShares(service string) {
@@ -63,9 +63,9 @@
 		return
 	}
 	now := time.Now()
-	p.fleet.Engines(request.Service, func(s *engine.Set) {
+	p.fleet.Engines(request.Service, func(s *engine.Scheduler) {
 		for _, placed := range request.Placements {
-			s.Kept(now, placed.Server, decodeParts(placed.Parts))
+			s.RecordCached(now, placed.Server, decodeParts(placed.Parts))
 		}
 	})
 }
--- a/internal/gateway/stageask.go
+++ b/internal/gateway/stageask.go
@@ -112,8 +112,8 @@
 func (r *run) inputsLife(i int) time.Duration {
 	life := time.Duration(math.MaxInt64)
 	for _, j := range r.Graph.After[i] {
-		if producer := r.Table.Service(r.Route.Stages[j].Service); producer != nil && producer.Work != nil && producer.Work.ResultLife > 0 {
-			life = min(life, producer.Work.ResultLife)
+		if producer := r.Table.Service(r.Route.Stages[j].Service); producer != nil && producer.StageProfile != nil && producer.StageProfile.ResultLife > 0 {
+			life = min(life, producer.StageProfile.ResultLife)
 		}
 	}
 	return life
--- a/internal/gateway/stagecaller.go
+++ b/internal/gateway/stagecaller.go
@@ -63,12 +63,12 @@
 	}
 	for i := range v.Table.Services {
 		service := &v.Table.Services[i]
-		if service.Work == nil {
+		if service.StageProfile == nil {
 			continue
 		}
 		w := s.queueOf(service.Name, true)
 		w.mu.Lock()
-		w.queue.SetShape(*service.Work)
+		w.queue.SetProfile(*service.StageProfile)
 		w.queue.SetServers(s.nearServers(v.Servers[service.Name]))
 		w.mu.Unlock()
 		s.pump(w)
@@ -112,7 +112,7 @@
 	if s.handedOver() && !request.Forced {
 		return &peerpb.RunStageResponse{Refusal: string(stagework.RefusedMoved)}, nil
 	}
-	job := &stageJob{request: request, done: make(chan stagework.Done, 1)}
+	job := &stageJob{request: request, done: make(chan stagework.EndedJob, 1)}
 	if request.TellFetched {
 		job.fetched = make(chan struct{})
 	}
@@ -238,7 +238,7 @@
 // apply tells the waiting jobs their ends and frees what no job needs.
 func (s *StageCaller) apply(w *serviceQueue, effects stagework.Effects) {
 	w.mu.Lock()
-	for _, done := range effects.Done {
+	for _, done := range effects.Ended {
 		if job := w.jobs[done.Job]; job != nil {
 			delete(w.jobs, done.Job)
 			job.done <- done
--- a/internal/gateway/stagecalls.go
+++ b/internal/gateway/stagecalls.go
@@ -31,7 +31,7 @@
 	s.calls.Inc(1)
 	s.callTime.Record(time.Since(started))
 	attrs := []slog.Attr{
-		slog.String("service", w.service), slog.String("server", call.Server), slog.Int("pieces", len(pieces)), slog.Int("crossing", call.Crossing),
+		slog.String("service", w.service), slog.String("server", call.Server), slog.Int("pieces", len(pieces)), slog.Int("crossing", call.CrossDomain),
 		slog.Int("waiting", call.Waiting), slog.Int64("room_left", call.RoomLeft),
 		slog.Int64("took_ms", time.Since(started).Milliseconds()), slog.String("outcome", summary(outcomes)),
 	}
--- a/internal/gateway/stages.go
+++ b/internal/gateway/stages.go
@@ -67,8 +67,8 @@
 // that its queue showed lately: a burst fills a queue before the mean follows.
 func (s *Stages) Typical(table *route.Table, service string) time.Duration {
 	var call time.Duration
-	if described := table.Service(service); described != nil && described.Work != nil {
-		call = described.Work.CallDuration(min(firstPieces, described.Work.Batch))
+	if described := table.Service(service); described != nil && described.StageProfile != nil {
+		call = described.StageProfile.CallDuration(min(firstPieces, described.StageProfile.Batch))
 	}
 	known := s.typical.of(service)
 	if known == 0 {
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -221,10 +221,10 @@
 func TestInputsOfStagesAreFreedWhenFetched(t *testing.T) {
 	c := qt.New(t)
 	w := generating(c, false, route.Stage{Service: "stage", ResultBytes: 1}, route.Stage{Service: "next", After: []int{0}})
-	w.config.Services[1].Work.RoomBytes = 3
-	w.config.Services[1].Work.CallTime = 200 * time.Millisecond
+	w.config.Services[1].StageProfile.RoomBytes = 3
+	w.config.Services[1].StageProfile.CallTime = 200 * time.Millisecond
 	w.config.Routes[0].Target, w.config.Routes[0].Timeout = 5*time.Second, 10*time.Second
-	w.config.Services = append(w.config.Services, route.Service{Name: "next", Work: w.config.Services[1].Work})
+	w.config.Services = append(w.config.Services, route.Service{Name: "next", StageProfile: w.config.Services[1].StageProfile})
 	var calls, freed recorder
 	w.stageServer(&calls, &freed)
 	w.backend("next", func(rw http.ResponseWriter, r *http.Request) {
@@ -255,7 +255,7 @@
 func TestMemoryIsCountedUntilResultsAreGivenUp(t *testing.T) {
 	c := qt.New(t)
 	w := generating(c, false, route.Stage{Service: "stage", ResultBytes: 1})
-	w.config.Services[1].Work.RoomBytes = 1
+	w.config.Services[1].StageProfile.RoomBytes = 1
 	release := make(chan struct{})
 	var runs recorder
 	w.backend("stage", func(rw http.ResponseWriter, r *http.Request) {
@@ -284,7 +284,7 @@
 	c := qt.New(t)
 	w := generating(c, false, route.Stage{Service: "stage", ResultBytes: 1},
 		route.Stage{Service: "stage"}, route.Stage{Service: "stage", After: []int{1}}, route.Stage{Service: "stage", After: []int{2}})
-	w.config.Services[1].Work.CallTime = 300 * time.Millisecond
+	w.config.Services[1].StageProfile.CallTime = 300 * time.Millisecond
 	w.config.Routes[0].Target, w.config.Routes[0].Timeout = 5*time.Second, 10*time.Second
 	var calls, freed recorder
 	w.stageServer(&calls, &freed)
@@ -323,7 +323,7 @@
 func TestRequestsThatCannotEndInTimeAreRefusedAtOnce(t *testing.T) {
 	c := qt.New(t)
 	w := generating(c, false, route.Stage{Service: "stage"})
-	w.config.Services[1].Work.CallTime = time.Minute
+	w.config.Services[1].StageProfile.CallTime = time.Minute
 	var calls, freed recorder
 	w.stageServer(&calls, &freed)
 	w.backend("x", func(rw http.ResponseWriter, _ *http.Request) { sendEvents(rw, 1, 1) })
@@ -364,7 +364,7 @@
 func TestStoppingInstancesHandStagesOver(t *testing.T) {
 	c := qt.New(t)
 	w := generating(c, false, route.Stage{Service: "stage"})
-	w.config.Services[1].Work.Batch = 1
+	w.config.Services[1].StageProfile.Batch = 1
 	begun, release := make(chan struct{}, 4), make(chan struct{})
 	w.backend("stage", func(rw http.ResponseWriter, _ *http.Request) {
 		begun <- struct{}{}
@@ -451,7 +451,7 @@
 		<-r.Context().Done()
 	})
 	w.backend("x", func(rw http.ResponseWriter, _ *http.Request) { sendEvents(rw, 1, 1) })
-	w.config.Services[1].Work.CallTime = time.Second
+	w.config.Services[1].StageProfile.CallTime = time.Second
 	w.start()
 	go func() {
 		<-asked
@@ -468,7 +468,7 @@
 func TestPartsThatAnotherRegionKeepsAreCopied(t *testing.T) {
 	c := qt.New(t)
 	w := generating(c, false)
-	w.config.Services[0].Engine = &route.EngineShape{TokenBytes: 1, LinkRate: 1e9}
+	w.config.Services[0].Engine = &route.EngineProfile{TokenBytes: 1, LinkRate: 1e9}
 	var seen recorder
 	w.backend("x", func(rw http.ResponseWriter, r *http.Request) {
 		seen.add(r.Header.Get("Copy-From"))
@@ -546,8 +546,8 @@
 	w := generating(c, false, route.Stage{Service: "stage"}, route.Stage{Service: "stage", After: []int{0}})
 	table := route.NewTable(w.config)
 	chain := Chain{Table: table, Route: &table.Routes[0], Graph: table.Routes[0].NewGraph([]int{1, 1}), Deadline: time.Now().Add(time.Minute)}
-	r := &run{Stages: NewStages(nil, nil, nil, logger()), Chain: chain, progress: stagework.NewProgress(chain.Graph.After, chain.Graph.Counts)}
-	r.progress.SetTypical(make([]time.Duration, 2))
+	r := &run{Stages: NewStages(nil, nil, nil, logger()), Chain: chain, progress: stagework.NewStageSchedule(chain.Graph.After, chain.Graph.Counts)}
+	r.progress.SetTypicalDurations(make([]time.Duration, 2))
 	c.Assert(r.request(0, nil).DeadlineMs > 50_000, qt.IsTrue)
 	c.Assert(r.request(1, nil).DeadlineMs, qt.Equals, int64(1000))
 }
--- a/route/route.go
+++ b/route/route.go
@@ -47,9 +47,9 @@
 	// Target is the time to the answer, or to the first event of a stream, within
 	// which it is on time.
 	Target time.Duration
-	// Patience is how long a client waits for the first event of a stream before it
+	// MaxFirstEventWait is how long a client waits for the first event of a stream before it
 	// leaves; 0 when only its deadline bounds that.
-	Patience time.Duration
+	MaxFirstEventWait time.Duration
 	// MaxAttempts is the number of backend servers that one attempt of a client
 	// may be sent to.
 	MaxAttempts int
@@ -83,14 +83,14 @@
 	Name string
 	// MaxConnections bounds the connections to one server from all instances.
 	MaxConnections int
-	// Work is set for services that run the pieces of stages.
-	Work *stagework.Shape
+	// StageProfile is set for services that run the pieces of stages.
+	StageProfile *stagework.ServerProfile
 	// Engine is set for services of model servers.
-	Engine *EngineShape
+	Engine *EngineProfile
 }
 
-// EngineShape is how one model server works.
-type EngineShape struct {
+// EngineProfile is how one model server works.
+type EngineProfile struct {
 	// CacheTokens is the memory for prompts; 0 when it is not known.
 	CacheTokens int
 	// TokenBytes is the memory that a token of a prompt takes, and LinkRate the speed
@@ -105,8 +105,8 @@
 	Keys []string
 	// Priority goes before the priority of the route; 0 is the highest.
 	Priority int
-	// Ranked is false for organisations without a priority of their own.
-	Ranked bool
+	// HasPriority is false for organisations without a priority of their own.
+	HasPriority bool
 }
 
 // Limits bound what a client may send.
@@ -130,7 +130,7 @@
 
 // CopyRate returns the number of prompt tokens a second that one server copies from
 // another; 0 when it can't.
-func (e *EngineShape) CopyRate() float64 {
+func (e *EngineProfile) CopyRate() float64 {
 	if e.TokenBytes <= 0 {
 		return 0
 	}
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -49,11 +49,11 @@
 func TestSplitFollowsWeights(t *testing.T) {
 	c := qt.New(t)
 	r := Route{Split: []Weight{{"a", 90}, {"b", 10}, {"c", 0}}}
-	c.Assert(r.Choose(0), qt.Equals, "a")
-	c.Assert(r.Choose(0.899), qt.Equals, "a")
-	c.Assert(r.Choose(0.9), qt.Equals, "b")
-	c.Assert(r.Choose(0.9999), qt.Equals, "b")
-	c.Assert((&Route{}).Choose(0.5), qt.Equals, "")
+	c.Assert(r.ChooseService(0), qt.Equals, "a")
+	c.Assert(r.ChooseService(0.899), qt.Equals, "a")
+	c.Assert(r.ChooseService(0.9), qt.Equals, "b")
+	c.Assert(r.ChooseService(0.9999), qt.Equals, "b")
+	c.Assert((&Route{}).ChooseService(0.5), qt.Equals, "")
 }
 
 // Guards against a stage that runs without the results it needs when the stage
--- a/route/table.go
+++ b/route/table.go
@@ -71,9 +71,9 @@
 	return len(t.Organisations) > 0
 }
 
-// Choose returns the service of a request of the route. Draw is uniform in
+// ChooseService returns the service of a request of the route. Draw is uniform in
 // [0, 1). It returns an empty string when the route has no service.
-func (r *Route) Choose(draw float64) string {
+func (r *Route) ChooseService(draw float64) string {
 	total := 0
 	for _, w := range r.Split {
 		total += max(0, w.Weight)
--- a/stagework/call.go
+++ b/stagework/call.go
@@ -198,10 +198,10 @@
 		inputs += j.InputBytes
 		if len(j.waiting) == 0 && j.begunBy != c.ID {
 			j.begunBy = c.ID
-			c.Begun = append(c.Begun, item.Job)
+			c.FullyDispatched = append(c.FullyDispatched, item.Job)
 		}
 	}
-	c.FetchTime = q.fetch.Time(q.shape, inputs)
+	c.FetchTime = q.fetch.Duration(q.shape, inputs)
 }
 
 // add moves waiting pieces of a job into a call, as far as the batch and the
@@ -219,7 +219,7 @@
 	for _, place := range j.waiting[:n] {
 		c.Items = append(c.Items, Item{Job: j.ID, Piece: j.Pieces[place]})
 		if j.FailureDomain != s.FailureDomain {
-			c.Crossing++
+			c.CrossDomain++
 		}
 		c.places = append(c.places, place)
 		c.bytes += j.ResultBytes
--- a/stagework/estimate.go
+++ b/stagework/estimate.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Wait estimates how long a new piece waits before its call begins, behind all
+// EstimatedWait estimates how long a new piece waits before its call begins, behind all
 // pieces that wait now.
-func (q *Queue) Wait(now time.Time) time.Duration {
+func (q *Queue) EstimatedWait(now time.Time) time.Duration {
 	pieces, _ := q.Load()
 	return q.waitBehind(now, pieces)
 }
@@ -55,9 +55,9 @@
 	return soonest + time.Duration(full)*perCall/time.Duration(servers*q.shape.Slots)
 }
 
-// FirstWaiting returns the number of waiting pieces of the job that ranks first among
+// WaitingOfFirstJob returns the number of waiting pieces of the job that ranks first among
 // those with any, 0 when none waits.
-func (q *Queue) FirstWaiting(now time.Time) int {
+func (q *Queue) WaitingOfFirstJob(now time.Time) int {
 	q.sort(now)
 	for _, j := range q.order {
 		if len(j.waiting) > 0 {
--- a/stagework/fetch.go
+++ b/stagework/fetch.go
@@ -14,18 +14,18 @@
 	maxFetchFactor = 32
 )
 
-// Fetch estimates how long model servers take to fetch the results that a request
+// FetchEstimator estimates how long model servers take to fetch the results that a request
 // gives them. No message tells that they have done so, and the first event of a
 // stream, which does, comes several times later. The zero value is ready to use. It is
 // not safe for concurrent use.
-type Fetch struct {
+type FetchEstimator struct {
 	// factor multiplies the estimate; it is 1 unless results were freed too early.
 	factor float64
 }
 
-// Time returns how long results of a size, made by servers of a shape, are kept for a
+// Duration returns how long results of a size, made by servers of a shape, are kept for a
 // model server after the request was sent.
-func (f *Fetch) Time(shape Shape, bytes int64) time.Duration {
+func (f *FetchEstimator) Duration(shape ServerProfile, bytes int64) time.Duration {
 	estimate := fetchLatency
 	if shape.LinkRate > 0 {
 		estimate += time.Duration(float64(bytes) / fetchShare / float64(shape.LinkRate) * float64(time.Second))
@@ -33,8 +33,8 @@
 	return time.Duration(max(1, f.factor) * float64(estimate))
 }
 
-// Lost records that a model server did not find results which had been freed.
-func (f *Fetch) Lost() { f.factor = min(maxFetchFactor, max(1, f.factor)*lostGrowth) }
+// RecordLost records that a model server did not find results which had been freed.
+func (f *FetchEstimator) RecordLost() { f.factor = min(maxFetchFactor, max(1, f.factor)*lostGrowth) }
 
-// Fetched records that a model server found all results.
-func (f *Fetch) Fetched() { f.factor = max(1, f.factor*fetchedDecay) }
+// RecordFetched records that a model server found all results.
+func (f *FetchEstimator) RecordFetched() { f.factor = max(1, f.factor*fetchedDecay) }
--- a/stagework/fetch_test.go
+++ b/stagework/fetch_test.go
@@ -11,20 +11,20 @@
 // and again.
 func TestFetchTimesFollowTheLinkAndLosses(t *testing.T) {
 	c := qt.New(t)
-	var f Fetch
-	fast, slow := Shape{LinkRate: 1_250_000_000}, Shape{LinkRate: 12_500_000}
-	c.Assert(f.Time(Shape{}, 1<<20), qt.Equals, fetchLatency)
-	c.Assert(f.Time(fast, 3_750_000), qt.Equals, fetchLatency+9*time.Millisecond)
-	c.Assert(f.Time(slow, 3_750_000), qt.Equals, fetchLatency+900*time.Millisecond)
-	f.Lost()
-	f.Lost()
-	c.Assert(f.Time(Shape{}, 0), qt.Equals, 4*fetchLatency)
+	var f FetchEstimator
+	fast, slow := ServerProfile{LinkRate: 1_250_000_000}, ServerProfile{LinkRate: 12_500_000}
+	c.Assert(f.Duration(ServerProfile{}, 1<<20), qt.Equals, fetchLatency)
+	c.Assert(f.Duration(fast, 3_750_000), qt.Equals, fetchLatency+9*time.Millisecond)
+	c.Assert(f.Duration(slow, 3_750_000), qt.Equals, fetchLatency+900*time.Millisecond)
+	f.RecordLost()
+	f.RecordLost()
+	c.Assert(f.Duration(ServerProfile{}, 0), qt.Equals, 4*fetchLatency)
 	for range 200 {
-		f.Fetched()
+		f.RecordFetched()
 	}
-	c.Assert(f.Time(Shape{}, 0), qt.Equals, fetchLatency)
+	c.Assert(f.Duration(ServerProfile{}, 0), qt.Equals, fetchLatency)
 	for range 20 {
-		f.Lost()
+		f.RecordLost()
 	}
-	c.Assert(f.Time(Shape{}, 0), qt.Equals, maxFetchFactor*fetchLatency)
+	c.Assert(f.Duration(ServerProfile{}, 0), qt.Equals, maxFetchFactor*fetchLatency)
 }
--- a/stagework/load_test.go
+++ b/stagework/load_test.go
@@ -85,7 +85,7 @@
 	for _, q := range s.queues {
 		for {
 			if s.perRequest {
-				q.shape.Batch = max(1, q.FirstWaiting(now))
+				q.shape.Batch = max(1, q.WaitingOfFirstJob(now))
 			}
 			call, ok := q.Next(now)
 			if !ok {
@@ -107,7 +107,7 @@
 	s.busy[call.Server] = false
 	e := q.Finished(now, call.ID, produce(call))
 	q.Freed(e.Orphans)
-	for _, done := range e.Done {
+	for _, done := range e.Ended {
 		if done.Refusal == "" && !now.After(s.requests[done.Job].Due) {
 			s.onTime++
 		}
@@ -137,12 +137,12 @@
 // because the servers' memory is full of results that were fetched long ago.
 func TestResultsFreedWhenFetchedLeaveRoomForFullCalls(t *testing.T) {
 	c := qt.New(t)
-	var fetch Fetch
+	var fetch FetchEstimator
 	early, late := newSimulation(1, false), newSimulation(1, false)
 	for _, s := range []*simulation{early, late} {
 		s.resultBytes = shape.RoomBytes / 12
 	}
-	early.usedAfter, late.usedAfter = fetch.Time(shape, early.resultBytes), 350*time.Millisecond
+	early.usedAfter, late.usedAfter = fetch.Duration(shape, early.resultBytes), 350*time.Millisecond
 	early.burst(12, 8*time.Second)
 	late.burst(12, 8*time.Second)
 	figures := fmt.Sprintf("on time: freed when fetched %d, with the first event %d; calls %d, %d", early.onTime, late.onTime, early.calls, late.calls)
--- a/stagework/queue.go
+++ b/stagework/queue.go
@@ -88,7 +88,7 @@
 // Queue holds the waiting jobs of one service and decides on its calls. It is not
 // safe for concurrent use.
 type Queue struct {
-	shape    Shape
+	shape    ServerProfile
 	jobs     map[JobID]*job
 	order    []*job
 	calls    map[CallID]*call
@@ -98,25 +98,25 @@
 	// shortAt is when memory for results last limited a call.
 	shortAt time.Time
 	// fetch estimates how long calls take to fetch their inputs.
-	fetch Fetch
+	fetch FetchEstimator
 }
 
 // NewQueue returns a queue without servers.
-func NewQueue(shape Shape) *Queue {
+func NewQueue(shape ServerProfile) *Queue {
 	return &Queue{
 		shape: normal(shape), jobs: map[JobID]*job{}, calls: map[CallID]*call{},
 		servers: map[string]*server{}, results: map[string]held{},
 	}
 }
 
-func normal(shape Shape) Shape {
+func normal(shape ServerProfile) ServerProfile {
 	shape.Slots = max(1, shape.Slots)
 	shape.Batch = max(1, shape.Batch)
 	return shape
 }
 
-// SetShape replaces the shape of the servers.
-func (q *Queue) SetShape(shape Shape) { q.shape = normal(shape) }
+// SetProfile replaces the shape of the servers.
+func (q *Queue) SetProfile(shape ServerProfile) { q.shape = normal(shape) }
 
 // SetServers replaces the servers that get calls. Calls to others go on.
 func (q *Queue) SetServers(servers []Server) {
@@ -164,7 +164,7 @@
 	if !offered.Started {
 		end := now.Add(q.estimate(now, offered))
 		if end.After(offered.Due) {
-			end = end.Add(lateFactor * q.Wait(now))
+			end = end.Add(lateFactor * q.EstimatedWait(now))
 		}
 		if end.After(offered.Deadline) {
 			return RefusedLate, false
@@ -214,7 +214,7 @@
 // refuse ends a job with a reason.
 func (q *Queue) refuse(e *Effects, j *job, why Refusal) {
 	e.Orphans = append(e.Orphans, q.remove(j)...)
-	e.Done = append(e.Done, Done{Job: j.ID, Refusal: why})
+	e.Ended = append(e.Ended, EndedJob{Job: j.ID, Refusal: why})
 }
 
 // HandOver refuses the jobs of which no piece is in a call or produced, so that another
@@ -312,7 +312,7 @@
 		return
 	case InputGone:
 		if j.inputsFreed {
-			q.fetch.Lost()
+			q.fetch.RecordLost()
 		}
 		q.refuse(e, j, RefusedInputGone)
 		return
@@ -340,8 +340,8 @@
 		return
 	}
 	if j.inputsFreed {
-		q.fetch.Fetched()
+		q.fetch.RecordFetched()
 	}
 	q.remove(j)
-	e.Done = append(e.Done, Done{Job: j.ID, Results: j.results})
+	e.Ended = append(e.Ended, EndedJob{Job: j.ID, Results: j.results})
 }
--- a/stagework/queue_test.go
+++ b/stagework/queue_test.go
@@ -10,7 +10,7 @@
 
 var (
 	epoch = time.Unix(1000, 0)
-	shape = Shape{Slots: 1, Batch: 8, CallTime: 200 * time.Millisecond, PieceTime: 20 * time.Millisecond, RoomBytes: 12_000_000, ResultLife: 4 * time.Second}
+	shape = ServerProfile{Slots: 1, Batch: 8, CallTime: 200 * time.Millisecond, PieceTime: 20 * time.Millisecond, RoomBytes: 12_000_000, ResultLife: 4 * time.Second}
 )
 
 func queue(domains ...string) *Queue {
@@ -67,8 +67,8 @@
 	_, ok = q.Next(epoch)
 	c.Assert(ok, qt.IsFalse, qt.Commentf("the only slot is taken"))
 	e := q.Finished(epoch.Add(360*time.Millisecond), call.ID, produce(call))
-	c.Assert(len(e.Done), qt.Equals, 2)
-	c.Assert(e.Done[0].Results, qt.DeepEquals, []string{"s0/1-0", "s0/1-1", "s0/1-2"})
+	c.Assert(len(e.Ended), qt.Equals, 2)
+	c.Assert(e.Ended[0].Results, qt.DeepEquals, []string{"s0/1-0", "s0/1-1", "s0/1-2"})
 	rest, ok := q.Next(epoch.Add(360 * time.Millisecond))
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(rest.Items, qt.DeepEquals, []Item{{Job: 3, Piece: 2}})
@@ -114,7 +114,7 @@
 	waiting.Deadline = epoch.Add(700 * time.Millisecond)
 	offer(c, q, waiting)
 	e := q.Expire(epoch.Add(600 * time.Millisecond))
-	c.Assert(e.Done, qt.DeepEquals, []Done{{Job: 3, Refusal: RefusedLate}})
+	c.Assert(e.Ended, qt.DeepEquals, []EndedJob{{Job: 3, Refusal: RefusedLate}})
 	why, ok = NewQueue(shape).Offer(epoch, request(4, 1))
 	c.Assert(ok, qt.IsFalse)
 	c.Assert(why, qt.Equals, RefusedNoServer)
@@ -158,9 +158,9 @@
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(again.Server, qt.Not(qt.Equals), stuck.Server)
 	e := q.Finished(now, again.ID, produce(again))
-	c.Assert(len(e.Done), qt.Equals, 1)
+	c.Assert(len(e.Ended), qt.Equals, 1)
 	e = q.Finished(now, stuck.ID, produce(stuck))
-	c.Assert(e.Done, qt.HasLen, 0)
+	c.Assert(e.Ended, qt.HasLen, 0)
 	c.Assert(e.Orphans, qt.HasLen, 2)
 }
 
@@ -225,11 +225,11 @@
 	for range maxFailures + 1 {
 		call, ok := q.Next(now)
 		c.Assert(ok, qt.IsTrue)
-		c.Assert(e.Done, qt.HasLen, 0)
+		c.Assert(e.Ended, qt.HasLen, 0)
 		e = q.Finished(now, call.ID, same(call, Failed))
 		now = now.Add(maxFailurePause)
 	}
-	c.Assert(e.Done, qt.DeepEquals, []Done{{Job: 1, Refusal: RefusedFailed}})
+	c.Assert(e.Ended, qt.DeepEquals, []EndedJob{{Job: 1, Refusal: RefusedFailed}})
 }
 
 // Guards against a cancelled request whose results stay in the memory of servers.
@@ -257,7 +257,7 @@
 	offer(c, q, request(2, 2))
 	second, _ := q.Next(epoch)
 	e := q.Finished(epoch, second.ID, outcomes)
-	c.Assert(e.Done, qt.HasLen, 0)
+	c.Assert(e.Ended, qt.HasLen, 0)
 	c.Assert(e.Orphans, qt.HasLen, 0)
 }
 
@@ -341,20 +341,20 @@
 	offer(c, q, first)
 	offer(c, q, second)
 	call, _ := q.Next(epoch)
-	c.Assert(call.Begun, qt.DeepEquals, []JobID{1})
+	c.Assert(call.FullyDispatched, qt.DeepEquals, []JobID{1})
 	c.Assert(q.InputsFetched(2, call.ID), qt.IsFalse)
 	q.Finished(epoch, call.ID, same(call, Refused))
 	c.Assert(q.InputsFetched(1, call.ID), qt.IsFalse)
 	later := epoch.Add(refusedPause)
 	again, _ := q.Next(later)
-	c.Assert(again.Begun, qt.DeepEquals, []JobID{1})
+	c.Assert(again.FullyDispatched, qt.DeepEquals, []JobID{1})
 	c.Assert(q.InputsFetched(1, call.ID), qt.IsFalse)
 	c.Assert(q.InputsFetched(1, again.ID), qt.IsTrue)
 	c.Assert(q.InputsFetched(1, again.ID), qt.IsFalse)
 	outcomes := produce(again)
 	outcomes[0] = Outcome{Status: NoRoom}
 	e := q.Finished(later, again.ID, outcomes)
-	c.Assert(e.Done, qt.DeepEquals, []Done{{Job: 1, Refusal: RefusedInputGone}})
+	c.Assert(e.Ended, qt.DeepEquals, []EndedJob{{Job: 1, Refusal: RefusedInputGone}})
 	c.Assert(e.Orphans, qt.HasLen, 5)
 }
 
@@ -383,7 +383,7 @@
 	c.Assert(q.RoomShort(epoch), qt.IsFalse)
 	call, _ := q.Next(epoch)
 	c.Assert(call.Items, qt.HasLen, 4)
-	c.Assert(call.Begun, qt.HasLen, 0)
+	c.Assert(call.FullyDispatched, qt.HasLen, 0)
 	c.Assert(q.RoomShort(epoch), qt.IsTrue)
 	c.Assert(q.RoomShort(epoch.Add(shortLife)), qt.IsFalse)
 }
@@ -398,11 +398,11 @@
 	offer(c, q, second)
 	call, _ := q.Next(epoch)
 	c.Assert(call.Items, qt.HasLen, 8)
-	c.Assert(q.HandOver().Done, qt.DeepEquals, []Done{{Job: 2, Refusal: RefusedMoved}})
+	c.Assert(q.HandOver().Ended, qt.DeepEquals, []EndedJob{{Job: 2, Refusal: RefusedMoved}})
 	later := epoch.Add(shape.CallDuration(8))
-	c.Assert(q.Finished(later, call.ID, produce(call)).Done, qt.HasLen, 0)
+	c.Assert(q.Finished(later, call.ID, produce(call)).Ended, qt.HasLen, 0)
 	rest, _ := q.Next(later)
-	done := q.Finished(later, rest.ID, produce(rest)).Done
+	done := q.Finished(later, rest.ID, produce(rest)).Ended
 	c.Assert(done, qt.HasLen, 1)
 	c.Assert(done[0].Results, qt.HasLen, 10)
 }
--- a/stagework/rank.go
+++ b/stagework/rank.go
@@ -21,12 +21,12 @@
 }
 
 // late reports whether the job can't be on time any more.
-func (j *job) late(now time.Time, shape Shape) bool {
+func (j *job) late(now time.Time, shape ServerProfile) bool {
 	return now.Add(shape.CallDuration(min(len(j.Pieces), shape.Batch))).After(j.Due)
 }
 
 // behind reports whether the job comes after those that can be on time.
-func (j *job) behind(now time.Time, shape Shape) bool {
+func (j *job) behind(now time.Time, shape ServerProfile) bool {
 	return j.late(now, shape)
 }
 
--- a/stagework/progress.go
+++ b/stagework/schedule.go
@@ -9,11 +9,11 @@
 // wait for other stages. It covers the spread of the stages' durations.
 const startMargin = 200 * time.Millisecond
 
-// Progress tells when the stages of one request should start. Results take memory at
+// StageSchedule tells when the stages of one request should start. Results take memory at
 // their server from the start of their call until the model server has fetched them,
-// so a stage beside a longer chain starts only as early as it must. Progress is not
+// so a stage beside a longer chain starts only as early as it must. StageSchedule is not
 // safe for concurrent use.
-type Progress struct {
+type StageSchedule struct {
 	// after lists the stages whose results each stage needs.
 	after   [][]int
 	skipped []bool
@@ -25,19 +25,19 @@
 	ended   []bool
 }
 
-// NewProgress returns the progress of stages before their start. Stages with a count
+// NewStageSchedule returns the progress of stages before their start. Stages with a count
 // of 0 are skipped. SetTypical must be called before the other methods.
-func NewProgress(after [][]int, counts []int) *Progress {
+func NewStageSchedule(after [][]int, counts []int) *StageSchedule {
 	n := len(after)
-	p := &Progress{after: after, skipped: make([]bool, n), started: make([]time.Time, n), ended: make([]bool, n)}
+	p := &StageSchedule{after: after, skipped: make([]bool, n), started: make([]time.Time, n), ended: make([]bool, n)}
 	for i := range n {
 		p.skipped[i] = i >= len(counts) || counts[i] == 0
 	}
 	return p
 }
 
-// SetTypical replaces the typical duration of each stage.
-func (p *Progress) SetTypical(typical []time.Duration) {
+// SetTypicalDurations replaces the typical duration of each stage.
+func (p *StageSchedule) SetTypicalDurations(typical []time.Duration) {
 	p.typical = typical
 	p.tail = make([]time.Duration, len(typical))
 	// A pass for each stage reaches the longest path in any order of numbers.
@@ -55,24 +55,24 @@
 
 // Tail returns the typical time from the end of a stage to that of the last one that
 // follows it.
-func (p *Progress) Tail(i int) time.Duration { return p.tail[i] }
+func (p *StageSchedule) Tail(i int) time.Duration { return p.tail[i] }
 
-// Start records that a stage starts.
-func (p *Progress) Start(i int, now time.Time) { p.started[i] = now }
+// MarkStarted records that a stage starts.
+func (p *StageSchedule) MarkStarted(i int, now time.Time) { p.started[i] = now }
 
-// End records that a stage has ended.
-func (p *Progress) End(i int) { p.ended[i] = true }
+// MarkEnded records that a stage has ended.
+func (p *StageSchedule) MarkEnded(i int) { p.ended[i] = true }
 
 // AnyEnded reports whether some stage has ended, whose work is lost if a later one is
 // refused.
-func (p *Progress) AnyEnded() bool {
+func (p *StageSchedule) AnyEnded() bool {
 	return slices.Contains(p.ended, true)
 }
 
-// Delay returns how long a stage whose inputs are there may still wait so that it
+// StartDelay returns how long a stage whose inputs are there may still wait so that it
 // ends with the other stages. A stage with inputs does not wait, because they take
 // memory meanwhile.
-func (p *Progress) Delay(i int, now time.Time) time.Duration {
+func (p *StageSchedule) StartDelay(i int, now time.Time) time.Duration {
 	if len(p.after[i]) > 0 {
 		return 0
 	}
@@ -86,7 +86,7 @@
 }
 
 // left returns the time that a stage is expected to take from now.
-func (p *Progress) left(j int, now time.Time) time.Duration {
+func (p *StageSchedule) left(j int, now time.Time) time.Duration {
 	if p.started[j].IsZero() {
 		return p.typical[j]
 	}
--- a/stagework/stagework.go
+++ b/stagework/stagework.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Shape is how one server of the service works.
-type Shape struct {
+// ServerProfile is how one server of the service works.
+type ServerProfile struct {
 	// Slots is the number of calls in progress at once.
 	Slots int
 	// Batch is the largest number of pieces in a call.
@@ -27,7 +27,7 @@
 }
 
 // CallDuration returns the time of a call with a number of pieces.
-func (s Shape) CallDuration(pieces int) time.Duration {
+func (s ServerProfile) CallDuration(pieces int) time.Duration {
 	return s.CallTime + time.Duration(pieces)*s.PieceTime
 }
 
@@ -75,17 +75,17 @@
 	ID     CallID
 	Server string
 	Items  []Item
-	// Crossing is the number of pieces whose results are used in another failure
+	// CrossDomain is the number of pieces whose results are used in another failure
 	// domain than the server's.
-	Crossing int
+	CrossDomain int
 	// Waiting is the number of pieces in the queue that are not in the call, and
 	// RoomLeft the memory for results in bytes that the server has left beside it.
 	Waiting  int
 	RoomLeft int64
-	// Begun lists the jobs whose last waiting pieces are in the call, and FetchTime
+	// FullyDispatched lists the jobs whose last waiting pieces are in the call, and FetchTime
 	// is how long the server takes at most to fetch the inputs of all pieces.
-	Begun     []JobID
-	FetchTime time.Duration
+	FullyDispatched []JobID
+	FetchTime       time.Duration
 	// Timeout is how long the call may take before its server is given up.
 	Timeout time.Duration
 }
@@ -139,8 +139,8 @@
 	RefusedMoved Refusal = "moved"
 )
 
-// Done is a job that has ended.
-type Done struct {
+// EndedJob is a job that has ended.
+type EndedJob struct {
 	Job JobID
 	// Results are the handles in the order of the pieces, when Refusal is empty.
 	Results []string
@@ -149,7 +149,7 @@
 
 // Effects are what a change of the queue asks its caller to do.
 type Effects struct {
-	Done []Done
+	Ended []EndedJob
 	// Orphans are results that no job waits for. They are to be freed.
 	Orphans []string
 }
