--- a/stagework/estimate.go
+++ b/stagework/estimate.go
@@ -2,64 +2,65 @@
 
 import "time"
 
-// EstimatedWait estimates how long a new piece waits before its call begins, behind all
+// EstimatedWait returns how long a new piece is expected to wait for its call behind all
 // pieces that wait now.
 func (q *Queue) EstimatedWait(now time.Time) time.Duration {
 	pieces, _ := q.Load()
 	return q.waitBehind(now, pieces)
 }
 
-// estimate is the time until a job that is offered now would end. Only the pieces
-// that rank before it count.
-func (q *Queue) estimate(now time.Time, offered Job) time.Duration {
-	self := &job{Job: offered, work: q.work(offered)}
+// timeToEnd returns the expected time until the end of a job that is offered now. Of
+// the waiting pieces, only those that rank before the job count.
+func (q *Queue) timeToEnd(now time.Time, offered Job) time.Duration {
+	offeredJob := &job{Job: offered, workDelay: q.workDelay(offered)}
 	ahead := 0
-	for _, j := range q.order {
-		if j.rank() <= self.rank() {
+	for _, j := range q.jobsByRank {
+		if j.rank() <= offeredJob.rank() {
 			ahead += len(j.waiting)
 		}
 	}
-	calls := (len(offered.Pieces) + q.shape.Batch - 1) / q.shape.Batch
-	own := q.shape.CallDuration(min(len(offered.Pieces), q.shape.Batch))
+	calls := (len(offered.Pieces) + q.profile.Batch - 1) / q.profile.Batch
+	ownTime := q.profile.CallDuration(min(len(offered.Pieces), q.profile.Batch))
 	if parallel := max(1, q.Servers()); calls > parallel {
-		own = time.Duration((calls+parallel-1)/parallel) * q.shape.CallDuration(q.shape.Batch)
+		ownTime = time.Duration((calls+parallel-1)/parallel) * q.profile.CallDuration(q.profile.Batch)
 	}
-	return q.waitBehind(now, ahead) + own + waitMargin
+	return q.waitBehind(now, ahead) + ownTime + estimateMargin
 }
 
-// waitBehind estimates when a call can begin that has a number of pieces ahead.
+// waitBehind returns how long a call is expected to wait behind the given number of
+// pieces.
 func (q *Queue) waitBehind(now time.Time, pieces int) time.Duration {
 	servers := 0
 	var soonest time.Duration = -1
 	for _, s := range q.servers {
-		if !s.listed {
+		if !s.inUse {
 			continue
 		}
 		servers++
-		var left time.Duration
-		if s.running >= q.shape.Slots {
-			left = max(0, s.freeAt.Sub(now))
+		var untilFree time.Duration
+		if s.running >= q.profile.Slots {
+			untilFree = max(0, s.freeAt.Sub(now))
 		}
-		if pause := s.pausedUntil.Sub(now); pause > left {
-			left = pause
+		if pause := s.pausedUntil.Sub(now); pause > untilFree {
+			untilFree = pause
 		}
-		if soonest < 0 || left < soonest {
-			soonest = left
+		if soonest < 0 || untilFree < soonest {
+			soonest = untilFree
 		}
 	}
 	if servers == 0 {
 		return 0
 	}
-	perCall := q.shape.CallDuration(q.shape.Batch)
-	full := pieces / q.shape.Batch
-	return soonest + time.Duration(full)*perCall/time.Duration(servers*q.shape.Slots)
+	callDuration := q.profile.CallDuration(q.profile.Batch)
+	fullCalls := pieces / q.profile.Batch
+	return soonest + time.Duration(fullCalls)*callDuration/time.Duration(servers*q.profile.Slots)
 }
 
-// WaitingOfFirstJob returns the number of waiting pieces of the job that ranks first among
-// those with any, 0 when none waits.
+// WaitingOfFirstJob returns the number of waiting pieces of the first job by rank that
+// has any, or 0 when no piece waits.
 func (q *Queue) WaitingOfFirstJob(now time.Time) int {
-	q.sort(now)
-	for _, j := range q.order {
+	q.sortByRank(now)
+	for _, j := range q.jobsByRank {
 		if len(j.waiting) > 0 {
 			return len(j.waiting)
 		}
--- a/stagework/fetch.go
+++ b/stagework/fetch.go
@@ -3,38 +3,41 @@
 import "time"
 
 const (
-	// fetchLatency is the time in which a model server begins to fetch its inputs
-	// after a request was sent to it, with a margin.
+	// fetchLatency is the time from the send of a request to the start of the fetch of
+	// its inputs, with a margin.
 	fetchLatency = 60 * time.Millisecond
-	// fetchShare is the part of a link that one fetch is taken to get.
-	fetchShare = 1.0 / 3
-	// lostGrowth and fetchedDecay change a Fetch's factor, maxFetchFactor bounds it.
+	// fetchLinkShare is the share of a link's bandwidth that one fetch is assumed to
+	// get.
+	fetchLinkShare = 1.0 / 3
+	// lostGrowth multiplies the factor of a FetchEstimator after a loss, fetchedDecay
+	// after a success. maxFetchFactor is its upper bound.
 	lostGrowth     = 2
 	fetchedDecay   = 0.98
 	maxFetchFactor = 32
 )
 
-// FetchEstimator estimates how long model servers take to fetch the results that a request
-// gives them. No message tells that they have done so, and the first event of a
-// stream, which does, comes several times later. The zero value is ready to use. It is
-// not safe for concurrent use.
+// FetchEstimator estimates how long servers take to fetch the inputs of a request or
+// call. Servers send no message when they have fetched them, and the first event of a
+// model server's stream, which implies it, takes several times as long. The zero value
+// is ready to use. It is not safe for concurrent use.
 type FetchEstimator struct {
-	// factor multiplies the estimate; it is 1 unless results were freed too early.
+	// factor multiplies the estimate. It rises when inputs were freed too early and
+	// falls back to 1; 0 counts as 1.
 	factor float64
 }
 
-// Duration returns how long results of a size, made by servers of a shape, are kept for a
-// model server after the request was sent.
-func (f *FetchEstimator) Duration(shape ServerProfile, bytes int64) time.Duration {
+// Duration returns how long after the send of a request its inputs must be kept. Their
+// total size is bytes, and profile describes the servers that produced them.
+func (f *FetchEstimator) Duration(profile ServerProfile, bytes int64) time.Duration {
 	estimate := fetchLatency
-	if shape.LinkRate > 0 {
-		estimate += time.Duration(float64(bytes) / fetchShare / float64(shape.LinkRate) * float64(time.Second))
+	if profile.LinkRate > 0 {
+		estimate += time.Duration(float64(bytes) / fetchLinkShare / float64(profile.LinkRate) * float64(time.Second))
 	}
 	return time.Duration(max(1, f.factor) * float64(estimate))
 }
 
-// RecordLost records that a model server did not find results which had been freed.
+// RecordLost records that a server did not find inputs because they had been freed.
 func (f *FetchEstimator) RecordLost() { f.factor = min(maxFetchFactor, max(1, f.factor)*lostGrowth) }
 
-// RecordFetched records that a model server found all results.
+// RecordFetched records that a server found all its inputs.
 func (f *FetchEstimator) RecordFetched() { f.factor = max(1, f.factor*fetchedDecay) }
--- a/stagework/fetch_test.go
+++ b/stagework/fetch_test.go
@@ -7,9 +7,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Guards against results that are freed before a slow link has carried them, again
-// and again.
-func TestFetchTimesFollowTheLinkAndLosses(t *testing.T) {
+// Guards against inputs that are repeatedly freed before they were transferred over a
+// slow link.
+func TestFetchDurationFollowsLinkRateAndLosses(t *testing.T) {
 	c := qt.New(t)
 	var f FetchEstimator
 	fast, slow := ServerProfile{LinkRate: 1_250_000_000}, ServerProfile{LinkRate: 12_500_000}
--- a/stagework/queue.go
+++ b/stagework/queue.go
@@ -6,133 +6,147 @@
 )
 
 const (
-	// maxFailures is the number of failed calls after which a job is given up.
-	maxFailures = 2
-	// refusedPause keeps a server that refused a call from getting another one.
+	// maxFailuresPerPiece is the number of failed attempts for each piece of a job
+	// beyond which the job is refused.
+	maxFailuresPerPiece = 2
+	// refusedPause is how long a server that refused a call gets no other one.
 	refusedPause = 40 * time.Millisecond
-	// roomPause is how long a server that had no room for a piece is taken as full,
-	// but for what is freed meanwhile: results that this queue does not know of
-	// lie there.
-	roomPause = 400 * time.Millisecond
-	// failurePause doubles with each failure in a row, up to maxFailurePause.
+	// noRoomPause is how long a server that had no memory for a result counts as full.
+	// Only memory that is freed meanwhile is used, because results that this queue
+	// does not know of occupy the rest.
+	noRoomPause = 400 * time.Millisecond
+	// failurePause is how long a server gets no calls after all pieces of a call
+	// failed. It doubles with each consecutive failure, up to maxFailurePause.
 	failurePause    = 200 * time.Millisecond
 	maxFailurePause = 2 * time.Second
-	// lateFactor is the multiple of the present wait that a job which will be late
-	// is expected to wait longer, because those that can be on time pass it.
-	lateFactor = 1
-	// startedBonus brings jobs with finished stages forward: their work is lost
-	// if they come too late.
+	// lateWaitFactor multiplies the estimated wait of a new piece. A job that will
+	// miss its due time is expected to wait that much longer, because jobs that can
+	// still meet theirs overtake it.
+	lateWaitFactor = 1
+	// startedBonus moves jobs of requests with finished stages forward in the order,
+	// because the work of those stages is lost if the job is late.
 	startedBonus = 400 * time.Millisecond
-	// priorityBonus brings each higher rank forward.
-	priorityBonus = 300 * time.Millisecond
-	// workFactor brings jobs forward that need little of the servers' time, because
-	// the same capacity then answers more requests.
-	workFactor = 3
-	// rankedPriorities is the number of ranks that priorityBonus tells apart.
-	rankedPriorities = 9
-	// waitMargin covers what estimates leave out.
-	waitMargin = 20 * time.Millisecond
-	// overdueFactor is the multiple of its expected time after which the pieces of
-	// a call are offered to other servers.
+	// priorityStep moves a job back in the order for each level of lower priority.
+	priorityStep = 300 * time.Millisecond
+	// workWeight multiplies the server time that a job needs; the product moves the
+	// job back in the order. Preferring small jobs answers more requests with the same
+	// capacity.
+	workWeight = 3
+	// maxRankedPriority is the largest priority value that the order distinguishes.
+	maxRankedPriority = 9
+	// estimateMargin covers delays that the estimate of a job's end omits.
+	estimateMargin = 20 * time.Millisecond
+	// overdueFactor is the multiple of its expected duration after which the pieces
+	// of a call are also given to other servers.
 	overdueFactor = 1.8
-	// timeoutFactor and timeoutMargin bound a call.
+	// The timeout of a call is timeoutFactor times its expected duration plus
+	// timeoutMargin.
 	timeoutFactor = 4
 	timeoutMargin = 500 * time.Millisecond
-	// factorWeight is the weight of the newest call in a server's slowness.
-	factorWeight = 0.5
-	// slowFactor marks a server as slow against the fastest one.
+	// slownessWeight is the weight of the newest call in the moving average of a
+	// server's slowness.
+	slownessWeight = 0.5
+	// slowFactor is the multiple of the slowness of the fastest server, or of 1 if that
+	// is larger, above which a server counts as slow and gets no calls.
 	slowFactor = 2.0
-	// shortLife is how long a lack of memory for results is told after it limited a
-	// call.
-	shortLife = time.Second
-	// factorLife is how long the slowness of a server is believed without a call.
-	factorLife = 3 * time.Second
-	// heavyJob is the size of inputs and results from which a job should run in its
-	// failure domain, and crossPatience how long it waits for that for each megabyte.
-	heavyJob      = 100 << 10
-	crossPatience = 50 * time.Millisecond
+	// roomShortDuration is how long RoomShort reports a shortage after memory for
+	// results limited a call.
+	roomShortDuration = time.Second
+	// slownessTTL is how long a measured slowness is used without a new measurement.
+	slownessTTL = 3 * time.Second
+	// heavyJobBytes is the size of inputs and results from which a job should run in
+	// its own failure domain. domainWaitPerMegabyte is how long it waits for a server
+	// there for each megabyte.
+	heavyJobBytes         = 100 << 10
+	domainWaitPerMegabyte = 50 * time.Millisecond
 )
 
 type job struct {
 	Job
-	// work is the delay of the rank for the part of a full call that the job needs.
-	work int64
-	// waiting are the places in Pieces that are in no call.
-	waiting  []int
-	results  []string
-	left     int
-	failures int
-	// inputsFreed is true once the inputs exist no more, so that no piece can be
-	// produced again.
+	// workDelay is the addend of the job's rank, in nanoseconds, for the share of a
+	// full call that the job needs.
+	workDelay int64
+	// waiting holds the indexes in Pieces that wait for a call.
+	waiting []int
+	// results holds the result handles in the order of Pieces, empty until produced.
+	results    []string
+	unfinished int
+	failures   int
+	// inputsFreed is true once the inputs may have been freed, so that no piece can be
+	// retried.
 	inputsFreed bool
-	// begunBy is the call with the last pieces that waited.
-	begunBy CallID
+	// dispatchedBy is the call that took the last waiting pieces.
+	dispatchedBy CallID
 }
 
 type call struct {
 	Call
-	places   []int
+	// indexes holds for each item its index in the job's Pieces.
+	indexes  []int
 	started  time.Time
 	expected time.Duration
-	// overdue is true once its pieces were offered to other servers.
+	// overdue is true once the pieces were also given to other servers.
 	overdue bool
-	bytes   int64
+	// resultBytes is the memory reserved for the results of the call.
+	resultBytes int64
 }
 
-type held struct {
-	server *server
-	bytes  int64
-	until  time.Time
+// heldResult is a result that occupies memory of its server.
+type heldResult struct {
+	server  *server
+	bytes   int64
+	expires time.Time
 }
 
-// Queue holds the waiting jobs of one service and decides on its calls. It is not
+// Queue holds the jobs of one service and forms the calls to its servers. It is not
 // safe for concurrent use.
 type Queue struct {
-	shape    ServerProfile
-	jobs     map[JobID]*job
-	order    []*job
-	calls    map[CallID]*call
-	servers  map[string]*server
-	results  map[string]held
-	lastCall CallID
-	// shortAt is when memory for results last limited a call.
-	shortAt time.Time
-	// fetch estimates how long calls take to fetch their inputs.
-	fetch FetchEstimator
+	profile    ServerProfile
+	jobs       map[JobID]*job
+	jobsByRank []*job
+	calls      map[CallID]*call
+	servers    map[string]*server
+	results    map[string]heldResult
+	lastCallID CallID
+	// roomShortAt is when memory for results last limited a call.
+	roomShortAt time.Time
+	// fetchEstimator estimates how long servers take to fetch the inputs of a call.
+	fetchEstimator FetchEstimator
 }
 
 // NewQueue returns a queue without servers.
-func NewQueue(shape ServerProfile) *Queue {
+func NewQueue(profile ServerProfile) *Queue {
 	return &Queue{
-		shape: normal(shape), jobs: map[JobID]*job{}, calls: map[CallID]*call{},
-		servers: map[string]*server{}, results: map[string]held{},
+		profile: withMinimums(profile), jobs: map[JobID]*job{}, calls: map[CallID]*call{},
+		servers: map[string]*server{}, results: map[string]heldResult{},
 	}
 }
 
-func normal(shape ServerProfile) ServerProfile {
-	shape.Slots = max(1, shape.Slots)
-	shape.Batch = max(1, shape.Batch)
-	return shape
+func withMinimums(profile ServerProfile) ServerProfile {
+	profile.Slots = max(1, profile.Slots)
+	profile.Batch = max(1, profile.Batch)
+	return profile
 }
 
-// SetProfile replaces the shape of the servers.
-func (q *Queue) SetProfile(shape ServerProfile) { q.shape = normal(shape) }
+// SetProfile replaces the profile of the servers.
+func (q *Queue) SetProfile(profile ServerProfile) { q.profile = withMinimums(profile) }
 
-// SetServers replaces the servers that get calls. Calls to others go on.
+// SetServers replaces the servers that get calls. Running calls to other servers
+// continue.
 func (q *Queue) SetServers(servers []Server) {
 	for _, s := range q.servers {
-		s.listed = false
+		s.inUse = false
 	}
-	for _, listed := range servers {
-		s := q.servers[listed.ID]
+	for _, config := range servers {
+		s := q.servers[config.ID]
 		if s == nil {
-			s = &server{Server: listed, factor: 1}
-			q.servers[listed.ID] = s
+			s = &server{Server: config, lastSlowness: 1}
+			q.servers[config.ID] = s
 		}
-		s.Server, s.listed = listed, true
+		s.Server, s.inUse = config, true
 	}
 	for id, s := range q.servers {
-		if !s.listed && s.running == 0 {
+		if !s.inUse && s.running == 0 {
 			delete(q.servers, id)
 		}
 	}
@@ -141,14 +155,14 @@
 // Servers returns the number of servers that get calls.
 func (q *Queue) Servers() (n int) {
 	for _, s := range q.servers {
-		if s.listed {
+		if s.inUse {
 			n++
 		}
 	}
 	return n
 }
 
-// Load returns the number of waiting pieces and of running calls.
+// Load returns the numbers of waiting pieces and of running calls.
 func (q *Queue) Load() (pieces, calls int) {
 	for _, j := range q.jobs {
 		pieces += len(j.waiting)
@@ -156,30 +170,33 @@
 	return pieces, len(q.calls)
 }
 
-// Offer takes a job, or refuses it when it can't end by its deadline.
+// Offer adds a job to the queue and returns true. It returns the reason and false when
+// the service has no server or the job is not expected to end by its deadline. Jobs of
+// requests with finished stages are not refused for their deadline.
 func (q *Queue) Offer(now time.Time, offered Job) (Refusal, bool) {
 	if q.Servers() == 0 {
 		return RefusedNoServer, false
 	}
 	if !offered.Started {
-		end := now.Add(q.estimate(now, offered))
+		end := now.Add(q.timeToEnd(now, offered))
 		if end.After(offered.Due) {
-			end = end.Add(lateFactor * q.EstimatedWait(now))
+			end = end.Add(lateWaitFactor * q.EstimatedWait(now))
 		}
 		if end.After(offered.Deadline) {
 			return RefusedLate, false
 		}
 	}
-	j := &job{Job: offered, work: q.work(offered), results: make([]string, len(offered.Pieces)), left: len(offered.Pieces)}
-	for place := range offered.Pieces {
-		j.waiting = append(j.waiting, place)
+	j := &job{Job: offered, workDelay: q.workDelay(offered), results: make([]string, len(offered.Pieces)), unfinished: len(offered.Pieces)}
+	for index := range offered.Pieces {
+		j.waiting = append(j.waiting, index)
 	}
 	q.jobs[j.ID] = j
-	q.order = append(q.order, j)
+	q.jobsByRank = append(q.jobsByRank, j)
 	return "", true
 }
 
-// Cancel ends a job without an answer. Its results are orphans.
+// Cancel removes a job, which is not listed in Effects.Ended. Its results become
+// orphans.
 func (q *Queue) Cancel(id JobID) Effects {
 	j := q.jobs[id]
 	if j == nil {
@@ -188,21 +205,22 @@
 	return Effects{Orphans: q.remove(j)}
 }
 
-// InputsFetched reports whether the inputs of a job may be freed, and records that
-// they are: its last pieces are still in the call that was formed for them.
-func (q *Queue) InputsFetched(id JobID, begunBy CallID) bool {
+// InputsFetched reports whether the inputs of a job may be freed, and then records that
+// they are. They may be freed when no piece has returned to the queue since the call
+// that took the last waiting ones.
+func (q *Queue) InputsFetched(id JobID, callID CallID) bool {
 	j := q.jobs[id]
-	if j == nil || j.inputsFreed || len(j.waiting) > 0 || j.begunBy != begunBy {
+	if j == nil || j.inputsFreed || len(j.waiting) > 0 || j.dispatchedBy != callID {
 		return false
 	}
 	j.inputsFreed = true
 	return true
 }
 
-// remove forgets a job and returns the results that it has.
+// remove removes a job and returns the results that it already has.
 func (q *Queue) remove(j *job) (orphans []string) {
 	delete(q.jobs, j.ID)
-	q.order = slices.DeleteFunc(q.order, func(o *job) bool { return o == j })
+	q.jobsByRank = slices.DeleteFunc(q.jobsByRank, func(o *job) bool { return o == j })
 	for _, result := range j.results {
 		if result != "" {
 			orphans = append(orphans, result)
@@ -211,16 +229,17 @@
 	return orphans
 }
 
-// refuse ends a job with a reason.
-func (q *Queue) refuse(e *Effects, j *job, why Refusal) {
-	e.Orphans = append(e.Orphans, q.remove(j)...)
-	e.Ended = append(e.Ended, EndedJob{Job: j.ID, Refusal: why})
+// refuse ends a job with a refusal.
+func (q *Queue) refuse(effects *Effects, j *job, refusal Refusal) {
+	effects.Orphans = append(effects.Orphans, q.remove(j)...)
+	effects.Ended = append(effects.Ended, EndedJob{Job: j.ID, Refusal: refusal})
 }
 
-// HandOver refuses the jobs of which no piece is in a call or produced, so that another
-// queue takes them. The others end here.
+// HandOver refuses the jobs whose pieces all wait, so that they can be offered to the
+// queue of another instance. Jobs with a dispatched or produced piece stay until they
+// end.
 func (q *Queue) HandOver() (e Effects) {
-	for _, j := range slices.Clone(q.order) {
+	for _, j := range slices.Clone(q.jobsByRank) {
 		if len(j.waiting) == len(j.Pieces) {
 			q.refuse(&e, j, RefusedMoved)
 		}
@@ -228,41 +247,44 @@
 	return e
 }
 
-// Expire refuses the jobs that can't end in time any more, and offers the pieces
-// of overdue calls to other servers. Call it every few tens of milliseconds.
+// Expire refuses waiting jobs that can no longer end by their deadline, and returns the
+// pieces of overdue calls to the queue, for other servers. It should be called every
+// few tens of milliseconds.
 func (q *Queue) Expire(now time.Time) Effects {
 	var e Effects
-	for _, j := range slices.Clone(q.order) {
+	for _, j := range slices.Clone(q.jobsByRank) {
 		switch {
 		case len(j.waiting) == 0:
 		case q.Servers() == 0:
 			q.refuse(&e, j, RefusedNoServer)
-		case now.Add(q.shape.CallDuration(1)).After(j.Deadline):
+		case now.Add(q.profile.CallDuration(1)).After(j.Deadline):
 			q.refuse(&e, j, RefusedLate)
 		}
 	}
 	for _, c := range q.calls {
 		if limit := time.Duration(overdueFactor * float64(c.expected)); !c.overdue && now.Sub(c.started) > limit {
-			q.giveAgain(c, now)
+			q.retryElsewhere(c, now)
 		}
 	}
 	return e
 }
 
-// giveAgain lets other servers produce the pieces of a call that takes too long.
-func (q *Queue) giveAgain(c *call, now time.Time) {
+// retryElsewhere returns the pieces of an overdue call to the queue and marks its
+// server as slow, so that other servers get them.
+func (q *Queue) retryElsewhere(c *call, now time.Time) {
 	c.overdue = true
 	if s := q.servers[c.Server]; s != nil {
-		s.factor, s.factorAt = max(s.factor, overdueFactor*slowFactor), now
+		s.lastSlowness, s.slownessAt = max(s.lastSlowness, overdueFactor*slowFactor), now
 	}
 	for i, item := range c.Items {
-		if j := q.jobs[item.Job]; j != nil && j.results[c.places[i]] == "" && !j.inputsFreed {
-			j.waiting = append(j.waiting, c.places[i])
+		if j := q.jobs[item.Job]; j != nil && j.results[c.indexes[i]] == "" && !j.inputsFreed {
+			j.waiting = append(j.waiting, c.indexes[i])
 		}
 	}
 }
 
-// Finished takes the outcomes of a call, one for each item.
+// Finished ends a call with its outcomes, one for each item in the order of
+// Call.Items. Unknown calls are ignored.
 func (q *Queue) Finished(now time.Time, id CallID, outcomes []Outcome) Effects {
 	c := q.calls[id]
 	if c == nil {
@@ -271,77 +293,77 @@
 	delete(q.calls, id)
 	s := q.servers[c.Server]
 	s.running--
-	s.bytes -= c.bytes
-	if s.repeats(outcomes) {
+	s.resultBytes -= c.resultBytes
+	if s.repeatsLastAnswer(outcomes) {
 		outcomes = SameOutcome(Failed, len(outcomes))
 	}
 	var e Effects
 	for i, outcome := range outcomes {
-		q.take(&e, c, s, i, outcome, now)
+		q.applyOutcome(&e, c, s, i, outcome, now)
 	}
-	q.judge(s, c, now, outcomes)
-	if !s.listed && s.running == 0 {
+	q.recordCall(s, c, now, outcomes)
+	if !s.inUse && s.running == 0 {
 		delete(q.servers, s.ID)
 	}
 	return e
 }
 
-// take applies the outcome of one item.
-func (q *Queue) take(e *Effects, c *call, s *server, i int, outcome Outcome, now time.Time) {
-	item, place := c.Items[i], c.places[i]
+// applyOutcome applies the outcome of item i of a call.
+func (q *Queue) applyOutcome(effects *Effects, c *call, s *server, i int, outcome Outcome, now time.Time) {
+	item, index := c.Items[i], c.indexes[i]
 	j := q.jobs[item.Job]
 	if outcome.Status == Produced {
-		bytes := c.bytes / int64(len(c.Items))
+		bytes := c.resultBytes / int64(len(c.Items))
 		if j != nil {
 			bytes = j.ResultBytes
 		}
-		q.hold(s, outcome.Result, bytes, now)
-		if j == nil || j.results[place] != "" {
-			e.Orphans = append(e.Orphans, outcome.Result)
+		q.holdResult(s, outcome.Result, bytes, now)
+		if j == nil || j.results[index] != "" {
+			effects.Orphans = append(effects.Orphans, outcome.Result)
 			return
 		}
-		q.produced(e, j, place, outcome.Result)
+		q.recordResult(effects, j, index, outcome.Result)
 		return
 	}
-	if j == nil || j.results[place] != "" {
+	if j == nil || j.results[index] != "" {
 		return
 	}
 	switch outcome.Status {
 	case Late:
-		q.refuse(e, j, RefusedLate)
+		q.refuse(effects, j, RefusedLate)
 		return
 	case InputGone:
 		if j.inputsFreed {
-			q.fetch.RecordLost()
+			q.fetchEstimator.RecordLost()
 		}
-		q.refuse(e, j, RefusedInputGone)
+		q.refuse(effects, j, RefusedInputGone)
 		return
 	case Failed:
 		j.failures++
 	}
 	if j.inputsFreed {
-		q.refuse(e, j, RefusedInputGone)
+		q.refuse(effects, j, RefusedInputGone)
 		return
 	}
-	if j.failures > maxFailures*len(j.Pieces) {
-		q.refuse(e, j, RefusedFailed)
+	if j.failures > maxFailuresPerPiece*len(j.Pieces) {
+		q.refuse(effects, j, RefusedFailed)
 		return
 	}
-	if !slices.Contains(j.waiting, place) {
-		j.waiting = append(j.waiting, place)
+	if !slices.Contains(j.waiting, index) {
+		j.waiting = append(j.waiting, index)
 	}
 }
 
-func (q *Queue) produced(e *Effects, j *job, place int, result string) {
-	j.results[place] = result
-	j.left--
-	j.waiting = slices.DeleteFunc(j.waiting, func(p int) bool { return p == place })
-	if j.left > 0 {
+func (q *Queue) recordResult(effects *Effects, j *job, index int, result string) {
+	j.results[index] = result
+	j.unfinished--
+	j.waiting = slices.DeleteFunc(j.waiting, func(p int) bool { return p == index })
+	if j.unfinished > 0 {
 		return
 	}
 	if j.inputsFreed {
-		q.fetch.RecordFetched()
+		q.fetchEstimator.RecordFetched()
 	}
 	q.remove(j)
-	e.Ended = append(e.Ended, EndedJob{Job: j.ID, Results: j.results})
+	effects.Ended = append(effects.Ended, EndedJob{Job: j.ID, Results: j.results})
 }
--- a/stagework/queue_test.go
+++ b/stagework/queue_test.go
@@ -9,12 +9,12 @@
 )
 
 var (
-	epoch = time.Unix(1000, 0)
-	shape = ServerProfile{Slots: 1, Batch: 8, CallTime: 200 * time.Millisecond, PieceTime: 20 * time.Millisecond, RoomBytes: 12_000_000, ResultLife: 4 * time.Second}
+	epoch   = time.Unix(1000, 0)
+	profile = ServerProfile{Slots: 1, Batch: 8, CallTime: 200 * time.Millisecond, PieceTime: 20 * time.Millisecond, RoomBytes: 12_000_000, ResultLife: 4 * time.Second}
 )
 
-func queue(domains ...string) *Queue {
-	q := NewQueue(shape)
+func newQueue(domains ...string) *Queue {
+	q := NewQueue(profile)
 	var servers []Server
 	for i, d := range domains {
 		servers = append(servers, Server{ID: fmt.Sprint("s", i), FailureDomain: d})
@@ -23,8 +23,8 @@
 	return q
 }
 
-// request returns a job with n pieces that is due in a second.
-func request(id JobID, n int) Job {
+// newJob returns a job with n pieces that is due in one second.
+func newJob(id JobID, n int) Job {
 	j := Job{ID: id, ResultBytes: 1000, Due: epoch.Add(time.Second), Deadline: epoch.Add(5 * time.Second), FailureDomain: "a"}
 	for i := range n {
 		j.Pieces = append(j.Pieces, i)
@@ -32,7 +32,7 @@
 	return j
 }
 
-func produce(call Call) []Outcome {
+func producedOutcomes(call Call) []Outcome {
 	outcomes := make([]Outcome, len(call.Items))
 	for i, item := range call.Items {
 		outcomes[i].Result = fmt.Sprintf("%s/%d-%d", call.Server, item.Job, item.Piece)
@@ -40,7 +40,7 @@
 	return outcomes
 }
 
-func same(call Call, status Status) []Outcome {
+func sameOutcomes(call Call, status Status) []Outcome {
 	outcomes := make([]Outcome, len(call.Items))
 	for i := range outcomes {
 		outcomes[i].Status = status
@@ -53,20 +53,20 @@
 	c.Assert(ok, qt.IsTrue)
 }
 
-// Guards against one call for each request: the load of many small requests needs
-// more calls than the servers can make.
+// Guards against one call per request. Many small requests then need more calls than
+// the servers can process.
 func TestPiecesOfSeveralRequestsShareACall(t *testing.T) {
 	c := qt.New(t)
-	q := queue("a")
+	q := newQueue("a")
 	for id := range JobID(3) {
-		offer(c, q, request(id+1, 3))
+		offer(c, q, newJob(id+1, 3))
 	}
 	call, ok := q.Next(epoch)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(len(call.Items), qt.Equals, 8)
 	_, ok = q.Next(epoch)
-	c.Assert(ok, qt.IsFalse, qt.Commentf("the only slot is taken"))
-	e := q.Finished(epoch.Add(360*time.Millisecond), call.ID, produce(call))
+	c.Assert(ok, qt.IsFalse, qt.Commentf("the only slot is in use"))
+	e := q.Finished(epoch.Add(360*time.Millisecond), call.ID, producedOutcomes(call))
 	c.Assert(len(e.Ended), qt.Equals, 2)
 	c.Assert(e.Ended[0].Results, qt.DeepEquals, []string{"s0/1-0", "s0/1-1", "s0/1-2"})
 	rest, ok := q.Next(epoch.Add(360 * time.Millisecond))
@@ -74,103 +74,103 @@
 	c.Assert(rest.Items, qt.DeepEquals, []Item{{Job: 3, Piece: 2}})
 }
 
-// Guards against a server that is sent pieces for whose results it has no memory.
-func TestRoomForResultsIsReserved(t *testing.T) {
+// Guards against calls with more results than the server has memory for.
+func TestMemoryForResultsIsReserved(t *testing.T) {
 	c := qt.New(t)
-	q := queue("a")
-	heavy := request(1, 16)
+	q := newQueue("a")
+	heavy := newJob(1, 16)
 	heavy.ResultBytes = 1_500_000
 	offer(c, q, heavy)
 	first, _ := q.Next(epoch)
 	c.Assert(len(first.Items), qt.Equals, 8)
 	now := epoch.Add(400 * time.Millisecond)
-	q.Finished(now, first.ID, produce(first))
+	q.Finished(now, first.ID, producedOutcomes(first))
 	_, ok := q.Next(now)
-	c.Assert(ok, qt.IsFalse, qt.Commentf("the results of the first call fill the room"))
+	c.Assert(ok, qt.IsFalse, qt.Commentf("the results of the first call occupy the memory"))
 	q.Freed([]string{"s0/1-0", "s0/1-1"})
 	second, ok := q.Next(now)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(len(second.Items), qt.Equals, 2)
-	later := now.Add(shape.ResultLife + time.Millisecond)
-	q.Finished(later, second.ID, produce(second))
+	later := now.Add(profile.ResultLife + time.Millisecond)
+	q.Finished(later, second.ID, producedOutcomes(second))
 	third, ok := q.Next(later)
 	c.Assert(ok, qt.IsTrue)
-	c.Assert(len(third.Items), qt.Equals, 6, qt.Commentf("results end with their life"))
+	c.Assert(len(third.Items), qt.Equals, 6, qt.Commentf("results expire after ResultLife"))
 }
 
-// Guards against work for a request that cannot be answered in time, and against
-// a refusal of one that can.
-func TestHopelessJobsAreRefusedBeforeTheirCall(t *testing.T) {
+// Guards against server time spent on jobs that can't end by their deadline, and
+// against a refusal of jobs that can.
+func TestJobsThatMissTheirDeadlineAreRefused(t *testing.T) {
 	c := qt.New(t)
-	q := queue("a")
-	hopeless := request(1, 8)
-	hopeless.Deadline = epoch.Add(300 * time.Millisecond)
-	why, ok := q.Offer(epoch, hopeless)
+	q := newQueue("a")
+	tooLate := newJob(1, 8)
+	tooLate.Deadline = epoch.Add(300 * time.Millisecond)
+	refusal, ok := q.Offer(epoch, tooLate)
 	c.Assert(ok, qt.IsFalse)
-	c.Assert(why, qt.Equals, RefusedLate)
-	offer(c, q, request(2, 8))
+	c.Assert(refusal, qt.Equals, RefusedLate)
+	offer(c, q, newJob(2, 8))
 	_, _ = q.Next(epoch)
-	waiting := request(3, 1)
+	waiting := newJob(3, 1)
 	waiting.Deadline = epoch.Add(700 * time.Millisecond)
 	offer(c, q, waiting)
 	e := q.Expire(epoch.Add(600 * time.Millisecond))
 	c.Assert(e.Ended, qt.DeepEquals, []EndedJob{{Job: 3, Refusal: RefusedLate}})
-	why, ok = NewQueue(shape).Offer(epoch, request(4, 1))
+	refusal, ok = NewQueue(profile).Offer(epoch, newJob(4, 1))
 	c.Assert(ok, qt.IsFalse)
-	c.Assert(why, qt.Equals, RefusedNoServer)
+	c.Assert(refusal, qt.Equals, RefusedNoServer)
 }
 
-// Guards against late requests that hold up those that can still be on time, under
-// a burst that leaves both waiting.
-func TestRequestsThatCanBeOnTimeGoFirst(t *testing.T) {
+// Guards against late jobs that delay those that can still be on time, when a burst
+// leaves both waiting.
+func TestJobsThatCanBeOnTimeRankFirst(t *testing.T) {
 	c := qt.New(t)
-	q := queue("a")
-	late := request(1, 8)
+	q := newQueue("a")
+	late := newJob(1, 8)
 	late.Due = epoch.Add(-time.Second)
 	offer(c, q, late)
-	offer(c, q, request(2, 8))
+	offer(c, q, newJob(2, 8))
 	call, _ := q.Next(epoch)
 	c.Assert(call.Items[0].Job, qt.Equals, JobID(2))
 }
 
-// Guards against finished stages that are lost because new requests go first.
-func TestStartedRequestsGoFirst(t *testing.T) {
+// Guards against the loss of finished stages because new requests rank first.
+func TestJobsOfStartedRequestsRankFirst(t *testing.T) {
 	c := qt.New(t)
-	q := queue("a")
-	offer(c, q, request(1, 8))
-	started := request(2, 8)
+	q := newQueue("a")
+	offer(c, q, newJob(1, 8))
+	started := newJob(2, 8)
 	started.Started = true
 	offer(c, q, started)
 	call, _ := q.Next(epoch)
 	c.Assert(call.Items[0].Job, qt.Equals, JobID(2))
 }
 
-// Guards against pieces that wait behind a server that hangs, and against a result
-// that two calls produced and nobody frees.
+// Guards against pieces that wait for a server that does not respond, and against a
+// leak of the second result when two calls produce the same piece.
 func TestPiecesOfOverdueCallsGoToAnotherServer(t *testing.T) {
 	c := qt.New(t)
-	q := queue("a", "a")
-	offer(c, q, request(1, 2))
-	stuck, _ := q.Next(epoch)
+	q := newQueue("a", "a")
+	offer(c, q, newJob(1, 2))
+	overdue, _ := q.Next(epoch)
 	now := epoch.Add(600 * time.Millisecond)
 	q.Expire(now)
-	again, ok := q.Next(now)
+	retry, ok := q.Next(now)
 	c.Assert(ok, qt.IsTrue)
-	c.Assert(again.Server, qt.Not(qt.Equals), stuck.Server)
-	e := q.Finished(now, again.ID, produce(again))
+	c.Assert(retry.Server, qt.Not(qt.Equals), overdue.Server)
+	e := q.Finished(now, retry.ID, producedOutcomes(retry))
 	c.Assert(len(e.Ended), qt.Equals, 1)
-	e = q.Finished(now, stuck.ID, produce(stuck))
+	e = q.Finished(now, overdue.ID, producedOutcomes(overdue))
 	c.Assert(e.Ended, qt.HasLen, 0)
 	c.Assert(e.Orphans, qt.HasLen, 2)
 }
 
-// Guards against large results that cross failure domains although a server of
-// the own one will be free soon, and against a request that waits for one although it
-// would be late, or longer than the crossing costs.
+// Guards against large results that cross failure domains although a server of their
+// own domain will be free soon. Also guards against a job that waits for such a server
+// although it would be late, or longer than its size justifies.
 func TestLargeResultsStayInTheirFailureDomain(t *testing.T) {
 	c := qt.New(t)
-	q := queue("a", "b")
-	heavy := request(1, 1)
+	q := newQueue("a", "b")
+	heavy := newJob(1, 1)
 	heavy.ResultBytes = 6_000_000
 	offer(c, q, heavy)
 	first, _ := q.Next(epoch)
@@ -186,7 +186,7 @@
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(call.Server, qt.Equals, "s1")
 	c.Assert(call.Items, qt.DeepEquals, []Item{{Job: 3}})
-	q.Finished(epoch, call.ID, produce(call))
+	q.Finished(epoch, call.ID, producedOutcomes(call))
 	lighter := heavy
 	lighter.ID, lighter.ResultBytes = 4, 1_000_000
 	offer(c, q, lighter)
@@ -195,109 +195,109 @@
 	c.Assert(call.Items, qt.DeepEquals, []Item{{Job: 4}})
 }
 
-// Guards against pieces that fetch large inputs from another failure domain.
-func TestLargeInputsCountLikeResults(t *testing.T) {
+// Guards against calls that fetch large inputs from another failure domain.
+func TestLargeInputsStayInTheirFailureDomain(t *testing.T) {
 	c := qt.New(t)
-	q := queue("a", "b")
-	offer(c, q, request(1, 1))
+	q := newQueue("a", "b")
+	offer(c, q, newJob(1, 1))
 	first, _ := q.Next(epoch)
 	c.Assert(first.Server, qt.Equals, "s0")
-	fetching := request(2, 6)
+	fetching := newJob(2, 6)
 	fetching.InputBytes = 1_000_000
 	offer(c, q, fetching)
 	_, ok := q.Next(epoch)
 	c.Assert(ok, qt.IsFalse)
-	q.Finished(epoch.Add(shape.CallDuration(1)), first.ID, produce(first))
-	call, ok := q.Next(epoch.Add(shape.CallDuration(1)))
+	q.Finished(epoch.Add(profile.CallDuration(1)), first.ID, producedOutcomes(first))
+	call, ok := q.Next(epoch.Add(profile.CallDuration(1)))
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(call.Server, qt.Equals, "s0")
 	c.Assert(call.Items, qt.HasLen, 6)
 }
 
-// Guards against a job that is tried forever at failing servers, and against one
-// that is given up after the first failure.
-func TestFailedPiecesAreTriedAgainAFewTimes(t *testing.T) {
+// Guards against a job that is retried without limit, and against one that is refused
+// after its first failure.
+func TestFailedPiecesAreRetriedUpToALimit(t *testing.T) {
 	c := qt.New(t)
-	q := queue("a")
-	offer(c, q, request(1, 1))
+	q := newQueue("a")
+	offer(c, q, newJob(1, 1))
 	now := epoch
 	var e Effects
-	for range maxFailures + 1 {
+	for range maxFailuresPerPiece + 1 {
 		call, ok := q.Next(now)
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(e.Ended, qt.HasLen, 0)
-		e = q.Finished(now, call.ID, same(call, Failed))
+		e = q.Finished(now, call.ID, sameOutcomes(call, Failed))
 		now = now.Add(maxFailurePause)
 	}
 	c.Assert(e.Ended, qt.DeepEquals, []EndedJob{{Job: 1, Refusal: RefusedFailed}})
 }
 
-// Guards against a cancelled request whose results stay in the memory of servers.
-func TestCancelledJobsLeaveOrphans(t *testing.T) {
+// Guards against results of cancelled jobs that stay in the memory of servers.
+func TestResultsOfCancelledJobsAreOrphans(t *testing.T) {
 	c := qt.New(t)
-	q := queue("a")
-	offer(c, q, request(1, 10))
+	q := newQueue("a")
+	offer(c, q, newJob(1, 10))
 	first, _ := q.Next(epoch)
 	now := epoch.Add(400 * time.Millisecond)
-	q.Finished(now, first.ID, produce(first))
+	q.Finished(now, first.ID, producedOutcomes(first))
 	second, _ := q.Next(now)
 	c.Assert(q.Cancel(1).Orphans, qt.HasLen, 8)
-	c.Assert(q.Finished(now, second.ID, produce(second)).Orphans, qt.HasLen, 2)
+	c.Assert(q.Finished(now, second.ID, producedOutcomes(second)).Orphans, qt.HasLen, 2)
 }
 
-// Guards against the second answer to a call that is taken for the answer to the
-// next one, which hands results to the wrong request.
-func TestSecondAnswerToACallIsNotTheNextOnes(t *testing.T) {
+// Guards against results that go to the wrong request, because a repeated answer to a
+// call is taken for the answer to the next one.
+func TestRepeatedAnswersAreNotTakenForTheNextCall(t *testing.T) {
 	c := qt.New(t)
-	q := queue("a")
-	offer(c, q, request(1, 2))
+	q := newQueue("a")
+	offer(c, q, newJob(1, 2))
 	first, _ := q.Next(epoch)
-	outcomes := produce(first)
+	outcomes := producedOutcomes(first)
 	q.Finished(epoch, first.ID, outcomes)
-	offer(c, q, request(2, 2))
+	offer(c, q, newJob(2, 2))
 	second, _ := q.Next(epoch)
 	e := q.Finished(epoch, second.ID, outcomes)
 	c.Assert(e.Ended, qt.HasLen, 0)
 	c.Assert(e.Orphans, qt.HasLen, 0)
 }
 
-// Guards against calls that a server without room answers in vain, again and
-// again, after the instance that knew of its results has gone.
-func TestServersWithoutRoomAreTakenAsFull(t *testing.T) {
+// Guards against repeated calls to a server without memory for results, after the
+// instance whose queue counted those results has stopped.
+func TestServersThatReportNoRoomCountAsFull(t *testing.T) {
 	c := qt.New(t)
-	q := queue("a")
-	heavy := request(1, 4)
+	q := newQueue("a")
+	heavy := newJob(1, 4)
 	heavy.ResultBytes = 1_500_000
 	offer(c, q, heavy)
 	call, _ := q.Next(epoch)
-	outcomes := produce(call)
+	outcomes := producedOutcomes(call)
 	outcomes[2], outcomes[3] = Outcome{Status: NoRoom}, Outcome{Status: NoRoom}
 	q.Finished(epoch, call.ID, outcomes)
 	_, ok := q.Next(epoch)
 	c.Assert(ok, qt.IsFalse)
 	q.Freed([]string{outcomes[0].Result})
-	again, ok := q.Next(epoch)
+	retry, ok := q.Next(epoch)
 	c.Assert(ok, qt.IsTrue)
-	c.Assert(again.Items, qt.HasLen, 1)
-	q.Finished(epoch, again.ID, produce(again))
-	last, ok := q.Next(epoch.Add(roomPause))
+	c.Assert(retry.Items, qt.HasLen, 1)
+	q.Finished(epoch, retry.ID, producedOutcomes(retry))
+	last, ok := q.Next(epoch.Add(noRoomPause))
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(last.Items, qt.HasLen, 1)
 }
 
-// Guards against full calls to a server that was slow, which make all their pieces
-// late, each time that its slowness is forgotten.
+// Guards against a full call to a slow server, which makes all its pieces late, each
+// time that the measurement of its slowness expires.
 func TestServersThatWereSlowAreProbedWithOnePiece(t *testing.T) {
 	c := qt.New(t)
-	q := queue("a")
-	offer(c, q, request(1, 1))
+	q := newQueue("a")
+	offer(c, q, newJob(1, 1))
 	slow, _ := q.Next(epoch)
 	now := epoch.Add(2 * time.Second)
-	q.Finished(now, slow.ID, produce(slow))
+	q.Finished(now, slow.ID, producedOutcomes(slow))
 	q.SetServers([]Server{{ID: "s0", FailureDomain: "a"}, {ID: "s1", FailureDomain: "a"}})
-	now = now.Add(factorLife + time.Millisecond)
+	now = now.Add(slownessTTL + time.Millisecond)
 	for id := range JobID(2) {
-		j := request(id+2, 4)
+		j := newJob(id+2, 4)
 		j.Due, j.Deadline = now.Add(time.Second), now.Add(5*time.Second)
 		_, ok := q.Offer(now, j)
 		c.Assert(ok, qt.IsTrue)
@@ -311,98 +311,98 @@
 	c.Assert(rest.Server, qt.Equals, "s1")
 	c.Assert(rest.Items, qt.HasLen, 7)
 	now = now.Add(210 * time.Millisecond)
-	q.Finished(now, probe.ID, produce(probe))
-	offer(c, q, request(9, 4))
+	q.Finished(now, probe.ID, producedOutcomes(probe))
+	offer(c, q, newJob(9, 4))
 	full, ok := q.Next(now)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(full.Server, qt.Equals, "s0")
 }
 
-// Guards against a server that rests because single pieces of its calls fail.
+// Guards against a server that is paused because single pieces of a call failed.
 func TestErrorsOfSinglePiecesDoNotPauseTheirServer(t *testing.T) {
 	c := qt.New(t)
-	q := queue("a")
-	offer(c, q, request(1, 4))
+	q := newQueue("a")
+	offer(c, q, newJob(1, 4))
 	call, _ := q.Next(epoch)
-	outcomes := produce(call)
+	outcomes := producedOutcomes(call)
 	outcomes[1] = Outcome{Status: Failed}
 	q.Finished(epoch, call.ID, outcomes)
-	again, ok := q.Next(epoch)
+	retry, ok := q.Next(epoch)
 	c.Assert(ok, qt.IsTrue)
-	c.Assert(again.Items, qt.DeepEquals, []Item{{Job: 1, Piece: 1}})
+	c.Assert(retry.Items, qt.DeepEquals, []Item{{Job: 1, Piece: 1}})
 }
 
 // Guards against inputs that are freed while a piece still waits for a call, and
-// against pieces that are tried again without inputs.
-func TestJobsWithoutInputsAreNotTriedAgain(t *testing.T) {
+// against retries of pieces whose inputs were freed.
+func TestJobsWithFreedInputsAreNotRetried(t *testing.T) {
 	c := qt.New(t)
-	q := queue("a")
-	first, second := request(1, 6), request(2, 6)
+	q := newQueue("a")
+	first, second := newJob(1, 6), newJob(2, 6)
 	offer(c, q, first)
 	offer(c, q, second)
 	call, _ := q.Next(epoch)
 	c.Assert(call.FullyDispatched, qt.DeepEquals, []JobID{1})
 	c.Assert(q.InputsFetched(2, call.ID), qt.IsFalse)
-	q.Finished(epoch, call.ID, same(call, Refused))
+	q.Finished(epoch, call.ID, sameOutcomes(call, Refused))
 	c.Assert(q.InputsFetched(1, call.ID), qt.IsFalse)
 	later := epoch.Add(refusedPause)
-	again, _ := q.Next(later)
-	c.Assert(again.FullyDispatched, qt.DeepEquals, []JobID{1})
+	retry, _ := q.Next(later)
+	c.Assert(retry.FullyDispatched, qt.DeepEquals, []JobID{1})
 	c.Assert(q.InputsFetched(1, call.ID), qt.IsFalse)
-	c.Assert(q.InputsFetched(1, again.ID), qt.IsTrue)
-	c.Assert(q.InputsFetched(1, again.ID), qt.IsFalse)
-	outcomes := produce(again)
+	c.Assert(q.InputsFetched(1, retry.ID), qt.IsTrue)
+	c.Assert(q.InputsFetched(1, retry.ID), qt.IsFalse)
+	outcomes := producedOutcomes(retry)
 	outcomes[0] = Outcome{Status: NoRoom}
-	e := q.Finished(later, again.ID, outcomes)
+	e := q.Finished(later, retry.ID, outcomes)
 	c.Assert(e.Ended, qt.DeepEquals, []EndedJob{{Job: 1, Refusal: RefusedInputGone}})
 	c.Assert(e.Orphans, qt.HasLen, 5)
 }
 
-// Guards against inputs that are freed before a server begins, again and again.
-func TestLostInputsLengthenTheFetchTime(t *testing.T) {
+// Guards against inputs that are repeatedly freed before a server has fetched them.
+func TestLostInputsIncreaseTheFetchTime(t *testing.T) {
 	c := qt.New(t)
-	q := queue("a")
-	offer(c, q, request(1, 1))
+	q := newQueue("a")
+	offer(c, q, newJob(1, 1))
 	call, _ := q.Next(epoch)
 	c.Assert(call.FetchTime, qt.Equals, fetchLatency)
 	c.Assert(q.InputsFetched(1, call.ID), qt.IsTrue)
-	q.Finished(epoch, call.ID, same(call, InputGone))
-	offer(c, q, request(2, 1))
+	q.Finished(epoch, call.ID, sameOutcomes(call, InputGone))
+	offer(c, q, newJob(2, 1))
 	call, _ = q.Next(epoch)
 	c.Assert(call.FetchTime, qt.Equals, 2*fetchLatency)
 }
 
-// Guards against a lack of memory for results that is not told, and against one that
-// is told for ever.
-func TestALackOfRoomIsTold(t *testing.T) {
+// Guards against a shortage of memory for results that is not reported, and against one
+// that is reported after it has ended.
+func TestRoomShortageIsReportedForALimitedTime(t *testing.T) {
 	c := qt.New(t)
-	q := queue("a")
-	j := request(1, 8)
-	j.ResultBytes = shape.RoomBytes / 4
+	q := newQueue("a")
+	j := newJob(1, 8)
+	j.ResultBytes = profile.RoomBytes / 4
 	offer(c, q, j)
 	c.Assert(q.RoomShort(epoch), qt.IsFalse)
 	call, _ := q.Next(epoch)
 	c.Assert(call.Items, qt.HasLen, 4)
 	c.Assert(call.FullyDispatched, qt.HasLen, 0)
 	c.Assert(q.RoomShort(epoch), qt.IsTrue)
-	c.Assert(q.RoomShort(epoch.Add(shortLife)), qt.IsFalse)
+	c.Assert(q.RoomShort(epoch.Add(roomShortDuration)), qt.IsFalse)
 }
 
-// Guards against a handover that loses what has begun, or keeps what has not.
+// Guards against a handover that refuses dispatched jobs or keeps waiting ones.
 func TestHandOverKeepsWhatHasBegun(t *testing.T) {
 	c := qt.New(t)
-	q := queue("a")
-	offer(c, q, request(1, 10))
-	second := request(2, 3)
+	q := newQueue("a")
+	offer(c, q, newJob(1, 10))
+	second := newJob(2, 3)
 	second.Due = epoch.Add(3 * time.Second)
 	offer(c, q, second)
 	call, _ := q.Next(epoch)
 	c.Assert(call.Items, qt.HasLen, 8)
 	c.Assert(q.HandOver().Ended, qt.DeepEquals, []EndedJob{{Job: 2, Refusal: RefusedMoved}})
-	later := epoch.Add(shape.CallDuration(8))
-	c.Assert(q.Finished(later, call.ID, produce(call)).Ended, qt.HasLen, 0)
+	later := epoch.Add(profile.CallDuration(8))
+	c.Assert(q.Finished(later, call.ID, producedOutcomes(call)).Ended, qt.HasLen, 0)
 	rest, _ := q.Next(later)
-	done := q.Finished(later, rest.ID, produce(rest)).Ended
+	done := q.Finished(later, rest.ID, producedOutcomes(rest)).Ended
 	c.Assert(done, qt.HasLen, 1)
 	c.Assert(done[0].Results, qt.HasLen, 10)
 }
--- a/stagework/rank.go
+++ b/stagework/rank.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// sort orders the jobs by rank: those that can still be on time first.
-func (q *Queue) sort(now time.Time) {
-	slices.SortStableFunc(q.order, func(a, b *job) int {
-		behindA, behindB := a.behind(now, q.shape), b.behind(now, q.shape)
-		if behindA != behindB {
-			if behindA {
+// sortByRank sorts the jobs by rank, with those that can still end by their due time
+// first.
+func (q *Queue) sortByRank(now time.Time) {
+	slices.SortStableFunc(q.jobsByRank, func(a, b *job) int {
+		lastA, lastB := a.ranksLast(now, q.profile), b.ranksLast(now, q.profile)
+		if lastA != lastB {
+			if lastA {
 				return 1
 			}
 			return -1
@@ -20,27 +21,30 @@
 	})
 }
 
-// late reports whether the job can't be on time any more.
-func (j *job) late(now time.Time, shape ServerProfile) bool {
-	return now.Add(shape.CallDuration(min(len(j.Pieces), shape.Batch))).After(j.Due)
+// late reports whether the job can no longer end by its due time.
+func (j *job) late(now time.Time, profile ServerProfile) bool {
+	return now.Add(profile.CallDuration(min(len(j.Pieces), profile.Batch))).After(j.Due)
 }
 
-// behind reports whether the job comes after those that can be on time.
-func (j *job) behind(now time.Time, shape ServerProfile) bool {
-	return j.late(now, shape)
+// ranksLast reports whether the job is sorted behind those that can still end by their
+// due time.
+func (j *job) ranksLast(now time.Time, profile ServerProfile) bool {
+	return j.late(now, profile)
 }
 
-// rank is the time by which jobs are ordered.
+// rank returns the sort key of a job in Unix nanoseconds: its due time, adjusted by
+// priority, needed server time and finished stages. The lowest comes first.
 func (j *job) rank() int64 {
-	at := j.Due.UnixNano() + int64(priorityBonus)*int64(min(j.Priority, rankedPriorities)) + j.work
+	at := j.Due.UnixNano() + int64(priorityStep)*int64(min(j.Priority, maxRankedPriority)) + j.workDelay
 	if j.Started {
 		at -= int64(startedBonus)
 	}
 	return at
 }
 
-// work returns the delay of a job's rank for the servers' time that it needs.
-func (q *Queue) work(j Job) int64 {
-	share := float64(len(j.Pieces)) / float64(q.shape.Batch)
-	return int64(workFactor * share * float64(q.shape.CallDuration(q.shape.Batch)))
+// workDelay returns the addend of a job's rank, in nanoseconds, for the server time
+// that the job needs.
+func (q *Queue) workDelay(j Job) int64 {
+	share := float64(len(j.Pieces)) / float64(q.profile.Batch)
+	return int64(workWeight * share * float64(q.profile.CallDuration(q.profile.Batch)))
 }
--- a/stagework/schedule.go
+++ b/stagework/schedule.go
@@ -5,90 +5,92 @@
 	"time"
 )
 
-// startMargin is how much earlier than needed a stage starts whose results would
-// wait for other stages. It covers the spread of the stages' durations.
+// startMargin is how much earlier than necessary a delayed stage starts. It covers the
+// variance of the stages' durations.
 const startMargin = 200 * time.Millisecond
 
-// StageSchedule tells when the stages of one request should start. Results take memory at
-// their server from the start of their call until the model server has fetched them,
-// so a stage beside a longer chain starts only as early as it must. StageSchedule is not
-// safe for concurrent use.
+// StageSchedule decides when the stages of one request start. Results occupy memory of
+// their server from the start of their call until the model server has fetched them, so
+// a stage that runs in parallel with a longer chain starts only as early as necessary.
+// It is not safe for concurrent use.
 type StageSchedule struct {
-	// after lists the stages whose results each stage needs.
-	after   [][]int
-	skipped []bool
+	// dependencies lists for each stage the stages whose results it needs.
+	dependencies [][]int
+	skipped      []bool
+	// typical is the typical duration of each stage.
 	typical []time.Duration
-	// tail is the typical time from the end of a stage to that of the last one that
-	// follows it.
+	// tail is for each stage the typical time from its end to the end of the last
+	// stage that depends on it.
 	tail    []time.Duration
 	started []time.Time
 	ended   []bool
 }
 
-// NewStageSchedule returns the progress of stages before their start. Stages with a count
-// of 0 are skipped. SetTypical must be called before the other methods.
-func NewStageSchedule(after [][]int, counts []int) *StageSchedule {
-	n := len(after)
-	p := &StageSchedule{after: after, skipped: make([]bool, n), started: make([]time.Time, n), ended: make([]bool, n)}
+// NewStageSchedule returns a schedule with no stage started. It takes for each stage the
+// stages whose results it needs and its number of pieces; stages with no pieces are
+// skipped. SetTypicalDurations must be called before the other methods.
+func NewStageSchedule(dependencies [][]int, counts []int) *StageSchedule {
+	n := len(dependencies)
+	s := &StageSchedule{dependencies: dependencies, skipped: make([]bool, n), started: make([]time.Time, n), ended: make([]bool, n)}
 	for i := range n {
-		p.skipped[i] = i >= len(counts) || counts[i] == 0
+		s.skipped[i] = i >= len(counts) || counts[i] == 0
 	}
-	return p
+	return s
 }
 
-// SetTypicalDurations replaces the typical duration of each stage.
-func (p *StageSchedule) SetTypicalDurations(typical []time.Duration) {
-	p.typical = typical
-	p.tail = make([]time.Duration, len(typical))
-	// A pass for each stage reaches the longest path in any order of numbers.
+// SetTypicalDurations replaces the typical durations of all stages.
+func (s *StageSchedule) SetTypicalDurations(typical []time.Duration) {
+	s.typical = typical
+	s.tail = make([]time.Duration, len(typical))
+	// One pass per stage finds the longest paths, whatever the order of the stages.
 	for range typical {
 		for i := range typical {
-			if p.skipped[i] {
+			if s.skipped[i] {
 				continue
 			}
-			for _, j := range p.after[i] {
-				p.tail[j] = max(p.tail[j], p.tail[i]+typical[i])
+			for _, j := range s.dependencies[i] {
+				s.tail[j] = max(s.tail[j], s.tail[i]+typical[i])
 			}
 		}
 	}
 }
 
-// Tail returns the typical time from the end of a stage to that of the last one that
-// follows it.
-func (p *StageSchedule) Tail(i int) time.Duration { return p.tail[i] }
+// Tail returns the typical time from the end of a stage to the end of the last stage
+// that depends on it, directly or not.
+func (s *StageSchedule) Tail(i int) time.Duration { return s.tail[i] }
 
 // MarkStarted records that a stage starts.
-func (p *StageSchedule) MarkStarted(i int, now time.Time) { p.started[i] = now }
+func (s *StageSchedule) MarkStarted(i int, now time.Time) { s.started[i] = now }
 
 // MarkEnded records that a stage has ended.
-func (p *StageSchedule) MarkEnded(i int) { p.ended[i] = true }
+func (s *StageSchedule) MarkEnded(i int) { s.ended[i] = true }
 
-// AnyEnded reports whether some stage has ended, whose work is lost if a later one is
+// AnyEnded reports whether a stage has ended. Its work is lost if a later stage is
 // refused.
-func (p *StageSchedule) AnyEnded() bool {
-	return slices.Contains(p.ended, true)
+func (s *StageSchedule) AnyEnded() bool {
+	return slices.Contains(s.ended, true)
 }
 
-// StartDelay returns how long a stage whose inputs are there may still wait so that it
-// ends with the other stages. A stage with inputs does not wait, because they take
-// memory meanwhile.
-func (p *StageSchedule) StartDelay(i int, now time.Time) time.Duration {
-	if len(p.after[i]) > 0 {
+// StartDelay returns how long a stage that is ready to start can be delayed without
+// delaying the end of all stages. It is 0 for a stage with inputs, because these occupy
+// memory until it has fetched them.
+func (s *StageSchedule) StartDelay(i int, now time.Time) time.Duration {
+	if len(s.dependencies[i]) > 0 {
 		return 0
 	}
-	var others time.Duration
-	for j := range p.after {
-		if j != i && !p.skipped[j] && !p.ended[j] {
-			others = max(others, p.left(j, now)+p.tail[j])
+	var longest time.Duration
+	for j := range s.dependencies {
+		if j != i && !s.skipped[j] && !s.ended[j] {
+			longest = max(longest, s.remaining(j, now)+s.tail[j])
 		}
 	}
-	return max(0, others-p.typical[i]-p.tail[i]-startMargin)
+	return max(0, longest-s.typical[i]-s.tail[i]-startMargin)
 }
 
-// left returns the time that a stage is expected to take from now.
-func (p *StageSchedule) left(j int, now time.Time) time.Duration {
-	if p.started[j].IsZero() {
-		return p.typical[j]
+// remaining returns the time from now to the expected end of a stage.
+func (s *StageSchedule) remaining(j int, now time.Time) time.Duration {
+	if s.started[j].IsZero() {
+		return s.typical[j]
 	}
-	return max(0, p.typical[j]-now.Sub(p.started[j]))
+	return max(0, s.typical[j]-now.Sub(s.started[j]))
 }
--- a/stagework/server.go
+++ b/stagework/server.go
@@ -2,46 +2,54 @@
 
 import "time"
 
-// server is what the queue knows of one server.
+// server is the state of one server.
 type server struct {
 	Server
-	listed  bool
+	// inUse is true while the server is one of those set by SetServers.
+	inUse bool
+	// running is the number of calls in progress.
 	running int
-	// freeAt is when the running call is expected to end.
+	// freeAt is when the last call that began is expected to end.
 	freeAt      time.Time
 	pausedUntil time.Time
-	failures    int
-	// factor is the duration of calls relative to the shape.
-	factor   float64
-	factorAt time.Time
-	bytes    int64
-	// unknown is the memory that results of other callers are believed to take.
-	unknown      int64
-	unknownUntil time.Time
-	// last holds the results of the last call, by which a second answer to it is
-	// told from the answer to the next one.
-	last map[string]bool
+	// failures is the number of consecutive failed calls.
+	failures int
+	// lastSlowness is the moving average of the duration of calls relative to the
+	// profile, and slownessAt the time of its last change.
+	lastSlowness float64
+	slownessAt   time.Time
+	// resultBytes is the memory that is occupied by known results or reserved for
+	// running calls.
+	resultBytes int64
+	// otherBytes is the memory that results unknown to this queue are assumed to
+	// occupy until otherBytesUntil.
+	otherBytes      int64
+	otherBytesUntil time.Time
+	// lastResults holds the result handles of the last call, to detect a repeated
+	// answer to it.
+	lastResults map[string]bool
 }
 
-// repeats reports whether outcomes are those of the last call to the server, and
-// remembers them otherwise. A faulty server answers a call twice; stage answers
-// carry nothing else that ties them to their call.
-func (s *server) repeats(outcomes []Outcome) bool {
+// repeatsLastAnswer reports whether outcomes contain a result of the last call to the
+// server; otherwise it stores their results. A faulty server may answer a call twice,
+// and the second answer would be taken for that of the next call: stage answers carry
+// no ID of their call.
+func (s *server) repeatsLastAnswer(outcomes []Outcome) bool {
 	results := map[string]bool{}
 	for _, o := range outcomes {
 		if o.Result != "" {
-			if s.last[o.Result] {
+			if s.lastResults[o.Result] {
 				return true
 			}
 			results[o.Result] = true
 		}
 	}
-	s.last = results
+	s.lastResults = results
 	return false
 }
 
-// judge learns from a call what its server can do.
-func (q *Queue) judge(s *server, c *call, now time.Time, outcomes []Outcome) {
+// recordCall updates the state of a server with the outcomes of a call.
+func (q *Queue) recordCall(s *server, c *call, now time.Time, outcomes []Outcome) {
 	counts := map[Status]int{}
 	for _, o := range outcomes {
 		counts[o.Status]++
@@ -51,83 +59,85 @@
 		s.pausedUntil = now.Add(refusedPause)
 		return
 	case counts[Failed] == len(outcomes):
-		// Errors of single pieces say nothing of the server.
+		// Errors of some pieces only don't count as a failure of the server.
 		s.failures++
 		pause := min(maxFailurePause, failurePause<<min(s.failures-1, 8))
 		s.pausedUntil = now.Add(pause)
 		return
 	case counts[NoRoom] > 0:
-		s.unknown, s.unknownUntil = max(0, q.shape.RoomBytes-s.bytes), now.Add(roomPause)
+		s.otherBytes, s.otherBytesUntil = max(0, q.profile.RoomBytes-s.resultBytes), now.Add(noRoomPause)
 	}
 	s.failures = 0
-	took := float64(now.Sub(c.started)) / float64(max(1, q.shape.CallDuration(len(c.Items))))
-	if now.Sub(s.factorAt) > factorLife {
-		s.factor = took
+	took := float64(now.Sub(c.started)) / float64(max(1, q.profile.CallDuration(len(c.Items))))
+	if now.Sub(s.slownessAt) > slownessTTL {
+		s.lastSlowness = took
 	} else {
-		s.factor += factorWeight * (took - s.factor)
+		s.lastSlowness += slownessWeight * (took - s.lastSlowness)
 	}
-	s.factorAt = now
+	s.slownessAt = now
 }
 
-// unproven reports whether a server was slow when it last had a call, long ago.
-func (s *server) unproven(now time.Time) bool {
-	return s.factor > slowFactor && now.Sub(s.factorAt) > factorLife
+// needsProbe reports whether a server was slow when it was last measured and that
+// measurement has expired.
+func (s *server) needsProbe(now time.Time) bool {
+	return s.lastSlowness > slowFactor && now.Sub(s.slownessAt) > slownessTTL
 }
 
-// slowness is the believed duration of calls relative to the shape.
+// slowness returns the expected duration of calls relative to the profile; 1 when the
+// last measurement has expired.
 func (s *server) slowness(now time.Time) float64 {
-	if now.Sub(s.factorAt) > factorLife {
+	if now.Sub(s.slownessAt) > slownessTTL {
 		return 1
 	}
-	return s.factor
+	return s.lastSlowness
 }
 
-// hold counts the memory of a result until it is freed or its life ends.
-func (q *Queue) hold(s *server, result string, bytes int64, now time.Time) {
-	s.bytes += bytes
-	q.results[result] = held{s, bytes, now.Add(q.shape.ResultLife)}
+// holdResult counts the memory of a result as occupied until the result is freed or
+// expires.
+func (q *Queue) holdResult(s *server, result string, bytes int64, now time.Time) {
+	s.resultBytes += bytes
+	q.results[result] = heldResult{s, bytes, now.Add(q.profile.ResultLife)}
 }
 
-// Freed takes results that were given up.
+// Freed records that servers have freed results.
 func (q *Queue) Freed(results []string) {
 	for _, result := range results {
 		if h, ok := q.results[result]; ok {
-			h.server.bytes -= h.bytes
+			h.server.resultBytes -= h.bytes
 			delete(q.results, result)
 		}
 	}
 }
 
-// lapse forgets results whose life has ended.
-func (q *Queue) lapse(now time.Time) {
+// expireResults removes results that their servers no longer keep.
+func (q *Queue) expireResults(now time.Time) {
 	for result, h := range q.results {
-		if now.After(h.until) {
-			h.server.bytes -= h.bytes
+		if now.After(h.expires) {
+			h.server.resultBytes -= h.bytes
 			delete(q.results, result)
 		}
 	}
 }
 
-// room returns how many results of a job a server has memory for.
-func (q *Queue) room(s *server, j *job, now time.Time) int {
-	if q.shape.RoomBytes == 0 || j.ResultBytes <= 0 {
-		return q.shape.Batch
+// roomFor returns how many results of a job a server has memory for.
+func (q *Queue) roomFor(s *server, j *job, now time.Time) int {
+	if q.profile.RoomBytes == 0 || j.ResultBytes <= 0 {
+		return q.profile.Batch
 	}
 	return int(q.roomLeft(s, now) / j.ResultBytes)
 }
 
-// RoomShort reports whether memory for results limited the calls of the service
-// lately.
+// RoomShort reports whether memory for results limited a call of the service within
+// the last second.
 func (q *Queue) RoomShort(now time.Time) bool {
-	return !q.shortAt.IsZero() && now.Sub(q.shortAt) < shortLife
+	return !q.roomShortAt.IsZero() && now.Sub(q.roomShortAt) < roomShortDuration
 }
 
-// roomLeft returns the memory for results in bytes that a server is believed to have
-// left.
+// roomLeft returns the estimated free memory of a server for results, in bytes.
 func (q *Queue) roomLeft(s *server, now time.Time) int64 {
-	taken := s.bytes
-	if now.Before(s.unknownUntil) {
-		taken += s.unknown
+	occupied := s.resultBytes
+	if now.Before(s.otherBytesUntil) {
+		occupied += s.otherBytes
 	}
-	return max(0, q.shape.RoomBytes-taken)
+	return max(0, q.profile.RoomBytes-occupied)
 }
--- a/stagework/stagework.go
+++ b/stagework/stagework.go
@@ -1,7 +1,13 @@
-// Package stagework forms the calls to the servers of one stage service from the
-// pieces of many requests. Stage servers earn their throughput only with full
-// calls, and no instance alone has enough pieces at a time; so the pieces of all
-// instances of a region meet in one Queue. It does no I/O and reads no clock.
+// Package stagework batches the pieces of many requests into calls to the servers of
+// one stage service. Stage servers reach their throughput only with full batches, and
+// no single instance has enough pieces at a time, so one Queue receives the pieces of
+// all instances of a region.
+//
+// A request is divided into stages, and a stage into pieces. A Job is the pieces of
+// one stage of one request. Each piece produces one result, which stays in the memory
+// of its server until it is freed. "Room" in names means memory for results.
+//
+// The package does no I/O and reads no clock.
 package stagework
 
 import (
@@ -9,26 +15,28 @@
 	"time"
 )
 
-// ServerProfile is how one server of the service works.
+// ServerProfile describes the capacity and speed of one server of the service.
 type ServerProfile struct {
-	// Slots is the number of calls in progress at once.
+	// Slots is the largest number of concurrent calls.
 	Slots int
 	// Batch is the largest number of pieces in a call.
 	Batch int
-	// CallTime is the time of a call without pieces, PieceTime what a piece adds.
+	// CallTime is the duration of a call without pieces, PieceTime what each piece
+	// adds to it.
 	CallTime  time.Duration
 	PieceTime time.Duration
-	// RoomBytes is the memory for results; 0 for no bound.
+	// RoomBytes is the memory for results; 0 means unlimited.
 	RoomBytes int64
-	// ResultLife is how long a result is kept after its call.
+	// ResultLife is how long the server keeps a result after its call.
 	ResultLife time.Duration
-	// LinkRate is the speed of a server's link in bytes a second; 0 when unknown.
+	// LinkRate is the bandwidth of the server's network link in bytes per second;
+	// 0 when unknown.
 	LinkRate int64
 }
 
-// CallDuration returns the time of a call with a number of pieces.
-func (s ServerProfile) CallDuration(pieces int) time.Duration {
-	return s.CallTime + time.Duration(pieces)*s.PieceTime
+// CallDuration returns the duration of a call with the given number of pieces.
+func (p ServerProfile) CallDuration(pieces int) time.Duration {
+	return p.CallTime + time.Duration(pieces)*p.PieceTime
 }
 
 // Server is one server of the service.
@@ -37,7 +45,7 @@
 	FailureDomain string
 }
 
-// JobID names a job within a Queue.
+// JobID identifies a job within a Queue.
 type JobID uint64
 
 // Job is the pieces of one stage of one request.
@@ -47,21 +55,21 @@
 	Pieces []int
 	// ResultBytes is the approximate size of one result.
 	ResultBytes int64
-	// Priority is the rank of the request; 0 is the highest.
+	// Priority is the priority of the request; 0 is the highest.
 	Priority int
-	// Due is when the stage should end for an answer on time, Deadline when it
-	// must end for an answer within the deadline.
+	// Due is when the stage must end for the request to meet its latency target,
+	// Deadline when it must end for the request to meet its deadline.
 	Due      time.Time
 	Deadline time.Time
-	// FailureDomain is where the results are used.
+	// FailureDomain is the failure domain in which the results are used.
 	FailureDomain string
-	// Started is true when earlier stages of the request have run.
+	// Started is true when earlier stages of the request have ended.
 	Started bool
-	// InputBytes is the approximate size of all inputs of one piece.
+	// InputBytes is the approximate total size of the inputs of one piece.
 	InputBytes int64
 }
 
-// CallID names a call within a Queue.
+// CallID identifies a call within a Queue.
 type CallID uint64
 
 // Item is one piece of a call.
@@ -70,7 +78,7 @@
 	Piece int
 }
 
-// Call is one call to make.
+// Call is a call that the caller of Queue.Next has to make.
 type Call struct {
 	ID     CallID
 	Server string
@@ -78,83 +86,88 @@
 	// CrossDomain is the number of pieces whose results are used in another failure
 	// domain than the server's.
 	CrossDomain int
-	// Waiting is the number of pieces in the queue that are not in the call, and
-	// RoomLeft the memory for results in bytes that the server has left beside it.
+	// Waiting is the number of pieces that remain in the queue, and RoomLeft the
+	// estimated memory for results, in bytes, that the server has left after the
+	// results of this call are reserved.
 	Waiting  int
 	RoomLeft int64
-	// FullyDispatched lists the jobs whose last waiting pieces are in the call, and FetchTime
-	// is how long the server takes at most to fetch the inputs of all pieces.
+	// FullyDispatched lists the jobs whose last waiting pieces are in the call.
+	// FetchTime is the estimated upper bound of the time in which the server fetches
+	// the inputs of all pieces.
 	FullyDispatched []JobID
 	FetchTime       time.Duration
-	// Timeout is how long the call may take before its server is given up.
+	// Timeout is how long the call may take before it counts as failed.
 	Timeout time.Duration
 }
 
-// Status says how one piece, or a whole call, ended.
+// Status is the outcome of one piece or of a whole call.
 type Status uint8
 
-// Ends of a piece.
+// Statuses of a piece.
 const (
-	// Produced pieces have a result.
+	// Produced means that the piece has a result.
 	Produced Status = iota
-	// Late pieces were dropped by the server because their time was over.
+	// Late means that the server dropped the piece because its deadline had passed.
 	Late
-	// InputGone pieces had an input that no longer exists.
+	// InputGone means that an input of the piece no longer exists.
 	InputGone
-	// NoRoom pieces found no memory for their result.
+	// NoRoom means that the server had no memory for the result.
 	NoRoom
-	// Failed pieces ran into an error, or their call broke.
+	// Failed means that the piece ended with an error or the call failed.
 	Failed
-	// Refused pieces belong to a call that the server did not take.
+	// Refused means that the server did not accept the call.
 	Refused
 )
 
-// Outcome is the end of one item of a call.
+// Outcome is the outcome of one item of a call.
 type Outcome struct {
 	Status Status
 	// Result is the handle of a produced piece.
 	Result string
 }
 
-// SameOutcome returns n outcomes with one status.
+// SameOutcome returns n outcomes with the same status.
 func SameOutcome(status Status, n int) []Outcome {
 	return slices.Repeat([]Outcome{{Status: status}}, n)
 }
 
-// Refusal says why a job ended without its results.
+// Refusal is the reason why a job ended without its results.
 type Refusal string
 
 // Reasons why a job ended without its results.
 const (
-	// RefusedLate jobs can't end in time.
+	// RefusedLate means that the job can't end before its deadline.
 	RefusedLate Refusal = "late"
-	// RefusedNoServer jobs found no server of the service.
+	// RefusedNoServer means that the service has no server.
 	RefusedNoServer Refusal = "no_server"
-	// RefusedInputGone jobs lost an input, which has to be produced again.
+	// RefusedInputGone means that an input no longer exists and has to be produced
+	// again.
 	RefusedInputGone Refusal = "input_gone"
-	// RefusedFailed jobs failed at several servers.
+	// RefusedFailed means that too many calls for the job failed.
 	RefusedFailed Refusal = "failed"
-	// RefusedMoved jobs had not begun when the instance that forms the calls began to
-	// stop. Another instance takes them.
+	// RefusedMoved means that the instance that forms the calls began to stop before
+	// any piece of the job was sent. The job has to be offered to another instance.
 	RefusedMoved Refusal = "moved"
 )
 
-// EndedJob is a job that has ended.
+// EndedJob is a job that has left the queue, with its results or a refusal.
 type EndedJob struct {
 	Job JobID
-	// Results are the handles in the order of the pieces, when Refusal is empty.
+	// Results are the result handles in the order of Job.Pieces. They are set only
+	// when Refusal is empty.
 	Results []string
 	Refusal Refusal
 }
 
-// Effects are what a change of the queue asks its caller to do.
+// Effects lists what the caller has to do after a change of the queue.
 type Effects struct {
+	// Ended lists the jobs whose requesters have to be informed.
 	Ended []EndedJob
-	// Orphans are results that no job waits for. They are to be freed.
+	// Orphans are handles of results that no job needs. The caller has to free them.
 	Orphans []string
 }
 
-// String returns the name of the status for logs.
+// String returns the name of the status as it appears in logs.
 func (s Status) String() string {
 	return [...]string{"produced", "late", "input_gone", "no_room", "failed", "refused"}[s]
 }
