--- a/engine/copy.go
+++ b/engine/copy.go
@@ -3,67 +3,72 @@
 import "time"
 
 const (
-	// minCopy is the number of tokens from which parts of a prompt are copied.
-	minCopy = 256
-	// copyAdvantage is how many times faster than reading a copy must be.
-	copyAdvantage = 2
-	// copyPenalty is what a copied token costs beyond its time, because it takes
-	// memory at one more server.
-	copyPenalty = 8 * time.Microsecond
+	// minCopyTokens is the smallest number of tokens that are copied.
+	minCopyTokens = 256
+	// minCopySpeedup is how many times faster than a prefill at initialPrefillRate a
+	// copy must be.
+	minCopySpeedup = 2
+	// copyPenaltyPerToken is the cost of a copied token beyond the time of the copy,
+	// because the token then occupies the cache of one more server.
+	copyPenaltyPerToken = 8 * time.Microsecond
 )
 
-// source is the server that keeps most of a prompt, of any region, and how many of
-// its tokens are not kept there. The zero value is no source.
+// source is the server of any region that caches most of a prompt, with the number of
+// prompt tokens that it does not cache. The zero value is no source.
 type source struct {
-	server *state
-	unread int
+	server   *serverState
+	uncached int
 }
 
-// bestSource returns the server that keeps most of a prompt. Of equal ones it is that of
-// the own region, then the one from which was copied least recently.
+// bestSource returns the server that caches most of a prompt. Ties go to servers of the
+// scheduler's own region, then to the server that was a source least recently. Paused
+// servers are no sources.
 func (s *Scheduler) bestSource(now time.Time, prompt []Part) (best source) {
-	for _, c := range s.list {
+	for _, c := range s.servers {
 		if now.Before(c.pausedUntil) {
 			continue
 		}
-		unread, _ := c.unread(prompt)
-		if best.server == nil || unread < best.unread || unread == best.unread && s.before(c, best.server) {
-			best = source{c, unread}
+		uncached, _ := c.uncachedTokens(prompt)
+		if best.server == nil || uncached < best.uncached || uncached == best.uncached && s.preferredAsSource(c, best.server) {
+			best = source{c, uncached}
 		}
 	}
 	return best
 }
 
-// before orders servers that keep the same parts as sources.
-func (s *Scheduler) before(a, b *state) bool {
+// preferredAsSource reports whether a is preferred to b as a source when both cache
+// equally much of a prompt.
+func (s *Scheduler) preferredAsSource(a, b *serverState) bool {
 	if near := a.Region == s.region; near != (b.Region == s.region) {
 		return near
 	}
-	return a.copiedAt.Before(b.copiedAt)
+	return a.lastCopiedFromAt.Before(b.lastCopiedFromAt)
 }
 
-// copied returns how many tokens a server that has not read a number of them copies
-// from the source.
-func (f source) copied(c *state, unread int) int {
-	if f.server == nil || f.server == c || c.CopyRate < copyAdvantage*readRate || unread-f.unread < minCopy {
+// tokensToCopy returns how many tokens a server copies from the source if it does not
+// cache the given number of prompt tokens. It returns 0 when a copy is not worth it.
+func (f source) tokensToCopy(c *serverState, uncached int) int {
+	if f.server == nil || f.server == c || c.CopyRate < minCopySpeedup*initialPrefillRate || uncached-f.uncached < minCopyTokens {
 		return 0
 	}
-	return unread - f.unread
+	return uncached - f.uncached
 }
 
-// lacking returns the shared parts of a prompt that the server does not keep.
-func (c *state) lacking(prompt []Part) (parts []Part) {
+// missingSharedParts returns the shared parts of a prompt that the server does not
+// cache.
+func (c *serverState) missingSharedParts(prompt []Part) (parts []Part) {
 	for i, part := range prompt {
-		if _, ok := c.parts[part.ID]; !ok && i < len(prompt)-1 {
+		if _, ok := c.cachedParts[part.ID]; !ok && i < len(prompt)-1 {
 			parts = append(parts, part)
 		}
 	}
 	return parts
 }
 
-// RecordCached records parts that another instance has placed at a server.
+// RecordCached records parts that a server caches because another instance placed a
+// prompt there.
 func (s *Scheduler) RecordCached(now time.Time, server string, parts []Part) {
 	if c := s.byID[server]; c != nil {
-		c.keep(now, parts)
+		c.cacheParts(now, parts)
 	}
 }
--- a/engine/copy_test.go
+++ b/engine/copy_test.go
@@ -8,24 +8,24 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// copying returns a set whose servers copy a token in a hundredth of the time that
-// they take to read it.
-func copying() *Scheduler {
-	s := set()
+// newCopyingScheduler returns a scheduler whose servers copy a token in a hundredth of
+// the time that its prefill takes.
+func newCopyingScheduler() *Scheduler {
+	s := newScheduler()
 	var servers []Server
-	for _, c := range s.list {
-		c.CopyRate = 100 * readRate
+	for _, c := range s.servers {
+		c.CopyRate = 100 * initialPrefillRate
 		servers = append(servers, c.Server)
 	}
 	s.SetServers(servers)
 	return s
 }
 
-// Guards against a burst of prompts with one shared part in which each server reads
-// that part, although it is kept elsewhere.
-func TestABurstOfOnePromptCopiesIt(t *testing.T) {
+// Guards against a burst of prompts with the same shared part in which each server
+// processes that part although another one caches it.
+func TestBurstsWithASharedPartCopyIt(t *testing.T) {
 	c := qt.New(t)
-	s := copying()
+	s := newCopyingScheduler()
 	used, copies := map[string]int{}, map[string]int{}
 	var first Placement
 	for i := range 60 {
@@ -48,11 +48,11 @@
 	c.Assert(total, qt.Equals, 2)
 }
 
-// Guards against parts that a region reads although a server of another region keeps
-// them.
-func TestPartsOfOtherRegionsAreCopied(t *testing.T) {
+// Guards against parts that are processed again although a server of another region
+// caches them.
+func TestPartsCachedInOtherRegionsAreCopied(t *testing.T) {
 	c := qt.New(t)
-	s := copying()
+	s := newCopyingScheduler()
 	s.RecordCached(start, "4", []Part{{"system", 2000}, {"x", 4000}})
 	s.RecordCached(start, "gone", []Part{{"system", 2000}})
 	placed, _ := s.Place(start, Query{Prompt: prompt("x", "1")})
@@ -64,29 +64,29 @@
 	c.Assert(again.NewParts, qt.HasLen, 0)
 }
 
-// Guards against copies that take longer than reading, from servers that fail, and of
-// parts so small that a copy is not worth its set-up.
-func TestCopiesThatDoNotPayAreNotMade(t *testing.T) {
+// Guards against copies that take longer than a prefill, against copies from failing
+// servers, and against copies of parts so small that the overhead exceeds the gain.
+func TestUnprofitableCopiesAreNotMade(t *testing.T) {
 	c := qt.New(t)
-	slow := set()
+	slow := newScheduler()
 	slow.RecordCached(start, "4", []Part{{"system", 2000}, {"x", 4000}})
 	placed, _ := slow.Place(start, Query{Prompt: prompt("x", "1")})
 	c.Assert(placed.CopyFrom, qt.Equals, "")
-	failing := copying()
+	failing := newCopyingScheduler()
 	failing.RecordCached(start, "4", []Part{{"system", 2000}, {"x", 4000}})
 	failing.Report(start, Report{Server: "4", Failed: true})
 	placed, _ = failing.Place(start, Query{Prompt: prompt("x", "1")})
 	c.Assert(placed.CopyFrom, qt.Equals, "")
-	small := copying()
-	small.RecordCached(start, "4", []Part{{"s", minCopy - 1}})
-	placed, _ = small.Place(start, Query{Prompt: []Part{{"s", minCopy - 1}, {"own", 10}}})
+	small := newCopyingScheduler()
+	small.RecordCached(start, "4", []Part{{"s", minCopyTokens - 1}})
+	placed, _ = small.Place(start, Query{Prompt: []Part{{"s", minCopyTokens - 1}, {"own", 10}}})
 	c.Assert(placed.CopyFrom, qt.Equals, "")
 }
 
-// Guards against one server that all others copy from.
-func TestCopiesAreSpreadOverTheirSources(t *testing.T) {
+// Guards against copies that all have the same server as their source.
+func TestCopiesAreSpreadOverSources(t *testing.T) {
 	c := qt.New(t)
-	s := copying()
+	s := newCopyingScheduler()
 	for _, id := range []string{"1", "2"} {
 		s.RecordCached(start, id, []Part{{"system", 2000}, {"x", 4000}})
 	}
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -1,6 +1,9 @@
-// Package engine chooses the model server for a prompt: the one at which its first
-// event is expected soonest, by what each server has to read before it and what
-// parts of the prompt it is believed to keep. It does no I/O and reads no clock.
+// Package engine chooses the model server for a prompt by the expected time to the
+// first event and by penalties for work and transfers that delay other requests. The
+// expected time depends on the prompts that were placed at a server before, and on the
+// parts of the prompt that it is expected to have in its prompt cache.
+//
+// The package does no I/O and reads no clock.
 package engine
 
 import (
@@ -12,35 +15,38 @@
 )
 
 const (
-	// readRate is the first estimate of the prompt tokens that a server reads in a
-	// second. Reports of first events correct it.
-	readRate = 40_000
-	// rereadPenalty is what a shared token that has to be read again costs beyond
-	// its time, because other requests wait for it.
-	rereadPenalty = 60 * time.Microsecond
-	// crossPenalty is what a megabyte of inputs from another failure domain costs.
-	crossPenalty = 70 * time.Millisecond
-	// placePenalty keeps prompts without other differences at the server that
-	// hashing gives them.
-	placePenalty = 15 * time.Millisecond
-	// failurePause is how long a server that failed gets no new prompts; it doubles
-	// with each failure in a row up to maxFailurePause.
+	// initialPrefillRate is the initial estimate of the prompt tokens that a server
+	// processes per second. Scheduler.prefillFactor corrects it.
+	initialPrefillRate = 40_000
+	// sharedPrefillPenalty is the cost of processing a shared token again, beyond the
+	// time that this takes, because other requests wait for it.
+	sharedPrefillPenalty = 60 * time.Microsecond
+	// crossDomainPenaltyPerMegabyte is the cost of inputs from another failure domain.
+	crossDomainPenaltyPerMegabyte = 70 * time.Millisecond
+	// affinityPenalty scales the cost that is derived from a hash of prompt and
+	// server. It sends prompts with the same shared parts to the same server when
+	// nothing else distinguishes the servers.
+	affinityPenalty = 15 * time.Millisecond
+	// failurePause is how long a server that failed gets no new prompts. It doubles
+	// with each consecutive failure, up to maxFailurePause.
 	failurePause    = 500 * time.Millisecond
 	maxFailurePause = 4 * time.Second
-	refusedPause    = 250 * time.Millisecond
-	// lagWeight is the weight of the newest delay beyond the expected one, and
-	// lagLife how long it is believed.
-	lagWeight = 0.4
-	lagLife   = 2 * time.Second
-	// typicalWeight is the weight of the newest delay in the typical one.
-	typicalWeight = 0.08
-	// paceWeight is the weight of the newest delay in the pace, which stays within
-	// leastPace and mostPace.
-	paceWeight = 0.03
-	leastPace  = 0.25
-	mostPace   = 6.0
-	// maxParts bounds the parts that are remembered for a server.
-	maxParts = 4096
+	// refusedPause is how long a server that refused a request gets no new prompts.
+	refusedPause = 250 * time.Millisecond
+	// excessDelayWeight is the weight of the newest excess delay in the moving average,
+	// and excessDelayTTL how long the average is used without a new report.
+	excessDelayWeight = 0.4
+	excessDelayTTL    = 2 * time.Second
+	// typicalDelayWeight is the weight of the newest delay in the moving average of
+	// delays.
+	typicalDelayWeight = 0.08
+	// prefillFactorWeight is the weight of the newest delay in Scheduler.prefillFactor,
+	// which stays between minPrefillFactor and maxPrefillFactor.
+	prefillFactorWeight = 0.03
+	minPrefillFactor    = 0.25
+	maxPrefillFactor    = 6.0
+	// maxCachedParts bounds the parts that are recorded for a server.
+	maxCachedParts = 4096
 )
 
 // Server is one model server.
@@ -48,105 +54,109 @@
 	ID            string
 	Region        string
 	FailureDomain string
-	// Incarnation rises with each restart, which empties the cache.
+	// Incarnation increases with each restart, which empties the cache.
 	Incarnation int64
-	// CacheTokens is the memory for prompts; 0 when it is not known.
+	// CacheTokens is the capacity of the prompt cache in tokens; 0 when unknown.
 	CacheTokens int
-	// CopyRate is the number of prompt tokens a second that the server can copy from
-	// another one; 0 when it can't.
+	// CopyRate is the number of cached prompt tokens per second that the server can
+	// copy from another one; 0 when it can't copy.
 	CopyRate float64
 }
 
-// Part is a part of a prompt. Requests share parts; the last one is their own.
+// Part is a part of a prompt. Requests may share all parts but the last one, which
+// belongs to a single request.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// kept is a part that a server is believed to keep.
-type kept struct {
-	tokens int
-	used   time.Time
+// cachedPart is a part that a server is expected to have in its cache.
+type cachedPart struct {
+	tokens   int
+	lastUsed time.Time
 }
 
-type state struct {
+// serverState is the state of one server.
+type serverState struct {
 	Server
 	hash uint64
-	// copiedAt is when a server was last told to copy from this one.
-	copiedAt time.Time
-	// busyUntil is when the server is expected to have read all prompts that were
+	// lastCopiedFromAt is when this server was last chosen as a source.
+	lastCopiedFromAt time.Time
+	// busyUntil is when the server is expected to have processed all prompts that were
 	// placed there.
-	busyUntil   time.Time
-	parts       map[string]kept
-	tokens      int
-	failures    int
-	pausedUntil time.Time
-	// lag is how much later first events come than expected.
-	lag   time.Duration
-	lagAt time.Time
+	busyUntil    time.Time
+	cachedParts  map[string]cachedPart
+	cachedTokens int
+	failures     int
+	pausedUntil  time.Time
+	// excessDelay is the moving average of the time by which first events came later
+	// than expected, and excessDelayAt the time of its last change.
+	excessDelay   time.Duration
+	excessDelayAt time.Time
 }
 
-// Scheduler is the model servers of one service in one region. It is not safe for
-// concurrent use.
+// Scheduler chooses model servers of one service for the instances of one region. It is
+// not safe for concurrent use.
 type Scheduler struct {
-	region  string
-	byID    map[string]*state
-	list    []*state
-	typical time.Duration
-	// pace is the delay of first events relative to readRate.
-	pace float64
+	region       string
+	byID         map[string]*serverState
+	servers      []*serverState
+	typicalDelay time.Duration
+	// prefillFactor is the measured time of a prefill relative to that at
+	// initialPrefillRate.
+	prefillFactor float64
 }
 
-// NewScheduler returns an empty set for the instances of a region.
+// NewScheduler returns a scheduler without servers for the instances of a region.
 func NewScheduler(region string) *Scheduler {
-	return &Scheduler{region: region, byID: map[string]*state{}, pace: 1}
+	return &Scheduler{region: region, byID: map[string]*serverState{}, prefillFactor: 1}
 }
 
-// SetServers replaces the servers.
+// SetServers replaces the servers. The state of a server is kept unless it restarted.
 func (s *Scheduler) SetServers(servers []Server) {
-	byID := make(map[string]*state, len(servers))
-	s.list = s.list[:0]
-	for _, listed := range servers {
-		known := s.byID[listed.ID]
-		if known == nil || known.Incarnation != listed.Incarnation {
-			known = &state{hash: xxhash.Sum64String(listed.ID), parts: map[string]kept{}}
+	byID := make(map[string]*serverState, len(servers))
+	s.servers = s.servers[:0]
+	for _, server := range servers {
+		current := s.byID[server.ID]
+		if current == nil || current.Incarnation != server.Incarnation {
+			current = &serverState{hash: xxhash.Sum64String(server.ID), cachedParts: map[string]cachedPart{}}
 		}
-		known.Server = listed
-		byID[listed.ID] = known
-		s.list = append(s.list, known)
+		current.Server = server
+		byID[server.ID] = current
+		s.servers = append(s.servers, current)
 	}
 	s.byID = byID
 }
 
-// Query describes the server that a prompt needs.
+// Query describes a prompt to place.
 type Query struct {
 	Prompt []Part
-	// InputBytes is the size of the inputs of the request by the failure domain that
-	// they are in.
+	// InputBytes is the size of the request's inputs by failure domain.
 	InputBytes map[string]int64
-	// Excluded are servers that the request was already sent to.
+	// Excluded lists the IDs of servers that the request was already sent to.
 	Excluded []string
-	// AskOnly is true for a question before the stages run: the prompt is not
-	// counted.
+	// AskOnly is true when the placement is only an estimate, which is made before the
+	// stages run. The prompt is then not counted at the server.
 	AskOnly bool
 }
 
-// Placement is the choice for a prompt.
+// Placement is the server that was chosen for a prompt.
 type Placement struct {
+	// Server is the server's ID.
 	Server string
-	// Expected is the time to the first event.
+	// Expected is the expected time to the first event.
 	Expected time.Duration
-	// FailureDomain is where the server stands.
+	// FailureDomain is the failure domain of the server.
 	FailureDomain string
-	// CopyFrom is the server from which the chosen one copies what it lacks of the
-	// prompt; empty when it reads all of that.
+	// CopyFrom is the ID of the server from which the chosen one copies cached parts
+	// of the prompt; empty when it copies none.
 	CopyFrom string
-	// NewParts holds the shared parts that the server was not believed to keep.
+	// NewParts holds the shared parts that the server was not expected to cache.
 	NewParts []Part
 }
 
-// Place chooses a server and counts the prompt there, or returns false when there
-// is none. Servers of other regions are used only when the own one has none.
+// Place chooses a server and counts the prompt there. It returns false when no server
+// remains. Servers of other regions are used only when the scheduler's region has none.
 func (s *Scheduler) Place(now time.Time, q Query) (Placement, bool) {
 	candidates := s.candidates(now, q, true)
 	if len(candidates) == 0 {
@@ -155,108 +165,110 @@
 	if len(candidates) == 0 {
 		return Placement{}, false
 	}
-	key := sharedKey(q.Prompt)
-	from := s.bestSource(now, q.Prompt)
-	var best *state
+	key := affinityKey(q.Prompt)
+	copySource := s.bestSource(now, q.Prompt)
+	var best *serverState
 	var bestCost time.Duration
-	var bestNeed need
+	var bestWork workload
 	for _, c := range candidates {
-		n := s.needOf(c, q.Prompt, from)
-		if cost := s.cost(c, now, q, n, key); best == nil || cost < bestCost {
-			best, bestCost, bestNeed = c, cost, n
+		work := s.workloadFor(c, q.Prompt, copySource)
+		if cost := s.cost(c, now, q, work, key); best == nil || cost < bestCost {
+			best, bestCost, bestWork = c, cost, work
 		}
 	}
-	placed := Placement{Server: best.ID, Expected: s.expected(best, now, bestNeed), FailureDomain: best.FailureDomain}
+	placed := Placement{Server: best.ID, Expected: s.expected(best, now, bestWork), FailureDomain: best.FailureDomain}
 	if q.AskOnly {
 		return placed, true
 	}
-	if bestNeed.copied > 0 {
-		placed.CopyFrom, from.server.copiedAt = from.server.ID, now
+	if bestWork.copied > 0 {
+		placed.CopyFrom, copySource.server.lastCopiedFromAt = copySource.server.ID, now
 	}
-	placed.NewParts = best.lacking(q.Prompt)
-	s.count(best, now, q.Prompt, bestNeed)
+	placed.NewParts = best.missingSharedParts(q.Prompt)
+	s.recordPlacement(best, now, q.Prompt, bestWork)
 	return placed, true
 }
 
-// candidates returns the servers that are not excluded, of the region or of all.
-// Paused ones are left out while others remain.
-func (s *Scheduler) candidates(now time.Time, q Query, local bool) []*state {
-	var good, rest []*state
-	for _, c := range s.list {
+// candidates returns the servers that are not excluded; with local set, only those of
+// the scheduler's region. Paused servers are returned only when no others remain.
+func (s *Scheduler) candidates(now time.Time, q Query, local bool) []*serverState {
+	var available, paused []*serverState
+	for _, c := range s.servers {
 		switch {
 		case local && c.Region != s.region, slices.Contains(q.Excluded, c.ID):
 		case now.Before(c.pausedUntil):
-			rest = append(rest, c)
+			paused = append(paused, c)
 		default:
-			good = append(good, c)
+			available = append(available, c)
 		}
 	}
-	if len(good) > 0 {
-		return good
+	if len(available) > 0 {
+		return available
 	}
-	return rest
+	return paused
 }
 
-// need is what a server has to do before the first event of a prompt, in tokens.
-type need struct {
-	// read tokens are read, of which reread ones are in shared parts.
-	read, reread int
-	// copied tokens come from another server.
+// workload is the work of a server before the first event of a prompt, in tokens.
+type workload struct {
+	// prefill is the number of tokens to process, and sharedPrefill the number of
+	// those that are in shared parts.
+	prefill, sharedPrefill int
+	// copied is the number of tokens to copy from another server.
 	copied int
 }
 
-// needOf returns what a server has to do for a prompt.
-func (s *Scheduler) needOf(c *state, prompt []Part, from source) need {
-	unread, shared := c.unread(prompt)
-	copied := from.copied(c, unread)
-	return need{read: unread - copied, reread: max(0, shared-copied), copied: copied}
+// workloadFor returns the workload of a server for a prompt.
+func (s *Scheduler) workloadFor(c *serverState, prompt []Part, copySource source) workload {
+	uncached, shared := c.uncachedTokens(prompt)
+	copied := copySource.tokensToCopy(c, uncached)
+	return workload{prefill: uncached - copied, sharedPrefill: max(0, shared-copied), copied: copied}
 }
 
 // expected returns the expected time to the first event at a server.
-func (s *Scheduler) expected(c *state, now time.Time, n need) time.Duration {
-	expected := max(0, c.busyUntil.Sub(now)) + s.work(c, n)
-	if now.Sub(c.lagAt) < lagLife {
-		expected += c.lag
+func (s *Scheduler) expected(c *serverState, now time.Time, work workload) time.Duration {
+	expected := max(0, c.busyUntil.Sub(now)) + s.workDuration(c, work)
+	if now.Sub(c.excessDelayAt) < excessDelayTTL {
+		expected += c.excessDelay
 	}
 	return expected
 }
 
-// work returns the time that a server needs for a prompt.
-func (s *Scheduler) work(c *state, n need) time.Duration {
-	work := s.reading(n.read)
-	if n.copied > 0 {
-		work += time.Duration(float64(n.copied) / c.CopyRate * float64(time.Second))
+// workDuration returns the time that a server needs for a workload.
+func (s *Scheduler) workDuration(c *serverState, work workload) time.Duration {
+	duration := s.prefillDuration(work.prefill)
+	if work.copied > 0 {
+		duration += time.Duration(float64(work.copied) / c.CopyRate * float64(time.Second))
 	}
-	return work
+	return duration
 }
 
-// cost returns the expected time to the first event at a server with what else
-// speaks against the server.
-func (s *Scheduler) cost(c *state, now time.Time, q Query, n need, key uint64) time.Duration {
-	cost := s.expected(c, now, n) + time.Duration(n.reread)*rereadPenalty + time.Duration(n.copied)*copyPenalty
+// cost returns the expected time to the first event at a server plus all penalties. The
+// server with the lowest cost is chosen.
+func (s *Scheduler) cost(c *serverState, now time.Time, q Query, work workload, key uint64) time.Duration {
+	cost := s.expected(c, now, work) + time.Duration(work.sharedPrefill)*sharedPrefillPenalty + time.Duration(work.copied)*copyPenaltyPerToken
 	const megabyte = 1e6
 	for domain, bytes := range q.InputBytes {
 		if domain != c.FailureDomain {
-			cost += time.Duration(float64(bytes) / megabyte * float64(crossPenalty))
+			cost += time.Duration(float64(bytes) / megabyte * float64(crossDomainPenaltyPerMegabyte))
 		}
 	}
-	return cost + time.Duration((1-unit(key^c.hash))*float64(placePenalty))
+	return cost + time.Duration((1-uniform(key^c.hash))*float64(affinityPenalty))
 }
 
-// reading returns the time in which a server reads tokens.
-func (s *Scheduler) reading(tokens int) time.Duration {
-	return time.Duration(s.pace * float64(tokens) / readRate * float64(time.Second))
+// prefillDuration returns the time that a server needs to process prompt tokens.
+func (s *Scheduler) prefillDuration(tokens int) time.Duration {
+	return time.Duration(s.prefillFactor * float64(tokens) / initialPrefillRate * float64(time.Second))
 }
 
-// unread returns the tokens of a prompt that the server has to read, and how many
-// of them are in shared parts. A part counts as kept only behind kept ones.
-func (c *state) unread(prompt []Part) (all, shared int) {
-	missing := false
+// uncachedTokens returns the number of tokens of a prompt that the server does not
+// cache, and how many of them are in shared parts. Only the longest cached prefix of
+// parts counts as cached.
+func (c *serverState) uncachedTokens(prompt []Part) (all, shared int) {
+	prefixEnded := false
 	for i, part := range prompt {
-		if _, ok := c.parts[part.ID]; !ok {
-			missing = true
+		if _, ok := c.cachedParts[part.ID]; !ok {
+			prefixEnded = true
 		}
-		if !missing {
+		if !prefixEnded {
 			continue
 		}
 		all += part.Tokens
@@ -267,55 +279,57 @@
 	return all, shared
 }
 
-// count adds a prompt to what a server does and keeps.
-func (s *Scheduler) count(c *state, now time.Time, prompt []Part, n need) {
+// recordPlacement adds a prompt to the expected work and cache of a server.
+func (s *Scheduler) recordPlacement(c *serverState, now time.Time, prompt []Part, work workload) {
 	if c.busyUntil.Before(now) {
 		c.busyUntil = now
 	}
-	c.busyUntil = c.busyUntil.Add(s.work(c, n))
-	c.keep(now, prompt)
+	c.busyUntil = c.busyUntil.Add(s.workDuration(c, work))
+	c.cacheParts(now, prompt)
 }
 
-// keep records that the server keeps parts.
-func (c *state) keep(now time.Time, parts []Part) {
+// cacheParts records that the server caches parts, and evicts others when they exceed
+// its capacity.
+func (c *serverState) cacheParts(now time.Time, parts []Part) {
 	for _, part := range parts {
-		c.tokens += part.Tokens - c.parts[part.ID].tokens
-		c.parts[part.ID] = kept{part.Tokens, now}
+		c.cachedTokens += part.Tokens - c.cachedParts[part.ID].tokens
+		c.cachedParts[part.ID] = cachedPart{part.Tokens, now}
 	}
-	for len(c.parts) > maxParts || c.CacheTokens > 0 && c.tokens > c.CacheTokens && len(c.parts) > len(parts) {
-		c.forgetOldest()
+	for len(c.cachedParts) > maxCachedParts || c.CacheTokens > 0 && c.cachedTokens > c.CacheTokens && len(c.cachedParts) > len(parts) {
+		c.evictLeastRecentlyUsed()
 	}
 }
 
-func (c *state) forgetOldest() {
+func (c *serverState) evictLeastRecentlyUsed() {
 	oldest := ""
-	for id, part := range c.parts {
-		if oldest == "" || part.used.Before(c.parts[oldest].used) {
+	for id, part := range c.cachedParts {
+		if oldest == "" || part.lastUsed.Before(c.cachedParts[oldest].lastUsed) {
 			oldest = id
 		}
 	}
-	c.tokens -= c.parts[oldest].tokens
-	delete(c.parts, oldest)
+	c.cachedTokens -= c.cachedParts[oldest].tokens
+	delete(c.cachedParts, oldest)
 }
 
-// ReplaceCached replaces what a server is believed to keep by its own list.
+// ReplaceCached replaces the recorded cache contents of a server by the parts that the
+// server itself reported.
 func (s *Scheduler) ReplaceCached(server string, parts []Part) {
 	c := s.byID[server]
 	if c == nil {
 		return
 	}
-	listed := make(map[string]kept, len(parts))
-	c.tokens = 0
+	cached := make(map[string]cachedPart, len(parts))
+	c.cachedTokens = 0
 	for _, part := range parts {
-		listed[part.ID] = kept{part.Tokens, c.parts[part.ID].used}
-		c.tokens += part.Tokens
+		cached[part.ID] = cachedPart{part.Tokens, c.cachedParts[part.ID].lastUsed}
+		c.cachedTokens += part.Tokens
 	}
-	c.parts = listed
+	c.cachedParts = cached
 }
 
-// LocalServers returns the servers of the region.
+// LocalServers returns the IDs of the servers of the scheduler's region.
 func (s *Scheduler) LocalServers() (ids []string) {
-	for _, c := range s.list {
+	for _, c := range s.servers {
 		if c.Region == s.region {
 			ids = append(ids, c.ID)
 		}
@@ -323,8 +337,9 @@
 	return ids
 }
 
-// sharedKey identifies the deepest part of a prompt that other requests share.
-func sharedKey(prompt []Part) uint64 {
+// affinityKey returns a hash of the last shared part of a prompt, or of its only part.
+// It returns 0 for an empty prompt.
+func affinityKey(prompt []Part) uint64 {
 	switch len(prompt) {
 	case 0:
 		return 0
@@ -334,8 +349,9 @@
 	return xxhash.Sum64String(prompt[len(prompt)-2].ID)
 }
 
-// unit spreads a key evenly over (0, 1) (finalizer of splitmix64).
-func unit(key uint64) float64 {
+// uniform maps a key to a uniformly distributed number in (0, 1). It uses the finalizer
+// of splitmix64.
+func uniform(key uint64) float64 {
 	key ^= key >> 30
 	key *= 0xbf58476d1ce4e5b9
 	key ^= key >> 27
@@ -344,34 +360,38 @@
 	return (float64(key>>11) + 0.5) / (1 << 53)
 }
 
-// ChooseDomain chooses the failure domain for a prompt whose inputs are made by a number
-// of servers in each domain, by weighted rendezvous hashing. It returns an empty
-// string without producers.
+// ChooseDomain chooses the failure domain for a prompt by rendezvous hashing, weighted
+// by the number of servers in each domain that can produce its inputs. A prompt without
+// parts is assigned by draw, a random number. ChooseDomain returns an empty string when
+// there are no producers.
 func ChooseDomain(prompt []Part, producers map[string]int, draw float64) string {
-	key := sharedKey(prompt)
+	key := affinityKey(prompt)
 	if key == 0 {
 		key = math.Float64bits(draw)
 	}
 	best, bestScore := "", math.Inf(-1)
 	for domain, n := range producers {
-		if score := -float64(n) / math.Log(unit(key^xxhash.Sum64String(domain))); score > bestScore {
+		if score := -float64(n) / math.Log(uniform(key^xxhash.Sum64String(domain))); score > bestScore {
 			best, bestScore = domain, score
 		}
 	}
 	return best
 }
 
-// Report is what became of a placement.
+// Report is the outcome of a placement.
 type Report struct {
-	Server   string
+	// Server is the server's ID.
+	Server string
+	// Expected is Placement.Expected.
 	Expected time.Duration
-	// Delay is the time from the send to the first event.
+	// Delay is the time from the send of the request to the first event.
 	Delay time.Duration
-	// Failed is true when the send broke, Refused when the server did not take it.
+	// Failed is true when the request failed, Refused when the server did not accept
+	// it.
 	Failed, Refused bool
 }
 
-// Report learns from what became of a placement.
+// Report updates the estimates for a server with the outcome of a placement.
 func (s *Scheduler) Report(now time.Time, r Report) {
 	c := s.byID[r.Server]
 	if c == nil {
@@ -387,22 +407,22 @@
 		return
 	}
 	c.failures = 0
-	late := max(0, r.Delay-r.Expected)
-	if now.Sub(c.lagAt) > lagLife {
-		c.lag = 0
+	excess := max(0, r.Delay-r.Expected)
+	if now.Sub(c.excessDelayAt) > excessDelayTTL {
+		c.excessDelay = 0
 	}
-	c.lag += time.Duration(lagWeight * float64(late-c.lag))
-	c.lagAt = now
+	c.excessDelay += time.Duration(excessDelayWeight * float64(excess-c.excessDelay))
+	c.excessDelayAt = now
 	if r.Expected > 0 {
 		ratio := float64(r.Delay) / float64(r.Expected)
-		s.pace = min(mostPace, max(leastPace, s.pace*(1+paceWeight*(min(mostPace, ratio)-1))))
+		s.prefillFactor = min(maxPrefillFactor, max(minPrefillFactor, s.prefillFactor*(1+prefillFactorWeight*(min(maxPrefillFactor, ratio)-1))))
 	}
-	if s.typical == 0 {
-		s.typical = r.Delay
+	if s.typicalDelay == 0 {
+		s.typicalDelay = r.Delay
 	}
-	s.typical += time.Duration(typicalWeight * float64(r.Delay-s.typical))
+	s.typicalDelay += time.Duration(typicalDelayWeight * float64(r.Delay-s.typicalDelay))
 }
 
-// TypicalDelay returns the typical time from a send to the first event, 0 while none
-// was reported.
-func (s *Scheduler) TypicalDelay() time.Duration { return s.typical }
+// TypicalDelay returns the moving average of the time from the send of a request to the
+// first event; 0 before the first report.
+func (s *Scheduler) TypicalDelay() time.Duration { return s.typicalDelay }
