--- a/route/graph.go
+++ b/route/graph.go
@@ -1,60 +1,61 @@
 package route
 
-// Graph is the stages that run for one request, without those that it omits.
+// Graph is the dependency graph of the stages of one request. Stages without pieces are
+// omitted from it.
 type Graph struct {
-	// Counts holds the number of pieces of each stage of the route, 0 for
-	// omitted ones.
+	// Counts holds the number of pieces of each stage of the route, 0 for omitted
+	// stages.
 	Counts []int
-	// After holds for each stage the stages that run and whose results it takes.
+	// After holds for each stage the stages in the graph whose results it needs.
 	After [][]int
-	// Final holds the stages whose results the model server takes.
+	// Final holds the stages whose results the model server needs.
 	Final []int
 }
 
-// NewGraph returns the graph of a request with the given numbers of pieces.
-// Missing counts are taken as 0. An omitted stage is replaced by those that it
-// follows.
+// NewGraph returns the graph of a request with the given number of pieces for each
+// stage. Missing counts are 0. A stage that depends on an omitted stage depends on that
+// stage's dependencies instead.
 func (r *Route) NewGraph(counts []int) Graph {
 	n := len(r.Stages)
 	g := Graph{Counts: make([]int, n), After: make([][]int, n)}
 	copy(g.Counts, counts)
-	followed := make([]bool, n)
+	hasSuccessor := make([]bool, n)
 	for i := range r.Stages {
 		if g.Counts[i] <= 0 {
 			g.Counts[i] = 0
 			continue
 		}
-		g.After[i] = r.running(g.Counts, i, make([]bool, n))
+		g.After[i] = r.runningDependencies(g.Counts, i, make([]bool, n))
 		for _, j := range g.After[i] {
-			followed[j] = true
+			hasSuccessor[j] = true
 		}
 	}
 	for i := range r.Stages {
-		if g.Counts[i] > 0 && !followed[i] {
+		if g.Counts[i] > 0 && !hasSuccessor[i] {
 			g.Final = append(g.Final, i)
 		}
 	}
 	return g
 }
 
-// running returns the running stages that a stage follows. Seen marks the stages
-// that were visited, so that a cycle ends.
-func (r *Route) running(counts []int, stage int, seen []bool) (found []int) {
+// runningDependencies returns the stages with pieces that a stage depends on, directly
+// or through omitted stages. The visited stages are marked so that a cycle terminates.
+func (r *Route) runningDependencies(counts []int, stage int, visited []bool) (found []int) {
 	for _, j := range r.Stages[stage].After {
-		if j < 0 || j >= len(counts) || j == stage || seen[j] {
+		if j < 0 || j >= len(counts) || j == stage || visited[j] {
 			continue
 		}
-		seen[j] = true
+		visited[j] = true
 		if counts[j] > 0 {
 			found = append(found, j)
 			continue
 		}
-		found = append(found, r.running(counts, j, seen)...)
+		found = append(found, r.runningDependencies(counts, j, visited)...)
 	}
 	return found
 }
 
-// Empty reports whether no stage runs.
+// Empty reports whether the request has no stage to run.
 func (g Graph) Empty() bool {
 	return len(g.Final) == 0
 }
--- a/route/route.go
+++ b/route/route.go
@@ -1,6 +1,6 @@
-// Package route is the configuration of a gateway as a table: which requests go
-// to which service, under which limits, and which organisation a key belongs to.
-// It does no I/O and reads no clock.
+// Package route holds the configuration of a gateway: which requests go to which
+// service, under which limits, and which organisation an API key belongs to. It does no
+// I/O and reads no clock.
 package route
 
 import (
@@ -9,23 +9,23 @@
 	"github.com/coltsfootdrift/coltsfootdrift/stagework"
 )
 
-// Kind says what a request of a route may do.
+// Kind determines whether a request may be repeated and how it is answered.
 type Kind uint8
 
 // Kinds of requests.
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Kind = iota
-	// NonIdempotent requests may run at most once for each attempt of a client.
+	// NonIdempotent requests run at most once per attempt of a client.
 	NonIdempotent
-	// Stream requests are answered with events. They may run once unless the
-	// route is resumable.
+	// Stream requests are answered with a stream of events. They run at most once
+	// unless the route is resumable.
 	Stream
 )
 
-// Configuration is one version of what the operator put in force.
+// Configuration is one version of the configuration that an operator published.
 type Configuration struct {
-	// Version rises with each change, in uneven steps.
+	// Version increases with each change, not always by 1.
 	Version       int64
 	Routes        []Route
 	Services      []Service
@@ -33,8 +33,7 @@
 	Limits        Limits
 }
 
-// Route says what happens to the requests of a host whose path begins with a
-// prefix.
+// Route configures the requests to a host whose path begins with a prefix.
 type Route struct {
 	Name   string
 	Host   string
@@ -42,34 +41,34 @@
 	Kind   Kind
 	// Split divides the requests among services by weight.
 	Split []Weight
-	// Timeout is the longest time that a client is kept waiting.
+	// Timeout is the longest time that a client waits for the answer.
 	Timeout time.Duration
-	// Target is the time to the answer, or to the first event of a stream, within
-	// which it is on time.
+	// Target is the latency target for the answer, or for the first event of a stream.
 	Target time.Duration
-	// MaxFirstEventWait is how long a client waits for the first event of a stream before it
-	// leaves; 0 when only its deadline bounds that.
+	// MaxFirstEventWait is how long a client waits for the first event of a stream
+	// before it cancels the request; 0 when only the request's deadline limits it.
 	MaxFirstEventWait time.Duration
-	// MaxAttempts is the number of backend servers that one attempt of a client
-	// may be sent to.
+	// MaxAttempts is the largest number of backend servers that one attempt of a client
+	// is sent to.
 	MaxAttempts int
-	// Priority is the rank of the route; 0 is the highest.
+	// Priority is the priority of the route; 0 is the highest.
 	Priority int
-	// Public routes need no key.
+	// Public is true when requests need no API key.
 	Public bool
-	// Resumable streams may go on at another server after the last event.
+	// Resumable is true when another server may continue a stream after its last
+	// event.
 	Resumable bool
-	// Stages is the work that must be done before the request can run.
+	// Stages are the stages that must run before the request is sent to its service.
 	Stages []Stage
 }
 
-// Weight is a service's part of the requests of a route.
+// Weight is the weight of a service in the traffic split of a route.
 type Weight struct {
 	Service string
 	Weight  int
 }
 
-// Stage is one stage of a route. Its number is its place among the stages.
+// Stage is one stage of a route. Its number is its index in Route.Stages.
 type Stage struct {
 	Service string
 	// After holds the numbers of the stages whose results it needs.
@@ -81,7 +80,8 @@
 // Service is a set of equivalent backend servers.
 type Service struct {
 	Name string
-	// MaxConnections bounds the connections to one server from all instances.
+	// MaxConnections is the largest number of connections that all instances together
+	// open to one server.
 	MaxConnections int
 	// StageProfile is set for services that run the pieces of stages.
 	StageProfile *stagework.ServerProfile
@@ -89,27 +89,28 @@
 	Engine *EngineProfile
 }
 
-// EngineProfile is how one model server works.
+// EngineProfile describes the capacity and speed of one model server.
 type EngineProfile struct {
-	// CacheTokens is the memory for prompts; 0 when it is not known.
+	// CacheTokens is the capacity of the prompt cache in tokens; 0 when unknown.
 	CacheTokens int
-	// TokenBytes is the memory that a token of a prompt takes, and LinkRate the speed
-	// in bytes a second at which servers copy it from each other; 0 when they can't.
+	// TokenBytes is the size in bytes of a token in the prompt cache. LinkRate is the
+	// bandwidth in bytes per second at which servers copy cached tokens from each
+	// other. Both are 0 when they can't copy.
 	TokenBytes float64
 	LinkRate   float64
 }
 
-// Organisation is a customer with its keys.
+// Organisation is an organisation with its API keys.
 type Organisation struct {
 	Name string
 	Keys []string
-	// Priority goes before the priority of the route; 0 is the highest.
+	// Priority takes precedence over the priority of the route; 0 is the highest.
 	Priority int
-	// HasPriority is false for organisations without a priority of their own.
+	// HasPriority is true when Priority is set.
 	HasPriority bool
 }
 
-// Limits bound what a client may send.
+// Limits are limits on the size and time of requests.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -122,14 +123,14 @@
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Attempts returns the number of servers that an attempt may be sent to, at
-// least 1.
+// Attempts returns the largest number of backend servers that one attempt of a client is
+// sent to, at least 1.
 func (r *Route) Attempts() int {
 	return max(1, r.MaxAttempts)
 }
 
-// CopyRate returns the number of prompt tokens a second that one server copies from
-// another; 0 when it can't.
+// CopyRate returns the number of cached prompt tokens per second that one server copies
+// from another; 0 when it can't copy.
 func (e *EngineProfile) CopyRate() float64 {
 	if e.TokenBytes <= 0 {
 		return 0
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -6,7 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func table() *Table {
+func newTable() *Table {
 	return NewTable(Configuration{
 		Routes: []Route{
 			{Name: "short", Host: "a.example", Prefix: "/x/"},
@@ -17,8 +17,8 @@
 	})
 }
 
-// Guards against a request that is handled by a shorter prefix or by the route of
-// another host, and against paths that only resemble a prefix.
+// Guards against requests that match a shorter prefix or the route of another host, and
+// against paths that match a prefix only in part.
 func TestLongestPrefixOfTheHostWins(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct{ host, path, route string }{
@@ -29,24 +29,24 @@
 		{"c.example", "/x/1", ""},
 	} {
 		got := ""
-		if r := table().Match(test.host, test.path); r != nil {
+		if r := newTable().Match(test.host, test.path); r != nil {
 			got = r.Name
 		}
 		c.Check(got, qt.Equals, test.route, qt.Commentf("%s%s", test.host, test.path))
 	}
 }
 
-// Guards against keys that are taken for another organisation's.
-func TestKeysNameTheirOrganisation(t *testing.T) {
+// Guards against API keys that are attributed to the wrong organisation.
+func TestKeysIdentifyTheirOrganisation(t *testing.T) {
 	c := qt.New(t)
-	c.Assert(table().Organisation("k2").Name, qt.Equals, "o")
-	c.Assert(table().Organisation("k3"), qt.IsNil)
-	c.Assert(table().Organisation(""), qt.IsNil)
+	c.Assert(newTable().Organisation("k2").Name, qt.Equals, "o")
+	c.Assert(newTable().Organisation("k3"), qt.IsNil)
+	c.Assert(newTable().Organisation(""), qt.IsNil)
 }
 
-// Guards against a split that sends requests to a service of weight 0, or that
-// leaves some without a service.
-func TestSplitFollowsWeights(t *testing.T) {
+// Guards against requests to a service of weight 0, and against requests without a
+// service.
+func TestServicesAreChosenByWeight(t *testing.T) {
 	c := qt.New(t)
 	r := Route{Split: []Weight{{"a", 90}, {"b", 10}, {"c", 0}}}
 	c.Assert(r.ChooseService(0), qt.Equals, "a")
@@ -56,9 +56,10 @@
 	c.Assert((&Route{}).ChooseService(0.5), qt.Equals, "")
 }
 
-// Guards against a stage that runs without the results it needs when the stage
-// between is omitted, and against final results that are left out.
-func TestGraphLeavesOutOmittedStages(t *testing.T) {
+// Guards against a stage that does not get the results of earlier stages when a stage
+// between them is omitted, and against final results that the model server does not
+// get.
+func TestGraphReplacesOmittedStagesByTheirDependencies(t *testing.T) {
 	c := qt.New(t)
 	r := Route{Stages: []Stage{{}, {After: []int{0}}, {After: []int{1}}}}
 	g := r.NewGraph([]int{2, 0, 3})
--- a/route/table.go
+++ b/route/table.go
@@ -6,49 +6,49 @@
 	"strings"
 )
 
-// Table answers questions about one configuration. It is immutable.
+// Table is an index of one configuration. It is immutable.
 type Table struct {
 	Configuration
-	// hosts holds the routes of each host, the longest prefix first.
-	hosts         map[string][]*Route
-	services      map[string]*Service
-	organisations map[string]*Organisation
+	// routesByHost holds the routes of each host, longest prefix first.
+	routesByHost      map[string][]*Route
+	servicesByName    map[string]*Service
+	organisationByKey map[string]*Organisation
 }
 
 // NewTable indexes a configuration, which must not be changed afterwards.
 func NewTable(c Configuration) *Table {
 	t := &Table{
-		Configuration: c,
-		hosts:         map[string][]*Route{},
-		services:      map[string]*Service{},
-		organisations: map[string]*Organisation{},
+		Configuration:     c,
+		routesByHost:      map[string][]*Route{},
+		servicesByName:    map[string]*Service{},
+		organisationByKey: map[string]*Organisation{},
 	}
 	for i := range c.Routes {
 		r := &c.Routes[i]
 		host := strings.ToLower(r.Host)
-		t.hosts[host] = append(t.hosts[host], r)
+		t.routesByHost[host] = append(t.routesByHost[host], r)
 	}
-	for _, routes := range t.hosts {
+	for _, routes := range t.routesByHost {
 		slices.SortStableFunc(routes, func(a, b *Route) int { return len(b.Prefix) - len(a.Prefix) })
 	}
 	for i := range c.Services {
-		t.services[c.Services[i].Name] = &c.Services[i]
+		t.servicesByName[c.Services[i].Name] = &c.Services[i]
 	}
 	for i := range c.Organisations {
 		for _, key := range c.Organisations[i].Keys {
-			t.organisations[key] = &c.Organisations[i]
+			t.organisationByKey[key] = &c.Organisations[i]
 		}
 	}
 	return t
 }
 
-// Match returns the route of the host with the longest prefix that begins the
-// path, or nil. A port in host is ignored.
+// Match returns the route of the host with the longest matching prefix of the path, or
+// nil. A port in host is ignored.
 func (t *Table) Match(host, path string) *Route {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
-	for _, r := range t.hosts[strings.ToLower(host)] {
+	for _, r := range t.routesByHost[strings.ToLower(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r
 		}
@@ -56,23 +56,24 @@
 	return nil
 }
 
-// Service returns a service by its name, or nil.
+// Service returns the service with the given name, or nil.
 func (t *Table) Service(name string) *Service {
-	return t.services[name]
+	return t.servicesByName[name]
 }
 
-// Organisation returns the organisation that holds a key, or nil.
+// Organisation returns the organisation with the given API key, or nil.
 func (t *Table) Organisation(key string) *Organisation {
-	return t.organisations[key]
+	return t.organisationByKey[key]
 }
 
-// KeysRequired reports whether requests of routes that are not public need a key.
+// KeysRequired reports whether requests to routes that are not public need an API key.
 func (t *Table) KeysRequired() bool {
 	return len(t.Organisations) > 0
 }
 
-// ChooseService returns the service of a request of the route. Draw is uniform in
-// [0, 1). It returns an empty string when the route has no service.
+// ChooseService returns the service for a request of the route, chosen by weight. draw
+// is a uniformly distributed random number in [0, 1). It returns an empty string when
+// the route has no service.
 func (r *Route) ChooseService(draw float64) string {
 	total := 0
 	for _, w := range r.Split {
@@ -84,10 +85,10 @@
 		}
 		return r.Split[0].Service
 	}
-	at := draw * float64(total)
+	remaining := draw * float64(total)
 	for _, w := range r.Split {
-		at -= float64(max(0, w.Weight))
-		if at < 0 && w.Weight > 0 {
+		remaining -= float64(max(0, w.Weight))
+		if remaining < 0 && w.Weight > 0 {
 			return w.Service
 		}
 	}
