--- a/rendezvous/rendezvous.go
+++ b/rendezvous/rendezvous.go
@@ -1,5 +1,5 @@
-// Package rendezvous assigns keys to members by rendezvous hashing: when a
-// member goes, only its own keys move.
+// Package rendezvous assigns keys to members by rendezvous hashing: when a member is
+// removed, only the keys assigned to it move.
 package rendezvous
 
 import (
@@ -14,29 +14,29 @@
 // there are no members. The order of members does not matter.
 func Choose(key string, members []string) string {
 	var best string
-	var highest uint64
+	var highestScore uint64
 	for _, member := range members {
-		weight := score(key, member)
-		if best == "" || weight > highest || weight == highest && member > best {
-			best, highest = member, weight
+		score := scoreOf(key, member)
+		if best == "" || score > highestScore || score == highestScore && member > best {
+			best, highestScore = member, score
 		}
 	}
 	return best
 }
 
-// Order returns the members in the order in which the key would be assigned to them
-// if those before were not there.
+// Order returns the members in order of preference for the key: each one is the member
+// that Choose returns when all members before it are removed.
 func Order(key string, members []string) []string {
 	type scored struct {
 		member string
-		weight uint64
+		score  uint64
 	}
 	all := make([]scored, len(members))
 	for i, member := range members {
-		all[i] = scored{member, score(key, member)}
+		all[i] = scored{member, scoreOf(key, member)}
 	}
 	slices.SortFunc(all, func(a, b scored) int {
-		return cmp.Or(cmp.Compare(b.weight, a.weight), strings.Compare(b.member, a.member))
+		return cmp.Or(cmp.Compare(b.score, a.score), strings.Compare(b.member, a.member))
 	})
 	ordered := make([]string, len(all))
 	for i, s := range all {
@@ -45,7 +45,9 @@
 	return ordered
 }
 
-func score(key, member string) uint64 {
+// scoreOf returns the score of a member for a key. The member with the highest score is
+// chosen. All instances must compute the same scores.
+func scoreOf(key, member string) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
 	_, _ = digest.WriteString(key)
--- a/rendezvous/rendezvous_test.go
+++ b/rendezvous/rendezvous_test.go
@@ -8,9 +8,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Guards against keys that move although their member stays, and members that
+// Guards against keys that move although their member remains, and against members that
 // get no keys.
-func TestOnlyKeysOfALeavingMemberMove(t *testing.T) {
+func TestOnlyKeysOfARemovedMemberMove(t *testing.T) {
 	c := qt.New(t)
 	before, after := []string{"a", "b", "c"}, []string{"c", "a"}
 	counts := map[string]int{}
@@ -28,17 +28,17 @@
 	c.Assert(Choose("x", nil), qt.Equals, "")
 }
 
-// Guards against an order other than that of choosing again without the members
-// chosen before.
-func TestOrderIsThatOfRepeatedChoice(t *testing.T) {
+// Guards against an order that differs from repeated choices among the remaining
+// members.
+func TestOrderMatchesRepeatedChoice(t *testing.T) {
 	c := qt.New(t)
 	for i := range 100 {
 		key := fmt.Sprint(i)
-		left := []string{"a", "b", "c", "d", "e"}
-		for _, member := range Order(key, left) {
-			c.Assert(member, qt.Equals, Choose(key, left))
-			left = slices.DeleteFunc(left, func(m string) bool { return m == member })
+		remaining := []string{"a", "b", "c", "d", "e"}
+		for _, member := range Order(key, remaining) {
+			c.Assert(member, qt.Equals, Choose(key, remaining))
+			remaining = slices.DeleteFunc(remaining, func(m string) bool { return m == member })
 		}
-		c.Assert(left, qt.HasLen, 0)
+		c.Assert(remaining, qt.HasLen, 0)
 	}
 }
