--- a/internal/experiment/stagesim.go
+++ b/internal/experiment/stagesim.go
@@ -182,7 +182,7 @@
 
 func (s *stageSim) apply(q *stagework.Queue, e stagework.Effects, now time.Time) {
 	q.Freed(e.Orphans)
-	for _, done := range e.Ended {
+	for _, done := range e.Done {
 		r := s.requests[done.Job]
 		switch {
 		case done.Refusal != "":
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -16,22 +16,23 @@
 	"github.com/coltsfootdrift/coltsfootdrift/routing"
 )
 
-// connectionShare is the part of a server's connections that all instances
-// together may open, so that instances that disagree on their number stay below
-// the limit.
-const connectionShare = 0.8
+// connectionLimitShare is the share of a server's connection limit that all instances
+// together use, so that they stay below the limit while they disagree on the number of
+// instances.
+const connectionLimitShare = 0.8
 
-// minConnections is the least number of connections to one server.
-const minConnections = 2
+// minServerConnections is the lowest limit of connections from one instance to one
+// server.
+const minServerConnections = 2
 
-// Fleet is the backend servers as this instance sees them.
+// Fleet holds this instance's view of the backend servers and of their load.
 type Fleet struct {
 	settings  settings.Gateway
 	instances func() int
 
 	mu      sync.Mutex
 	random  *rand.Rand
-	plain   map[string]*routing.Pool
+	pools   map[string]*routing.Pool
 	engines map[string]*engine.Scheduler
 	servers map[string]upstream.Server
 	budgets map[string]*routing.RetryBudget
@@ -40,14 +41,14 @@
 // NewFleet returns a fleet without servers.
 func NewFleet(s settings.Gateway, cluster *Cluster) *Fleet {
 	return &Fleet{
-		settings: s, instances: cluster.Instances,
+		settings: s, instances: cluster.InstanceCount,
 		random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		plain:  map[string]*routing.Pool{}, engines: map[string]*engine.Scheduler{},
+		pools:  map[string]*routing.Pool{}, engines: map[string]*engine.Scheduler{},
 		servers: map[string]upstream.Server{}, budgets: map[string]*routing.RetryBudget{},
 	}
 }
 
-// Update takes a new view.
+// Update replaces the servers by those of a new view.
 func (f *Fleet) Update(v *view.View) {
 	if v.Table == nil {
 		return
@@ -75,7 +76,7 @@
 	if service.MaxConnections == 0 {
 		return 0
 	}
-	return max(minConnections, int(connectionShare*float64(service.MaxConnections))/instances)
+	return max(minServerConnections, int(connectionLimitShare*float64(service.MaxConnections))/instances)
 }
 
 func (f *Fleet) updateEngines(service *route.Service, listed []view.Server) {
@@ -93,10 +94,10 @@
 }
 
 func (f *Fleet) updatePlain(service string, listed []view.Server) {
-	pool := f.plain[service]
+	pool := f.pools[service]
 	if pool == nil {
 		pool = routing.NewPool(routing.Location{Region: f.settings.Region, FailureDomain: f.settings.FailureDomain})
-		f.plain[service] = pool
+		f.pools[service] = pool
 	}
 	servers := make([]routing.Server, len(listed))
 	for i, s := range listed {
@@ -105,7 +106,8 @@
 	pool.Update(servers, time.Now())
 }
 
-// Server returns where a server is reached, and false when it is not in use.
+// Server returns the address and connection limit of a server, and false when it is
+// not in use.
 func (f *Fleet) Server(id string) (upstream.Server, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -113,23 +115,23 @@
 	return s, ok
 }
 
-// Near reports whether a failure domain is in this instance's region.
-func (f *Fleet) Near(domain string) bool {
+// InRegion reports whether a failure domain is in this instance's region.
+func (f *Fleet) InRegion(domain string) bool {
 	return f.settings.Regions[domain] == f.settings.Region
 }
 
-// InUse reports whether a server may get work.
+// InUse reports whether the current view lists a server.
 func (f *Fleet) InUse(id string) bool {
 	_, ok := f.Server(id)
 	return ok
 }
 
-// Pool calls use with the pool of a plain service, or returns false when there is
-// none.
-func (f *Fleet) Pool(service string, use func(*routing.Pool, *rand.Rand)) bool {
+// WithPool calls use with the pool of a plain service while it holds the lock. It
+// returns false when there is no such pool.
+func (f *Fleet) WithPool(service string, use func(*routing.Pool, *rand.Rand)) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	pool := f.plain[service]
+	pool := f.pools[service]
 	if pool == nil {
 		return false
 	}
@@ -137,9 +139,9 @@
 	return true
 }
 
-// Engines calls use with the model servers of a service, or returns false when
-// there are none.
-func (f *Fleet) Engines(service string, use func(*engine.Scheduler)) bool {
+// WithEngines calls use with the model servers of a service while it holds the lock. It
+// returns false when the service has none.
+func (f *Fleet) WithEngines(service string, use func(*engine.Scheduler)) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	set := f.engines[service]
@@ -158,9 +160,9 @@
 }
 
 const (
-	// retryRatioShare and retrySlackShare are the parts of the budget that all
-	// instances share which are used, so that a client's own repeats and changes
-	// in the number of instances stay within it.
+	// retryRatioShare and retrySlackShare are the shares of the common retry budget that
+	// the instances use. The rest covers retries by clients and changes in the number of
+	// instances.
 	retryRatioShare = 0.5
 	retrySlackShare = 0.4
 )
@@ -187,21 +189,22 @@
 	f.budget(service).Request(time.Now())
 }
 
-// AllowRetry takes one repeat from the budget of a service.
+// AllowRetry takes one retry from the budget of a service. It returns false when the
+// budget is used up.
 func (f *Fleet) AllowRetry(service string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.budget(service).Allow(time.Now())
 }
 
-// Draw returns a random number in [0, 1).
-func (f *Fleet) Draw() float64 {
+// RandomFloat64 returns a random number in [0, 1).
+func (f *Fleet) RandomFloat64() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.random.Float64()
 }
 
-// plainQuery is the query of a plain request.
-func plainQuery(remaining time.Duration, excluded []routing.ServerIndex) routing.Query {
+// newPlainQuery returns the query that picks a server for a plain request.
+func newPlainQuery(remaining time.Duration, excluded []routing.ServerIndex) routing.Query {
 	return routing.Query{Class: pipeline.ClassInteractive, Link: true, Remaining: remaining, Excluded: excluded}
 }
--- a/stagework/load_test.go
+++ b/stagework/load_test.go
@@ -106,7 +106,7 @@
 	s.busy[call.Server] = false
 	e := q.Finished(now, call.ID, producedOutcomes(call))
 	q.Freed(e.Orphans)
-	for _, done := range e.Ended {
+	for _, done := range e.Done {
 		if done.Refusal == "" && !now.After(s.requests[done.Job].Due) {
 			s.onTime++
 		}
--- a/stagework/queue.go
+++ b/stagework/queue.go
@@ -195,7 +195,7 @@
 	return "", true
 }
 
-// Cancel removes a job, which is not listed in Effects.Ended. Its results become
+// Cancel removes a job, which is not listed in Effects.Done. Its results become
 // orphans.
 func (q *Queue) Cancel(id JobID) Effects {
 	j := q.jobs[id]
@@ -232,7 +232,7 @@
 // refuse ends a job with a refusal.
 func (q *Queue) refuse(effects *Effects, j *job, refusal Refusal) {
 	effects.Orphans = append(effects.Orphans, q.remove(j)...)
-	effects.Ended = append(effects.Ended, EndedJob{Job: j.ID, Refusal: refusal})
+	effects.Done = append(effects.Done, EndedJob{Job: j.ID, Refusal: refusal})
 }
 
 // HandOver refuses the jobs whose pieces all wait, so that they can be offered to the
@@ -365,5 +365,5 @@
 		q.fetchEstimator.RecordFetched()
 	}
 	q.remove(j)
-	effects.Ended = append(effects.Ended, EndedJob{Job: j.ID, Results: j.results})
+	effects.Done = append(effects.Done, EndedJob{Job: j.ID, Results: j.results})
 }
--- a/stagework/queue_test.go
+++ b/stagework/queue_test.go
@@ -67,8 +67,8 @@
 	_, ok = q.Next(epoch)
 	c.Assert(ok, qt.IsFalse, qt.Commentf("the only slot is in use"))
 	e := q.Finished(epoch.Add(360*time.Millisecond), call.ID, producedOutcomes(call))
-	c.Assert(len(e.Ended), qt.Equals, 2)
-	c.Assert(e.Ended[0].Results, qt.DeepEquals, []string{"s0/1-0", "s0/1-1", "s0/1-2"})
+	c.Assert(len(e.Done), qt.Equals, 2)
+	c.Assert(e.Done[0].Results, qt.DeepEquals, []string{"s0/1-0", "s0/1-1", "s0/1-2"})
 	rest, ok := q.Next(epoch.Add(360 * time.Millisecond))
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(rest.Items, qt.DeepEquals, []Item{{Job: 3, Piece: 2}})
@@ -114,7 +114,7 @@
 	waiting.Deadline = epoch.Add(700 * time.Millisecond)
 	offer(c, q, waiting)
 	e := q.Expire(epoch.Add(600 * time.Millisecond))
-	c.Assert(e.Ended, qt.DeepEquals, []EndedJob{{Job: 3, Refusal: RefusedLate}})
+	c.Assert(e.Done, qt.DeepEquals, []EndedJob{{Job: 3, Refusal: RefusedLate}})
 	refusal, ok = NewQueue(profile).Offer(epoch, newJob(4, 1))
 	c.Assert(ok, qt.IsFalse)
 	c.Assert(refusal, qt.Equals, RefusedNoServer)
@@ -158,9 +158,9 @@
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(retry.Server, qt.Not(qt.Equals), overdue.Server)
 	e := q.Finished(now, retry.ID, producedOutcomes(retry))
-	c.Assert(len(e.Ended), qt.Equals, 1)
+	c.Assert(len(e.Done), qt.Equals, 1)
 	e = q.Finished(now, overdue.ID, producedOutcomes(overdue))
-	c.Assert(e.Ended, qt.HasLen, 0)
+	c.Assert(e.Done, qt.HasLen, 0)
 	c.Assert(e.Orphans, qt.HasLen, 2)
 }
 
@@ -225,11 +225,11 @@
 	for range maxFailuresPerPiece + 1 {
 		call, ok := q.Next(now)
 		c.Assert(ok, qt.IsTrue)
-		c.Assert(e.Ended, qt.HasLen, 0)
+		c.Assert(e.Done, qt.HasLen, 0)
 		e = q.Finished(now, call.ID, sameOutcomes(call, Failed))
 		now = now.Add(maxFailurePause)
 	}
-	c.Assert(e.Ended, qt.DeepEquals, []EndedJob{{Job: 1, Refusal: RefusedFailed}})
+	c.Assert(e.Done, qt.DeepEquals, []EndedJob{{Job: 1, Refusal: RefusedFailed}})
 }
 
 // Guards against results of cancelled jobs that stay in the memory of servers.
@@ -257,7 +257,7 @@
 	offer(c, q, newJob(2, 2))
 	second, _ := q.Next(epoch)
 	e := q.Finished(epoch, second.ID, outcomes)
-	c.Assert(e.Ended, qt.HasLen, 0)
+	c.Assert(e.Done, qt.HasLen, 0)
 	c.Assert(e.Orphans, qt.HasLen, 0)
 }
 
@@ -354,7 +354,7 @@
 	outcomes := producedOutcomes(retry)
 	outcomes[0] = Outcome{Status: NoRoom}
 	e := q.Finished(later, retry.ID, outcomes)
-	c.Assert(e.Ended, qt.DeepEquals, []EndedJob{{Job: 1, Refusal: RefusedInputGone}})
+	c.Assert(e.Done, qt.DeepEquals, []EndedJob{{Job: 1, Refusal: RefusedInputGone}})
 	c.Assert(e.Orphans, qt.HasLen, 5)
 }
 
@@ -398,11 +398,11 @@
 	offer(c, q, second)
 	call, _ := q.Next(epoch)
 	c.Assert(call.Items, qt.HasLen, 8)
-	c.Assert(q.HandOver().Ended, qt.DeepEquals, []EndedJob{{Job: 2, Refusal: RefusedMoved}})
+	c.Assert(q.HandOver().Done, qt.DeepEquals, []EndedJob{{Job: 2, Refusal: RefusedMoved}})
 	later := epoch.Add(profile.CallDuration(8))
-	c.Assert(q.Finished(later, call.ID, producedOutcomes(call)).Ended, qt.HasLen, 0)
+	c.Assert(q.Finished(later, call.ID, producedOutcomes(call)).Done, qt.HasLen, 0)
 	rest, _ := q.Next(later)
-	done := q.Finished(later, rest.ID, producedOutcomes(rest)).Ended
+	done := q.Finished(later, rest.ID, producedOutcomes(rest)).Done
 	c.Assert(done, qt.HasLen, 1)
 	c.Assert(done[0].Results, qt.HasLen, 10)
 }
--- a/stagework/stagework.go
+++ b/stagework/stagework.go
@@ -161,8 +161,8 @@
 
 // Effects lists what the caller has to do after a change of the queue.
 type Effects struct {
-	// Ended lists the jobs whose requesters have to be informed.
-	Ended []EndedJob
+	// Done lists the ended jobs whose requesters have to be informed.
+	Done []EndedJob
 	// Orphans are handles of results that no job needs. The caller has to free them.
 	Orphans []string
 }
