--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -236,9 +236,9 @@
 	f := newPlainFixture(c, route.Stream)
 	f.config.Routes[0].Resumable, f.config.Routes[0].Stages = resumable, stages
 	f.config.Routes[0].Target = time.Second
-	f.config.Services[0].Engine = &route.EngineShape{}
+	f.config.Services[0].Engine = &route.EngineProfile{}
 	f.config.Services = append(f.config.Services, route.Service{Name: "stage",
-		Work: &stagework.Shape{Slots: 1, Batch: 4, CallTime: time.Millisecond, PieceTime: time.Millisecond, ResultLife: time.Second}})
+		StageProfile: &stagework.ServerProfile{Slots: 1, Batch: 4, CallTime: time.Millisecond, PieceTime: time.Millisecond, ResultLife: time.Second}})
 	return f
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -127,7 +127,7 @@
 		timeout = min(timeout, c.requestInfo.Timeout)
 	}
 	c.deadline = c.arrived.Add(timeout)
-	c.service = table.Service(c.route.Choose(c.fleet.RandomFloat64()))
+	c.service = table.Service(c.route.ChooseService(c.fleet.RandomFloat64()))
 	if c.service == nil {
 		c.refuse("no service", longRetryAfter)
 		return false
@@ -141,7 +141,7 @@
 // combinedPriority combines the priority of an organisation with that of a route. The
 // route's priority only orders requests of organisations with the same priority.
 func combinedPriority(o *route.Organisation, r *route.Route) int {
-	if !o.Ranked {
+	if !o.HasPriority {
 		return r.Priority
 	}
 	return o.Priority*routePriorities + min(r.Priority, routePriorities-1)
--- /dev/null
+++ b/route/graph.go
@@ -0,0 +1,61 @@
+package route
+
+// Graph is the dependency graph of the stages of one request. Stages without pieces are
+// omitted from it.
+type Graph struct {
+	// Counts holds the number of pieces of each stage of the route, 0 for omitted
+	// stages.
+	Counts []int
+	// After holds for each stage the stages in the graph whose results it needs.
+	After [][]int
+	// Final holds the stages whose results the model server needs.
+	Final []int
+}
+
+// NewGraph returns the graph of a request with the given number of pieces for each
+// stage. Missing counts are 0. A stage that depends on an omitted stage depends on that
+// stage's dependencies instead.
+func (r *Route) NewGraph(counts []int) Graph {
+	n := len(r.Stages)
+	g := Graph{Counts: make([]int, n), After: make([][]int, n)}
+	copy(g.Counts, counts)
+	hasSuccessor := make([]bool, n)
+	for i := range r.Stages {
+		if g.Counts[i] <= 0 {
+			g.Counts[i] = 0
+			continue
+		}
+		g.After[i] = r.runningDependencies(g.Counts, i, make([]bool, n))
+		for _, j := range g.After[i] {
+			hasSuccessor[j] = true
+		}
+	}
+	for i := range r.Stages {
+		if g.Counts[i] > 0 && !hasSuccessor[i] {
+			g.Final = append(g.Final, i)
+		}
+	}
+	return g
+}
+
+// runningDependencies returns the stages with pieces that a stage depends on, directly
+// or through omitted stages. The visited stages are marked so that a cycle terminates.
+func (r *Route) runningDependencies(counts []int, stage int, visited []bool) (found []int) {
+	for _, j := range r.Stages[stage].After {
+		if j < 0 || j >= len(counts) || j == stage || visited[j] {
+			continue
+		}
+		visited[j] = true
+		if counts[j] > 0 {
+			found = append(found, j)
+			continue
+		}
+		found = append(found, r.runningDependencies(counts, j, visited)...)
+	}
+	return found
+}
+
+// Empty reports whether the request has no stage to run.
+func (g Graph) Empty() bool {
+	return len(g.Final) == 0
+}
