--- a/claim/decide.go
+++ b/claim/decide.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// overlay is a view of a shard with the changes of one append, which take effect
-// only when the append was written.
+// overlay holds the uncommitted changes of one append on top of a shard. They
+// become part of the shard once the append is written to the store.
 type overlay struct {
-	shard     *Shard
-	changed   map[ID]held
-	removed   map[ID]bool
-	withdrawn map[Token]int64
+	shard          *Shard
+	changed        map[ID]indexEntry
+	removed        map[ID]bool
+	releasedTokens map[Token]int64
 }
 
 func newOverlay(s *Shard) *overlay {
-	return &overlay{shard: s, changed: map[ID]held{}, removed: map[ID]bool{}, withdrawn: map[Token]int64{}}
+	return &overlay{shard: s, changed: map[ID]indexEntry{}, removed: map[ID]bool{}, releasedTokens: map[Token]int64{}}
 }
 
-// lookUp returns the live entry of a key.
-func (o *overlay) lookUp(now time.Time, id ID) (held, bool) {
+// lookUp returns the entry of a claim that has not expired.
+func (o *overlay) lookUp(now time.Time, id ID) (indexEntry, bool) {
 	entry, ok := o.changed[id]
 	if !ok && !o.removed[id] {
 		entry, ok = o.shard.index[id]
@@ -24,14 +24,15 @@
 	return entry, ok && entry.expires > now.UnixMilli()
 }
 
-func (o *overlay) isWithdrawn(token Token) bool {
-	_, before := o.shard.withdrawn[token]
-	_, here := o.withdrawn[token]
+func (o *overlay) isReleased(token Token) bool {
+	_, before := o.shard.releasedTokens[token]
+	_, here := o.releasedTokens[token]
 	return before || here
 }
 
-// decide returns the decision on an operation and whether it needs a record.
-func (o *overlay) decide(now time.Time, op Op) (decision Decision, needed bool) {
+// decide returns the decision on an operation and whether a record must be written
+// for it.
+func (o *overlay) decide(now time.Time, op Op) (decision Decision, needsRecord bool) {
 	entry, ok := o.lookUp(now, op.ID)
 	own := ok && entry.token == op.Token
 	switch op.Kind {
@@ -39,24 +40,24 @@
 		return o.decideClaim(op, entry, ok)
 	case OpFinish:
 		if !own {
-			return Decision{Verdict: Lost}, false
+			return Decision{Verdict: NotHeld}, false
 		}
 		return Decision{Verdict: Done}, entry.outcome == noName
 	default:
 		if own && entry.outcome != noName {
-			return Decision{Verdict: Lost}, false
+			return Decision{Verdict: NotHeld}, false
 		}
-		// A release is recorded even if its claim is not there: the claim may still
-		// be under way, and the record makes its write fail.
-		return Decision{Verdict: Done}, own || !o.isWithdrawn(op.Token)
+		// A release is recorded even if its claim is absent: the claim may still be on
+		// its way to the store, and the record makes its write fail.
+		return Decision{Verdict: Done}, own || !o.isReleased(op.Token)
 	}
 }
 
-func (o *overlay) decideClaim(op Op, entry held, ok bool) (decision Decision, needed bool) {
-	if o.isWithdrawn(op.Token) {
-		return Decision{Verdict: Withdrawn}, false
+func (o *overlay) decideClaim(op Op, entry indexEntry, exists bool) (decision Decision, needsRecord bool) {
+	if o.isReleased(op.Token) {
+		return Decision{Verdict: TokenReleased}, false
 	}
-	if !ok {
+	if !exists {
 		return Decision{Verdict: Granted, Token: op.Token, Holder: op.Holder}, true
 	}
 	decision = Decision{
@@ -65,10 +66,10 @@
 		Outcome: o.shard.names.name(entry.outcome),
 	}
 	switch {
-	case entry.body != op.Body:
-		decision = Decision{Verdict: OtherBody}
+	case entry.bodySHA256 != op.BodySHA256:
+		decision = Decision{Verdict: BodyMismatch}
 	case entry.outcome != noName:
-		decision.Verdict = Recorded
+		decision.Verdict = AlreadyFinished
 		decision.Segment = entry.segment
 	case entry.token == op.Token:
 		decision.Verdict = Granted
@@ -78,7 +79,7 @@
 	return decision, false
 }
 
-// apply takes a record that is about to be written.
+// apply adds the changes of a record that is about to be written.
 func (o *overlay) apply(r *StoredRecord, segment uint64) {
 	id, token := ID(r.Id), Token(r.Token)
 	if r.Op != RecordOp_RECORD_OP_RELEASE {
@@ -86,7 +87,7 @@
 		delete(o.removed, id)
 		return
 	}
-	o.withdrawn[token] = r.AtMs + r.RetentionMs
+	o.releasedTokens[token] = r.AtMs + r.RetentionMs
 	entry, ok := o.changed[id]
 	if !ok {
 		entry = o.shard.index[id]
@@ -97,7 +98,7 @@
 	}
 }
 
-// commit makes the changes part of the shard.
+// commit applies the changes to the shard.
 func (o *overlay) commit() {
 	for id := range o.removed {
 		delete(o.shard.index, id)
@@ -105,37 +106,38 @@
 	for id, entry := range o.changed {
 		o.shard.index[id] = entry
 	}
-	for token, expires := range o.withdrawn {
-		o.shard.withdrawn[token] = expires
+	for token, expires := range o.releasedTokens {
+		o.shard.releasedTokens[token] = expires
 	}
 }
 
-// apply takes a record that is in the store. Its writer checked it against the
-// chain, so that it holds without another check.
+// apply applies a record from the store. It isn't checked again, because its writer
+// checked it against the chain.
 func (s *Shard) apply(r *StoredRecord, segment uint64) {
 	o := newOverlay(s)
 	o.apply(r, segment)
 	o.commit()
 }
 
-func (s *Shard) entry(r *StoredRecord, segment uint64) held {
-	return held{
-		token:   Token(r.Token),
-		body:    Digest(r.Body),
-		expires: r.AtMs + r.RetentionMs,
-		segment: segment,
-		holder:  s.names.index(r.Holder),
-		outcome: s.names.index(r.Outcome),
+func (s *Shard) entry(r *StoredRecord, segment uint64) indexEntry {
+	return indexEntry{
+		token:      Token(r.Token),
+		bodySHA256: Digest(r.Body),
+		expires:    r.AtMs + r.RetentionMs,
+		segment:    segment,
+		holder:     s.names.index(r.Holder),
+		outcome:    s.names.index(r.Outcome),
 	}
 }
 
-// nameIndex stands for a holder or an outcome in the index of claims.
+// nameIndex is the index of a holder or outcome in a nameTable.
 type nameIndex uint32
 
-// noName stands for the empty string.
+// noName is the index of the empty string.
 const noName nameIndex = 0
 
-// nameTable holds each name once.
+// nameTable interns the names of holders and outcomes, so that index entries hold
+// no strings.
 type nameTable struct {
 	names   []string
 	indexes map[string]nameIndex
--- a/internal/gateway/inputs.go
+++ b/internal/gateway/inputs.go
@@ -30,7 +30,7 @@
 	if len(local) == 0 {
 		local = all
 	}
-	domain := engine.Domain(g.requestInfo.Prompt, local, g.fleet.RandomFloat64())
+	domain := engine.ChooseDomain(g.requestInfo.Prompt, local, g.fleet.RandomFloat64())
 	if g.inputBytes() < largeInputBytes {
 		return domain
 	}
@@ -119,7 +119,7 @@
 		g.inputDomain = g.chooseInputDomain()
 	}
 	var typical time.Duration
-	g.fleet.WithEngines(g.service.Name, func(s *engine.Set) { typical = s.Typical() })
+	g.fleet.WithEngines(g.service.Name, func(s *engine.Scheduler) { typical = s.TypicalDelay() })
 	ctx, cancel := g.waitingContext()
 	defer cancel()
 	inputs, err := g.stages.Run(ctx, StagePlan{
@@ -164,7 +164,7 @@
 // client's patience.
 func (g *generateRequest) stagesDeadline(firstEvent time.Duration) time.Time {
 	end := g.deadline.Add(-max(firstEvent, g.runTimes.mean(g.route.Name)))
-	if patience := g.arrived.Add(g.route.Patience - firstEvent); g.route.Patience > 0 && patience.Before(end) {
+	if patience := g.arrived.Add(g.route.MaxFirstEventWait - firstEvent); g.route.MaxFirstEventWait > 0 && patience.Before(end) {
 		return patience
 	}
 	return end
--- a/internal/gateway/placementsharing.go
+++ b/internal/gateway/placementsharing.go
@@ -33,7 +33,7 @@
 	if len(pending) == 0 {
 		time.AfterFunc(shareBatchDelay, func() { p.sendShares(service) })
 	}
-	p.pendingShares[service] = append(pending, &peerpb.SharedPlacement{Server: placed.Server, Parts: encodeParts(placed.New)})
+	p.pendingShares[service] = append(pending, &peerpb.SharedPlacement{Server: placed.Server, Parts: encodeParts(placed.NewParts)})
 }
 
 func (p *Placer) sendShares(service string) {
@@ -64,9 +64,9 @@
 		return
 	}
 	now := time.Now()
-	p.fleet.WithEngines(request.Service, func(s *engine.Set) {
+	p.fleet.WithEngines(request.Service, func(s *engine.Scheduler) {
 		for _, placed := range request.Placements {
-			s.Kept(now, placed.Server, decodeParts(placed.Parts))
+			s.RecordCached(now, placed.Server, decodeParts(placed.Parts))
 		}
 	})
 }
--- a/internal/gateway/placer.go
+++ b/internal/gateway/placer.go
@@ -70,7 +70,7 @@
 
 func (p *Placer) restore(ctx context.Context, service string) {
 	var ids []string
-	p.fleet.WithEngines(service, func(s *engine.Set) { ids = s.Local() })
+	p.fleet.WithEngines(service, func(s *engine.Scheduler) { ids = s.LocalServers() })
 	for _, id := range ids {
 		server, known := p.fleet.Server(id)
 		if !known {
@@ -81,7 +81,7 @@
 			events.CacheUnknown.Log(ctx, p.logger, slog.String("server", id), slog.Any("error", err))
 			continue
 		}
-		p.fleet.WithEngines(service, func(s *engine.Set) { s.Restore(id, parts) })
+		p.fleet.WithEngines(service, func(s *engine.Scheduler) { s.ReplaceCached(id, parts) })
 	}
 	events.PlacerChanged.Log(ctx, p.logger, slog.String("service", service), slog.Int("servers", len(ids)))
 }
@@ -130,7 +130,7 @@
 }
 
 func (p *Placer) placeLocally(service string, q engine.Query) (placed engine.Placement, ok bool) {
-	p.fleet.WithEngines(service, func(s *engine.Set) { placed, ok = s.Place(time.Now(), q) })
+	p.fleet.WithEngines(service, func(s *engine.Scheduler) { placed, ok = s.Place(time.Now(), q) })
 	return placed, ok
 }
 
@@ -138,7 +138,7 @@
 // parts that the server will cache for the other regions.
 func (p *Placer) placeForRegion(service string, q engine.Query) (engine.Placement, bool) {
 	placed, ok := p.placeLocally(service, q)
-	if len(placed.New) > 0 {
+	if len(placed.NewParts) > 0 {
 		p.queueShare(service, placed)
 	}
 	return placed, ok
@@ -154,7 +154,7 @@
 
 // Report records the outcome of a placement, here and at the instance that made it.
 func (p *Placer) Report(service string, r engine.Report) {
-	p.fleet.WithEngines(service, func(s *engine.Set) { s.Report(time.Now(), r) })
+	p.fleet.WithEngines(service, func(s *engine.Scheduler) { s.Report(time.Now(), r) })
 	address := p.cluster.Owners(placementKey(service))[0]
 	if address == "" {
 		return
@@ -176,5 +176,5 @@
 		Server: request.Server, Failed: request.Failed, Refused: request.Refused,
 		Expected: time.Duration(request.ExpectedUs) * time.Microsecond, Delay: time.Duration(request.DelayUs) * time.Microsecond,
 	}
-	p.fleet.WithEngines(request.Service, func(s *engine.Set) { s.Report(time.Now(), r) })
+	p.fleet.WithEngines(request.Service, func(s *engine.Scheduler) { s.Report(time.Now(), r) })
 }
--- a/internal/gateway/plain_test.go
+++ b/internal/gateway/plain_test.go
@@ -335,7 +335,7 @@
 // Guards against a route priority that outweighs the priority of an organisation.
 func TestOrganisationPriorityPrecedesRoutePriority(t *testing.T) {
 	c := qt.New(t)
-	first, second := &route.Organisation{Priority: 0, Ranked: true}, &route.Organisation{Priority: 1, Ranked: true}
+	first, second := &route.Organisation{Priority: 0, HasPriority: true}, &route.Organisation{Priority: 1, HasPriority: true}
 	c.Assert(combinedPriority(first, &route.Route{Priority: 7}) < combinedPriority(second, &route.Route{Priority: 0}), qt.IsTrue)
 	c.Assert(combinedPriority(second, &route.Route{Priority: 0}) < combinedPriority(second, &route.Route{Priority: 1}), qt.IsTrue)
 	c.Assert(combinedPriority(&route.Organisation{}, &route.Route{Priority: 2}), qt.Equals, 2)
--- a/internal/gateway/servicequeue.go
+++ b/internal/gateway/servicequeue.go
@@ -27,7 +27,7 @@
 type stageJob struct {
 	request  *peerpb.RunStageRequest
 	deadline time.Time
-	done     chan stagework.Done
+	done     chan stagework.EndedJob
 	// fetched is closed when the inputs may be freed. It is nil when the requester does
 	// not need to know.
 	fetched chan struct{}
@@ -40,7 +40,7 @@
 
 func newServiceQueue(service string) *serviceQueue {
 	return &serviceQueue{
-		service: service, queue: stagework.NewQueue(stagework.Shape{}),
+		service: service, queue: stagework.NewQueue(stagework.ServerProfile{}),
 		jobs: map[stagework.JobID]*stageJob{}, pending: map[stagework.JobID]*stageJob{},
 	}
 }
@@ -51,7 +51,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := time.Now()
-	response.WaitMs, response.RoomShort = q.queue.Wait(now).Milliseconds(), q.queue.RoomShort(now)
+	response.WaitMs, response.RoomShort = q.queue.EstimatedWait(now).Milliseconds(), q.queue.RoomShort(now)
 	return response
 }
 
@@ -59,7 +59,7 @@
 // are in a call, once the call has had time to fetch the inputs. It is called with the
 // lock held.
 func (q *serviceQueue) scheduleInputsFetched(call stagework.Call) {
-	for _, id := range call.Begun {
+	for _, id := range call.FullyDispatched {
 		job := q.jobs[id]
 		if job == nil || !job.request.TellFetched {
 			continue
--- a/internal/gateway/stagerunner.go
+++ b/internal/gateway/stagerunner.go
@@ -71,8 +71,8 @@
 // follows.
 func (s *StageRunner) TypicalTime(table *route.Table, service string) time.Duration {
 	var call time.Duration
-	if configured := table.Service(service); configured != nil && configured.Work != nil {
-		call = configured.Work.CallDuration(min(assumedPieces, configured.Work.Batch))
+	if configured := table.Service(service); configured != nil && configured.StageProfile != nil {
+		call = configured.StageProfile.CallDuration(min(assumedPieces, configured.StageProfile.Batch))
 	}
 	typical := s.stageTimes.mean(service)
 	if typical == 0 {
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -222,10 +222,10 @@
 func TestInputsOfStagesAreFreedWhenFetched(t *testing.T) {
 	c := qt.New(t)
 	f := newEngineFixture(c, false, route.Stage{Service: "stage", ResultBytes: 1}, route.Stage{Service: "next", After: []int{0}})
-	f.config.Services[1].Work.RoomBytes = 3
-	f.config.Services[1].Work.CallTime = 200 * time.Millisecond
+	f.config.Services[1].StageProfile.RoomBytes = 3
+	f.config.Services[1].StageProfile.CallTime = 200 * time.Millisecond
 	f.config.Routes[0].Target, f.config.Routes[0].Timeout = 5*time.Second, 10*time.Second
-	f.config.Services = append(f.config.Services, route.Service{Name: "next", Work: f.config.Services[1].Work})
+	f.config.Services = append(f.config.Services, route.Service{Name: "next", StageProfile: f.config.Services[1].StageProfile})
 	var calls, freed recorder
 	f.addStageServer(&calls, &freed)
 	f.addServer("next", func(rw http.ResponseWriter, r *http.Request) {
@@ -256,7 +256,7 @@
 func TestMemoryIsCountedUntilResultsAreFreed(t *testing.T) {
 	c := qt.New(t)
 	f := newEngineFixture(c, false, route.Stage{Service: "stage", ResultBytes: 1})
-	f.config.Services[1].Work.RoomBytes = 1
+	f.config.Services[1].StageProfile.RoomBytes = 1
 	release := make(chan struct{})
 	var runs recorder
 	f.addServer("stage", func(rw http.ResponseWriter, r *http.Request) {
@@ -285,7 +285,7 @@
 	c := qt.New(t)
 	f := newEngineFixture(c, false, route.Stage{Service: "stage", ResultBytes: 1},
 		route.Stage{Service: "stage"}, route.Stage{Service: "stage", After: []int{1}}, route.Stage{Service: "stage", After: []int{2}})
-	f.config.Services[1].Work.CallTime = 300 * time.Millisecond
+	f.config.Services[1].StageProfile.CallTime = 300 * time.Millisecond
 	f.config.Routes[0].Target, f.config.Routes[0].Timeout = 5*time.Second, 10*time.Second
 	var calls, freed recorder
 	f.addStageServer(&calls, &freed)
@@ -324,7 +324,7 @@
 func TestRequestsThatCannotEndInTimeAreRefusedAtOnce(t *testing.T) {
 	c := qt.New(t)
 	f := newEngineFixture(c, false, route.Stage{Service: "stage"})
-	f.config.Services[1].Work.CallTime = time.Minute
+	f.config.Services[1].StageProfile.CallTime = time.Minute
 	var calls, freed recorder
 	f.addStageServer(&calls, &freed)
 	f.addServer("x", func(rw http.ResponseWriter, _ *http.Request) { sendEvents(rw, 1, 1) })
@@ -365,7 +365,7 @@
 func TestStoppingInstancesHandStagesOver(t *testing.T) {
 	c := qt.New(t)
 	f := newEngineFixture(c, false, route.Stage{Service: "stage"})
-	f.config.Services[1].Work.Batch = 1
+	f.config.Services[1].StageProfile.Batch = 1
 	begun, release := make(chan struct{}, 4), make(chan struct{})
 	f.addServer("stage", func(rw http.ResponseWriter, _ *http.Request) {
 		begun <- struct{}{}
@@ -453,7 +453,7 @@
 		<-r.Context().Done()
 	})
 	f.addServer("x", func(rw http.ResponseWriter, _ *http.Request) { sendEvents(rw, 1, 1) })
-	f.config.Services[1].Work.CallTime = time.Second
+	f.config.Services[1].StageProfile.CallTime = time.Second
 	f.start()
 	go func() {
 		<-asked
@@ -471,7 +471,7 @@
 func TestPartsCachedInAnotherRegionAreCopied(t *testing.T) {
 	c := qt.New(t)
 	f := newEngineFixture(c, false)
-	f.config.Services[0].Engine = &route.EngineShape{TokenBytes: 1, LinkRate: 1e9}
+	f.config.Services[0].Engine = &route.EngineProfile{TokenBytes: 1, LinkRate: 1e9}
 	var seen recorder
 	f.addServer("x", func(rw http.ResponseWriter, r *http.Request) {
 		seen.add(r.Header.Get("Copy-From"))
@@ -550,8 +550,8 @@
 	f := newEngineFixture(c, false, route.Stage{Service: "stage"}, route.Stage{Service: "stage", After: []int{0}})
 	table := route.NewTable(f.config)
 	chain := StagePlan{Table: table, Route: &table.Routes[0], Graph: table.Routes[0].NewGraph([]int{1, 1}), Deadline: time.Now().Add(time.Minute)}
-	r := &stageRun{StageRunner: NewStageRunner(nil, nil, nil, discardLogger()), StagePlan: chain, progress: stagework.NewProgress(chain.Graph.After, chain.Graph.Counts)}
-	r.progress.SetTypical(make([]time.Duration, 2))
+	r := &stageRun{StageRunner: NewStageRunner(nil, nil, nil, discardLogger()), StagePlan: chain, progress: stagework.NewStageSchedule(chain.Graph.After, chain.Graph.Counts)}
+	r.progress.SetTypicalDurations(make([]time.Duration, 2))
 	c.Assert(r.newRunStageRequest(0, nil).DeadlineMs > 50_000, qt.IsTrue)
 	c.Assert(r.newRunStageRequest(1, nil).DeadlineMs, qt.Equals, int64(1000))
 }
--- a/job/machine.go
+++ b/job/machine.go
@@ -5,179 +5,184 @@
 	"time"
 )
 
-// Outcomes that the core sets or tells apart.
+// Outcomes that this package sets or handles specially. All others pass unchanged.
 const (
 	OutcomeUnknown = "unknown"
 	OutcomeFailed  = "failed"
 	OutcomeNotRun  = "not_run"
 )
 
-// Owner is an instance with its fencing number.
+// Owner is an instance that holds a job.
 type Owner struct {
 	Instance string
-	Fence    int64
+	// Fence is the fencing token of the instance.
+	Fence int64
 }
 
-// Takeover reports whether an instance may take a job over. holderVersion is the
-// version of the key of the record's holder, 0 when the key is absent; it must
-// have been read after the record.
-func Takeover(record Record, holderVersion int64) bool {
+// MayTakeOver reports whether another instance may take a job over. holderVersion
+// is the version of the holder key of the record's holder, 0 if the key is absent.
+// It must be read after the record.
+func MayTakeOver(record Record, holderVersion int64) bool {
 	if record.State != StateAccepted {
 		return false
 	}
 	return record.Holder == "" || holderVersion != record.Fence
 }
 
-// Input is an event of a running job.
+// Input is an event that the adapter reports to a Machine.
 type Input interface{ input() }
 
-// Begin starts a run of a job under a new owner.
-type Begin struct{ Owner Owner }
+// StartRun starts a run of a job under an owner.
+type StartRun struct{ Owner Owner }
 
-// StageDone reports a stage whose result is stored.
+// StageDone reports a finished stage whose result is in the store.
 type StageDone struct{ Result Value }
 
-// OnceSending reports that a non-idempotent call is about to be sent.
-type OnceSending struct{}
+// NonIdempotentCallStarting reports that a non-idempotent call is about to be sent.
+type NonIdempotentCallStarting struct{}
 
-// Ended reports the end of a run.
-type Ended struct {
+// RunEnded reports the end of a run with its outcome.
+type RunEnded struct {
 	Outcome string
 	Detail  string
 	Answer  Value
 }
 
-// HandOver frees the job for another instance.
+// HandOver releases the job so that another instance can take it over.
 type HandOver struct{}
 
-// Stored reports that the last record that was handed out is in the store.
-type Stored struct{ Version int64 }
+// RecordStored reports that the store holds the record of the last WriteRecord.
+type RecordStored struct{ Version int64 }
 
-// Taken reports that the record has another version: another instance wrote it.
-type Taken struct{}
+// WriteConflict reports that the record in the store has another version, because
+// another instance wrote it.
+type WriteConflict struct{}
 
-// LeaseLost reports that the holder's lease is not valid any more.
+// LeaseLost reports that the holder's lease is no longer valid.
 type LeaseLost struct{}
 
-func (Begin) input()       {}
-func (StageDone) input()   {}
-func (OnceSending) input() {}
-func (Ended) input()       {}
-func (HandOver) input()    {}
-func (Stored) input()      {}
-func (Taken) input()       {}
-func (LeaseLost) input()   {}
+func (StartRun) input()                  {}
+func (StageDone) input()                 {}
+func (NonIdempotentCallStarting) input() {}
+func (RunEnded) input()                  {}
+func (HandOver) input()                  {}
+func (RecordStored) input()              {}
+func (WriteConflict) input()             {}
+func (LeaseLost) input()                 {}
 
-// Output is what the adapter does next.
+// Output is an action that the adapter carries out.
 type Output interface{ output() }
 
-// Write replaces the record if it has the expected version. The adapter answers
-// with Stored or Taken before the next input.
-type Write struct {
-	Record Record
-	Expect int64
+// WriteRecord replaces the record if it has the expected version. The adapter
+// reports RecordStored or WriteConflict before any other input.
+type WriteRecord struct {
+	Record          Record
+	ExpectedVersion int64
 }
 
-// Stop ends the run without another record.
-type Stop struct{}
+// StopRun ends the run. No further record is written.
+type StopRun struct{}
 
-// Run starts the stages that are not finished after Delay.
-type Run struct{ Delay time.Duration }
+// RunStages starts the unfinished stages after Delay.
+type RunStages struct{ Delay time.Duration }
 
-func (Write) output() {}
-func (Stop) output()  {}
-func (Run) output()   {}
+func (WriteRecord) output() {}
+func (StopRun) output()     {}
+func (RunStages) output()   {}
 
-// Machine is one job at its holder. It is not safe for concurrent use.
+// Machine is the state machine of one job at its holder. It is not safe for
+// concurrent use.
 type Machine struct {
 	record  Record
 	version int64
+	// next is the record of the last WriteRecord.
 	next    Record
 	stopped bool
 }
 
-// NewMachine returns the machine of a record with the given version.
+// NewMachine returns the state machine for a record that the store holds with the
+// given version.
 func NewMachine(record Record, version int64) *Machine {
 	return &Machine{record: record, version: version}
 }
 
-// Record returns what is known to be in the store.
+// Record returns the last record that is known to be in the store.
 func (m *Machine) Record() Record { return m.record }
 
-// Step takes one input and returns what to do.
+// Step applies one input and returns the actions that are due.
 func (m *Machine) Step(now time.Time, input Input) []Output {
 	if m.stopped {
-		return []Output{Stop{}}
+		return []Output{StopRun{}}
 	}
 	next := m.record
 	switch in := input.(type) {
-	case Stored:
-		return m.stored(in)
-	case Taken, LeaseLost:
+	case RecordStored:
+		return m.recordStored(in)
+	case WriteConflict, LeaseLost:
 		m.stopped = true
-		return []Output{Stop{}}
-	case Begin:
-		begin(&next, now, in.Owner)
+		return []Output{StopRun{}}
+	case StartRun:
+		startRun(&next, now, in.Owner)
 	case StageDone:
 		next.Stages = append(slices.Clone(next.Stages), in.Result)
-	case OnceSending:
-		next.OnceSent = true
-	case Ended:
-		m.ended(&next, now, in)
+	case NonIdempotentCallStarting:
+		next.NonIdempotentSent = true
+	case RunEnded:
+		m.runEnded(&next, now, in)
 	case HandOver:
 		next.Holder = ""
 		next.Fence = 0
-		// A planned stop does not count as a run, so that a fleet can be restarted
-		// any number of times during a long job.
+		// A planned stop does not count towards MaxRuns, so that instances can be
+		// restarted any number of times during a long job.
 		next.Runs--
 	}
 	m.next = next
-	return []Output{Write{Record: next, Expect: m.version}}
+	return []Output{WriteRecord{Record: next, ExpectedVersion: m.version}}
 }
 
-func (m *Machine) stored(in Stored) []Output {
-	was := m.record
+func (m *Machine) recordStored(in RecordStored) []Output {
+	previous := m.record
 	m.record = m.next
 	m.version = in.Version
 	switch {
 	case m.record.State == StateFinished || m.record.Holder == "":
 		m.stopped = true
-		return []Output{Stop{}}
-	case m.record.Runs == was.Runs:
+		return []Output{StopRun{}}
+	case m.record.Runs == previous.Runs:
 		return nil
-	case m.record.Fence == was.Fence:
-		return []Output{Run{Delay: retryDelay(m.record.Runs)}}
+	case m.record.Fence == previous.Fence:
+		return []Output{RunStages{Delay: retryDelay(m.record.Runs)}}
 	}
-	return []Output{Run{}}
+	return []Output{RunStages{}}
 }
 
-// begin starts a run, or ends the job when it must not run again: a
-// non-idempotent call of an earlier run may have been carried out, and a job
-// that never ends is given up.
-func begin(next *Record, now time.Time, owner Owner) {
+// startRun starts a run, or finishes the job if it must not run again: because a
+// non-idempotent call of an earlier run may have been executed, or because the
+// job has reached MaxRuns without finishing.
+func startRun(next *Record, now time.Time, owner Owner) {
 	next.Holder = owner.Instance
 	next.Fence = owner.Fence
 	switch {
-	case next.OnceSent:
-		finish(next, now, Ended{Outcome: OutcomeUnknown, Detail: "the holder stopped after a non-idempotent call was sent"})
+	case next.NonIdempotentSent:
+		finishJob(next, now, RunEnded{Outcome: OutcomeUnknown, Detail: "the holder stopped after a non-idempotent call was sent"})
 	case next.Runs >= MaxRuns:
-		finish(next, now, Ended{Outcome: OutcomeFailed, Detail: "the job was started too often without an end"})
+		finishJob(next, now, RunEnded{Outcome: OutcomeFailed, Detail: "the job was started too often without an end"})
 	default:
 		next.Runs++
 	}
 }
 
-// ended finishes the job, or starts it again after a run that had no effect.
-func (m *Machine) ended(next *Record, now time.Time, in Ended) {
-	effectless := in.Outcome == OutcomeFailed || in.Outcome == OutcomeNotRun
-	if effectless && !next.OnceSent && next.Runs < MaxRuns {
+// runEnded finishes the job, or starts another run after one that had no effect.
+func (m *Machine) runEnded(next *Record, now time.Time, in RunEnded) {
+	noEffect := in.Outcome == OutcomeFailed || in.Outcome == OutcomeNotRun
+	if noEffect && !next.NonIdempotentSent && next.Runs < MaxRuns {
 		next.Runs++
 		return
 	}
-	finish(next, now, in)
+	finishJob(next, now, in)
 }
 
-func finish(next *Record, now time.Time, in Ended) {
+func finishJob(next *Record, now time.Time, in RunEnded) {
 	next.State = StateFinished
 	next.FinishedMS = now.UnixMilli()
 	next.Outcome = in.Outcome
@@ -185,8 +190,8 @@
 	next.Answer = in.Answer
 }
 
-// retryDelay returns how long to wait before a run that follows one without
-// effect: 1 s before the second, doubled for each further one.
+// retryDelay returns the delay before a run that follows one without effect: 1 s
+// before the second run, doubled for each further run.
 func retryDelay(runs int) time.Duration {
 	return time.Second << max(runs-2, 0)
 }
--- a/membership/build.go
+++ b/membership/build.go
@@ -4,171 +4,178 @@
 	"time"
 )
 
-// Bounds of the sections of a heartbeat in bytes. What doesn't fit has its turn
+// Limits of the parts of a heartbeat, in encoded bytes. Items that don't fit are sent
 // in a later heartbeat.
 const (
-	maxLeadBytes  = 600
-	maxNewsBytes  = 250
-	maxDrainBytes = 200
-	maxBeatBytes  = 400
+	maxLeadSectionBytes      = 600
+	maxChangedRecordBytes    = 250
+	maxDrainMarkerBytes      = 200
+	maxHeartbeatCounterBytes = 400
 )
 
-// newMessage returns a message with its header and the room that is left.
-func (s *State) newMessage() (Message, *room) {
+// newMessage returns a message with only its header, and the bytes that remain for
+// its items.
+func (s *State) newMessage() (Message, *byteBudget) {
 	message := Message{From: s.self}
-	return message, &room{MaxMessageBytes - message.Bytes()}
+	return message, &byteBudget{MaxMessageBytes - message.Bytes()}
 }
 
-// section is a part of a heartbeat that takes turns with the others.
+// section is a part of a heartbeat that shares the remaining space with the other
+// sections by rotation.
 type section int
 
 const (
 	sectionRecords section = iota
 	sectionSummaries
 	sectionDemand
-	sectionCounts
+	sectionInFlightCounts
 	sectionStragglers
-	sections
+	numSections
 )
 
-// heartbeat returns a heartbeat to a member of the own failure domain. One
-// section leads and has room for its largest item; the others get what is left.
+// heartbeat returns a heartbeat to a member of the own failure domain. The sections
+// take turns to lead: the leading one is filled first and has space for its largest
+// item, the others share the space that remains at the end.
 func (s *State) heartbeat(now time.Time) Message {
-	message, left := s.newMessage()
-	lead := section(s.cursors.section % int(sections))
+	message, budget := s.newMessage()
+	lead := section(s.cursors.section % int(numSections))
 	s.cursors.section++
-	s.fillSection(&message, lead, left, maxLeadBytes, now)
-	message.Beats = fill(left, maxBeatBytes, s.beats(), &s.cursors.beats)
-	message.Records = append(message.Records, s.news(left)...)
-	message.Drains = fill(left, maxDrainBytes, s.drainMarkers(now), &s.cursors.drains)
-	for i := section(1); i < sections; i++ {
-		s.fillSection(&message, (lead+i)%sections, left, left.left, now)
+	s.fillSection(&message, lead, budget, maxLeadSectionBytes, now)
+	message.HeartbeatCounters = fill(budget, maxHeartbeatCounterBytes, s.heartbeatCounters(), &s.cursors.heartbeatCounters)
+	message.Records = append(message.Records, s.changedRecords(budget)...)
+	message.DrainMarkers = fill(budget, maxDrainMarkerBytes, s.unexpiredDrainMarkers(now), &s.cursors.drains)
+	for i := section(1); i < numSections; i++ {
+		s.fillSection(&message, (lead+i)%numSections, budget, budget.remaining, now)
 	}
 	return message
 }
 
-// fillSection adds up to a number of bytes of one section.
-func (s *State) fillSection(message *Message, which section, left *room, most int, now time.Time) {
-	switch which {
+// fillSection adds items of one section, up to maxBytes encoded bytes.
+func (s *State) fillSection(message *Message, kind section, budget *byteBudget, maxBytes int, now time.Time) {
+	switch kind {
 	case sectionRecords:
-		message.Records = append(message.Records, fill(left, most, s.others(), &s.cursors.records)...)
+		message.Records = append(message.Records, fill(budget, maxBytes, s.otherLiveMembers(), &s.cursors.records)...)
 	case sectionSummaries:
-		message.Summaries = fill(left, most, s.summaries(now), &s.cursors.summaries)
+		message.Summaries = fill(budget, maxBytes, s.summaries(now), &s.cursors.summaries)
 	case sectionDemand:
-		message.Demand = fill(left, most, s.demand, &s.cursors.demand)
-	case sectionCounts:
-		message.Counts = fill(left, most, s.counts, &s.cursors.counts)
+		message.Demand = fill(budget, maxBytes, s.demand, &s.cursors.demand)
+	case sectionInFlightCounts:
+		message.InFlightCounts = fill(budget, maxBytes, s.inFlightCounts, &s.cursors.inFlightCounts)
 	case sectionStragglers:
-		message.Stragglers = fill(left, most, s.ownStragglers(), &s.cursors.stragglers)
+		message.Stragglers = fill(budget, maxBytes, s.ownStragglers(), &s.cursors.stragglers)
 	}
 }
 
-// crossHeartbeat returns a heartbeat to a contact in another failure domain.
-func (s *State) crossHeartbeat(now time.Time) Message {
-	message, left := s.newMessage()
-	message.Summaries = fill(left, left.left, []Summary{s.ownSummary()}, new(int))
-	message.Drains = fill(left, maxDrainBytes, s.drainMarkers(now), &s.cursors.drains)
-	message.Summaries = append(message.Summaries, fill(left, left.left, s.summaries(now), &s.cursors.summaries)...)
+// crossDomainHeartbeat returns a heartbeat to an instance of another failure domain.
+func (s *State) crossDomainHeartbeat(now time.Time) Message {
+	message, budget := s.newMessage()
+	message.Summaries = fill(budget, budget.remaining, []DomainSummary{s.ownSummary()}, new(int))
+	message.DrainMarkers = fill(budget, maxDrainMarkerBytes, s.unexpiredDrainMarkers(now), &s.cursors.drains)
+	message.Summaries = append(message.Summaries, fill(budget, budget.remaining, s.summaries(now), &s.cursors.summaries)...)
 	return message
 }
 
-// news returns changed records, dead members included.
-func (s *State) news(left *room) []Record {
+// changedRecords returns records with a recent change of state, those of removed
+// members and of members that left included. Each is returned changeRepeats times.
+func (s *State) changedRecords(budget *byteBudget) []Record {
 	var records []Record
 	used := 0
 	for _, id := range sortedKeys(s.members) {
 		m := s.members[id]
 		size := m.record.bytes()
-		if m.news == 0 || used+size > min(maxNewsBytes, left.left) {
+		if m.repeatsLeft == 0 || used+size > min(maxChangedRecordBytes, budget.remaining) {
 			continue
 		}
-		m.news--
+		m.repeatsLeft--
 		used += size
 		records = append(records, m.record)
 	}
-	left.left -= used
+	budget.remaining -= used
 	return records
 }
 
-// beats returns the newest heartbeats of all live members.
-func (s *State) beats() []Beat {
-	others := s.others()
-	beats := make([]Beat, len(others))
+// heartbeatCounters returns the newest heartbeat counters of the other live members.
+func (s *State) heartbeatCounters() []HeartbeatCounter {
+	others := s.otherLiveMembers()
+	counters := make([]HeartbeatCounter, len(others))
 	for i, r := range others {
-		beats[i] = Beat{hashID(r.ID), r.Incarnation, r.Counter}
+		counters[i] = HeartbeatCounter{hashID(r.ID), r.Incarnation, r.Counter}
 	}
-	return beats
+	return counters
 }
 
-// urgent returns a message with only what must arrive at once.
-func (s *State) urgent(records []Record, drains []DrainMarker) Message {
-	message, left := s.newMessage()
+// urgentMessage returns a message that holds only items to be sent at once.
+func (s *State) urgentMessage(records []Record, drains []DrainMarker) Message {
+	message, budget := s.newMessage()
 	message.Urgent = true
-	message.Records = fill(left, left.left, records, new(int))
-	message.Drains = fill(left, left.left, drains, new(int))
+	message.Records = fill(budget, budget.remaining, records, new(int))
+	message.DrainMarkers = fill(budget, budget.remaining, drains, new(int))
 	return message
 }
 
 // broadcast sends a message to all other members of the failure domain.
 func (s *State) broadcast(message Message) {
-	for _, r := range s.others() {
+	for _, r := range s.otherLiveMembers() {
 		s.send(r.Address, message)
 	}
 }
 
-// broadcastFar sends a message to one contact of each other failure domain that
-// the filter accepts.
-func (s *State) broadcastFar(message Message, accept func(*domain) bool) {
+// broadcastToOtherDomains sends a message to one contact of each other failure
+// domain that the filter accepts.
+func (s *State) broadcastToOtherDomains(message Message, accept func(*domain) bool) {
 	for _, name := range sortedKeys(s.domains) {
 		d := s.domains[name]
-		if address, ok := s.contact(d); ok && accept(d) {
+		if address, ok := s.randomContact(d); ok && accept(d) {
 			s.send(address, message)
 		}
 	}
 }
 
-// mayBroadcast takes one of the urgent broadcasts of this tick.
-func (s *State) mayBroadcast() bool {
-	s.broadcasts--
-	return s.broadcasts >= 0
+// reserveBroadcast uses up one of the urgent broadcasts that are allowed until the
+// next tick, and returns false if none is left.
+func (s *State) reserveBroadcast() bool {
+	s.broadcastsLeft--
+	return s.broadcastsLeft >= 0
 }
 
 func everyDomain(*domain) bool { return true }
 
-// Leave returns the messages of an instance that stops. Afterwards Tick and
-// Receive do nothing.
+// Leave marks this instance as left and returns the messages that announce it.
+// Afterwards Tick and Receive do nothing.
 func (s *State) Leave(time.Time) []Output {
 	s.outputs = nil
 	s.self.State = Left
 	s.self.Counter++
-	message := s.urgent(nil, nil)
+	message := s.urgentMessage(nil, nil)
 	s.broadcast(message)
-	s.broadcastFar(message, everyDomain)
+	s.broadcastToOtherDomains(message, everyDomain)
 	return s.outputs
 }
 
-// SetRevision reports that a configuration revision is in force here. The
-// members of the failure domain get it at once unless one of them had it before;
-// with fromStore, so do the other failure domains that aren't known to have it.
+// SetRevision reports that a configuration revision is in force at this instance. It
+// is sent at once to the members of the failure domain, unless one of them had it
+// before, and with fromStore also to the other failure domains that aren't known to
+// have it.
 func (s *State) SetRevision(revision int64, fromStore bool) []Output {
 	s.outputs = nil
 	if revision <= s.self.Revision {
 		return nil
 	}
 	s.self.Revision = revision
-	s.highest = max(s.highest, revision)
-	message := s.urgent(nil, nil)
+	s.highestRevision = max(s.highestRevision, revision)
+	message := s.urgentMessage(nil, nil)
 	if revision > s.domainRevision {
 		s.broadcast(message)
 	}
 	if fromStore {
-		s.broadcastFar(message, func(d *domain) bool { return d.summary.Revision < revision })
+		s.broadcastToOtherDomains(message, func(d *domain) bool { return d.summary.Revision < revision })
 	}
 	return s.outputs
 }
 
-// SetLoad reports the number of requests in flight.
+// SetLoad reports the number of requests that this instance has in flight.
 func (s *State) SetLoad(load int) { s.self.Load = max(0, load) }
 
-// SetCounts reports the requests in flight by backend server.
-func (s *State) SetCounts(counts []Count) { s.counts = counts }
+// SetInFlightCounts reports the requests that this instance has in flight by backend
+// server.
+func (s *State) SetInFlightCounts(counts []InFlightCount) { s.inFlightCounts = counts }
--- a/membership/targets.go
+++ b/membership/targets.go
@@ -1,22 +1,23 @@
 package membership
 
-// targets returns the addresses of this tick's heartbeats in the failure domain.
+// targets returns the addresses in the own failure domain to which this tick sends
+// heartbeats.
 func (s *State) targets() []string {
 	var addresses []string
-	if s.ticks%probeEvery == 0 || len(s.others()) < fanOut {
-		if candidate, ok := s.candidate(); ok {
+	if s.ticks%probeTicks == 0 || len(s.otherLiveMembers()) < fanOut {
+		if candidate, ok := s.probeTarget(); ok {
 			addresses = append(addresses, candidate)
 		}
 	}
-	for range min(fanOut-len(addresses), len(s.others())) {
+	for range min(fanOut-len(addresses), len(s.otherLiveMembers())) {
 		addresses = append(addresses, s.nextMember())
 	}
 	return addresses
 }
 
-// nextMember walks through the members in random order and starts again with
-// another one. With independent draws a member now and then heard nobody for
-// eight intervals and took the others for dead.
+// nextMember returns the addresses of the members in turn, in a random order that
+// changes after each pass. With independent random targets, a member sometimes
+// received no heartbeat for eight intervals and removed the others.
 func (s *State) nextMember() string {
 	for len(s.rotation) > 0 {
 		m, known := s.members[s.rotation[0]]
@@ -25,7 +26,7 @@
 			return m.record.Address
 		}
 	}
-	live := s.others()
+	live := s.otherLiveMembers()
 	s.random.Shuffle(len(live), func(i, j int) { live[i], live[j] = live[j], live[i] })
 	for _, r := range live[1:] {
 		s.rotation = append(s.rotation, r.ID)
@@ -33,27 +34,27 @@
 	return live[0].Address
 }
 
-// candidate returns a random address of the own failure domain that no live
-// member has: a candidate, or a member that was removed but did not leave.
-func (s *State) candidate() (string, bool) {
-	taken := map[string]bool{s.self.Address: true}
-	for _, r := range s.others() {
-		taken[r.Address] = true
-	}
-	found := map[string]bool{}
+// probeTarget returns a random address of the own failure domain that no live
+// member has: that of a candidate, or of a member that was removed but did not leave.
+func (s *State) probeTarget() (string, bool) {
+	inUse := map[string]bool{s.self.Address: true}
+	for _, r := range s.otherLiveMembers() {
+		inUse[r.Address] = true
+	}
+	free := map[string]bool{}
 	for address, c := range s.candidates {
-		if !taken[address] && s.distance(c) == 0 {
-			found[address] = true
+		if !inUse[address] && s.domainRank(c) == 0 {
+			free[address] = true
 		}
 	}
 	for _, m := range s.members {
-		if m.record.State == Removed && !taken[m.record.Address] {
-			found[m.record.Address] = true
+		if m.record.State == Removed && !inUse[m.record.Address] {
+			free[m.record.Address] = true
 		}
 	}
-	if len(found) == 0 {
+	if len(free) == 0 {
 		return "", false
 	}
-	addresses := sortedKeys(found)
+	addresses := sortedKeys(free)
 	return addresses[s.random.IntN(len(addresses))], true
 }
