--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -30,7 +30,7 @@
 	now     func() time.Time
 
 	mu           sync.Mutex
-	rates        *quota.Share
+	rates        *quota.RateLimiter
 	queues       map[string]*poolQueue
 	lastTicketID uint64
 }
@@ -52,7 +52,7 @@
 func NewAdmissionControl(servers *Servers, metrics *AdmissionMetrics, logger *slog.Logger, now func() time.Time) *AdmissionControl {
 	return &AdmissionControl{
 		servers: servers, metrics: metrics, logger: logger, now: now,
-		rates: quota.NewShare(), queues: map[string]*poolQueue{},
+		rates: quota.NewRateLimiter(), queues: map[string]*poolQueue{},
 	}
 }
 
@@ -195,7 +195,7 @@
 	if q.queue.Cancel(ticket) {
 		delete(q.waiters, ticket.ID)
 		a.mu.Unlock()
-		return admission.Decision{Ticket: ticket.ID, Verdict: admission.Refused, Reason: admission.ReasonDeadline}
+		return admission.Decision{TicketID: ticket.ID, Verdict: admission.Refused, Reason: admission.ReasonDeadline}
 	}
 	a.mu.Unlock()
 	return <-decided
@@ -216,8 +216,8 @@
 // deliver sends decisions to the callers that wait for them.
 func (q *poolQueue) deliver(decisions []admission.Decision) {
 	for _, decision := range decisions {
-		q.waiters[decision.Ticket] <- decision
-		delete(q.waiters, decision.Ticket)
+		q.waiters[decision.TicketID] <- decision
+		delete(q.waiters, decision.TicketID)
 	}
 }
 
--- a/internal/entry/gossip.go
+++ b/internal/entry/gossip.go
@@ -88,11 +88,11 @@
 // handleOutput applies what other instances reported.
 func (g *gossip) handleOutput(output membership.Output) {
 	switch out := output.(type) {
-	case membership.DrainLearned:
+	case membership.NewDrainMarker:
 		g.applyDrainMarker(out.Marker)
-	case membership.CountsHeard:
+	case membership.InFlightCountsReceived:
 		g.mergeCounts(out)
-	case membership.Changed:
+	case membership.MemberChanged:
 		if out.Record.State >= membership.Removed {
 			g.removeInstance(out.Record.ID)
 		}
@@ -112,7 +112,7 @@
 
 // mergeCounts merges the counts from a heartbeat, which may hold only a part of
 // the peer's counts, with its earlier ones and passes the result to routing.
-func (g *gossip) mergeCounts(out membership.CountsHeard) {
+func (g *gossip) mergeCounts(out membership.InFlightCountsReceived) {
 	now := time.Now()
 	g.mu.Lock()
 	known := g.counts[out.Instance]
@@ -206,16 +206,16 @@
 
 // reportInFlight publishes the requests in flight of this instance.
 func (g *gossip) reportInFlight() {
-	var counts []membership.Count
+	var counts []membership.InFlightCount
 	load := 0
 	for _, pool := range g.servers.Counts() {
 		for _, count := range pool {
-			counts = append(counts, membership.Count{Server: count.ID, InFlight: count.InFlight, Long: count.Long})
+			counts = append(counts, membership.InFlightCount{Server: count.ID, InFlight: count.InFlight, Long: count.Long})
 			load += count.InFlight
 		}
 	}
 	g.members.Do(func(s *membership.State) []membership.Output {
-		s.SetCounts(counts)
+		s.SetInFlightCounts(counts)
 		s.SetLoad(load)
 		return nil
 	})
--- a/internal/entry/link.go
+++ b/internal/entry/link.go
@@ -12,7 +12,7 @@
 // of its capacity.
 type linkBudget struct {
 	mu   sync.Mutex
-	link *quota.Link
+	link *quota.LinkBudget
 	// instances is the number of instances that share the link, minInstances its
 	// lower bound.
 	minInstances int
@@ -20,7 +20,7 @@
 }
 
 func newLinkBudget(minInstances int) *linkBudget {
-	return &linkBudget{link: quota.NewLink(0), minInstances: minInstances, instances: minInstances}
+	return &linkBudget{link: quota.NewLinkBudget(0), minInstances: minInstances, instances: minInstances}
 }
 
 // update sets the capacity of the link and the number of instances that the
@@ -48,7 +48,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.link.Room(bytes, l.share(), now)
+	return l.link.CanReserve(bytes, l.share(), now)
 }
 
 // reserve takes bytes from the budget before a call, and returns false when the
--- a/internal/entry/loadcontrol.go
+++ b/internal/entry/loadcontrol.go
@@ -127,7 +127,7 @@
 
 func (p *serverPool) pollLoad(ctx context.Context, reader backend.LoadReader, logger *slog.Logger, now func() time.Time) {
 	p.mu.Lock()
-	index, ok := p.pool.Random(p.random)
+	index, ok := p.pool.RandomLocal(p.random)
 	server := p.servers[index]
 	p.mu.Unlock()
 	if !ok {
--- a/internal/entry/servers.go
+++ b/internal/entry/servers.go
@@ -112,7 +112,7 @@
 func (p *serverPool) divide(instance string, instances []routing.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.pool.Divide(instance, instances)
+	p.pool.SetInstances(instance, instances)
 }
 
 func (p *serverPool) update(servers []backend.Server, slots int, now time.Time) {
@@ -149,7 +149,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	q := p.routingQuery(query)
-	q.Link = s.link.hasCapacity(query.LinkBytes, now)
+	q.AllowRemote = s.link.hasCapacity(query.LinkBytes, now)
 	index, ok := p.pool.Pick(now, p.random, q)
 	if !ok {
 		return nil, false
@@ -164,7 +164,7 @@
 }
 
 func (p *serverPool) routingQuery(query Query) routing.Query {
-	q := routing.Query{Class: query.Class, Probe: query.Idempotent, Leave: query.CrossRegion, Remaining: query.Remaining}
+	q := routing.Query{Class: query.Class, AllowProbe: query.Idempotent, PreferRemote: query.CrossRegion, Remaining: query.Remaining}
 	if query.PrefixKey != "" {
 		q.Prefix = xxhash.Sum64String(query.PrefixKey)
 	}
--- a/internal/entry/serverstate.go
+++ b/internal/entry/serverstate.go
@@ -27,7 +27,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.hedger.Take()
+	return p.hedger.Allow()
 }
 
 // StageBudget implements StageBudgets.
@@ -75,7 +75,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.pool.RemoteRoom(now)
+	return p.pool.HasRemoteCapacity(now)
 }
 
 // PeerCounts sets the calls that another instance has in flight at the servers of
@@ -84,7 +84,7 @@
 	if p := s.findPool(pool); p != nil {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.pool.PeerCounts(instance, counts, s.now())
+		p.pool.SetPeerCounts(instance, counts, s.now())
 	}
 }
 
@@ -123,7 +123,7 @@
 func (s *Servers) PeerStragglers(reporters map[string]int) {
 	for _, p := range s.snapshot() {
 		p.mu.Lock()
-		p.pool.PeerStragglers(reporters, s.now())
+		p.pool.SetPeerStragglers(reporters, s.now())
 		p.mu.Unlock()
 	}
 }
--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -95,10 +95,10 @@
 func (c *Cluster) randomPeer() string {
 	var known []string
 	c.node.View(func(s *membership.State) {
-		for _, record := range s.Live() {
+		for _, record := range s.LiveMembers() {
 			known = append(known, record.Address)
 		}
-		known = append(known, s.Holders(1)...)
+		known = append(known, s.AddressesWithRevision(1)...)
 		if len(known) < 2 {
 			known = append(known, s.Candidates()...)
 		}
@@ -125,7 +125,7 @@
 // InstanceCount returns the number of live instances, at least 1.
 func (c *Cluster) InstanceCount() int {
 	n := 1
-	c.node.View(func(s *membership.State) { n = max(1, s.Instances(time.Now())) })
+	c.node.View(func(s *membership.State) { n = max(1, s.InstanceCount(time.Now())) })
 	return n
 }
 
@@ -153,7 +153,7 @@
 		c.mu.Unlock()
 	}
 	c.node.View(func(s *membership.State) {
-		for _, record := range s.Live() {
+		for _, record := range s.LiveMembers() {
 			if record.State == membership.Alive && record.ID != c.settings.Instance {
 				addresses[record.ID] = record.Address
 			}
@@ -287,7 +287,7 @@
 		}
 	}
 	c.node.Do(func(s *membership.State) []membership.Output {
-		s.Hint(candidates)
+		s.SetCandidates(candidates)
 		return nil
 	})
 }
--- a/internal/gateway/daemon.go
+++ b/internal/gateway/daemon.go
@@ -163,7 +163,7 @@
 	d.Views.Observe(d.Scheduler.Update)
 	d.Views.Observe(d.Frontend.Update)
 	d.Node.Observe(func(output membership.Output) {
-		if announced, ok := output.(membership.RevisionHeard); ok {
+		if announced, ok := output.(membership.NewRevision); ok {
 			d.Views.Heard(store.Version(announced.Revision), announced.Address)
 		}
 	})
--- a/internal/gateway/fetchestimates.go
+++ b/internal/gateway/fetchestimates.go
@@ -11,18 +11,18 @@
 // fetchEstimates holds how long model servers take to fetch their inputs, by service.
 type fetchEstimates struct {
 	mu        sync.Mutex
-	byService map[string]*stagework.Fetch
+	byService map[string]*stagework.FetchEstimator
 }
 
 func newFetchEstimates() *fetchEstimates {
-	return &fetchEstimates{byService: map[string]*stagework.Fetch{}}
+	return &fetchEstimates{byService: map[string]*stagework.FetchEstimator{}}
 }
 
 // estimate returns the estimate of a service. It is called with the lock held.
-func (f *fetchEstimates) estimate(service string) *stagework.Fetch {
+func (f *fetchEstimates) estimate(service string) *stagework.FetchEstimator {
 	estimate := f.byService[service]
 	if estimate == nil {
-		estimate = &stagework.Fetch{}
+		estimate = &stagework.FetchEstimator{}
 		f.byService[service] = estimate
 	}
 	return estimate
@@ -35,8 +35,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for producer := range results {
-		if configured := table.Service(producer); configured != nil && configured.Work != nil {
-			longest = max(longest, f.estimate(service).Time(*configured.Work, bytes))
+		if configured := table.Service(producer); configured != nil && configured.StageProfile != nil {
+			longest = max(longest, f.estimate(service).Duration(*configured.StageProfile, bytes))
 		}
 	}
 	return longest
@@ -48,8 +48,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if found {
-		f.estimate(service).Fetched()
+		f.estimate(service).RecordFetched()
 	} else {
-		f.estimate(service).Lost()
+		f.estimate(service).RecordLost()
 	}
 }
--- a/internal/gateway/stagerequest.go
+++ b/internal/gateway/stagerequest.go
@@ -112,8 +112,8 @@
 func (r *stageRun) inputLifetime(i int) time.Duration {
 	lifetime := time.Duration(math.MaxInt64)
 	for _, j := range r.Graph.After[i] {
-		if producer := r.Table.Service(r.Route.Stages[j].Service); producer != nil && producer.Work != nil && producer.Work.ResultLife > 0 {
-			lifetime = min(lifetime, producer.Work.ResultLife)
+		if producer := r.Table.Service(r.Route.Stages[j].Service); producer != nil && producer.StageProfile != nil && producer.StageProfile.ResultLife > 0 {
+			lifetime = min(lifetime, producer.StageProfile.ResultLife)
 		}
 	}
 	return lifetime
--- a/internal/gateway/stagescheduler.go
+++ b/internal/gateway/stagescheduler.go
@@ -64,12 +64,12 @@
 	}
 	for i := range v.Table.Services {
 		service := &v.Table.Services[i]
-		if service.Work == nil {
+		if service.StageProfile == nil {
 			continue
 		}
 		q := s.serviceQueue(service.Name, true)
 		q.mu.Lock()
-		q.queue.SetShape(*service.Work)
+		q.queue.SetProfile(*service.StageProfile)
 		q.queue.SetServers(s.regionServers(v.Servers[service.Name]))
 		q.mu.Unlock()
 		s.startCalls(q)
@@ -113,7 +113,7 @@
 	if s.handedOver() && !request.Forced {
 		return &peerpb.RunStageResponse{Refusal: string(stagework.RefusedMoved)}, nil
 	}
-	job := &stageJob{request: request, done: make(chan stagework.Done, 1)}
+	job := &stageJob{request: request, done: make(chan stagework.EndedJob, 1)}
 	if request.TellFetched {
 		job.fetched = make(chan struct{})
 	}
--- a/membership/domains.go
+++ b/membership/domains.go
@@ -9,25 +9,27 @@
 // maxContacts is the number of contacts in a summary.
 const maxContacts = 2
 
-// maxSummaryBytes leaves out the smallest of the 16 organisations when their
-// names are long, so that a summary fits the leading section of a heartbeat.
-const maxSummaryBytes = maxLeadBytes - 10
+// maxSummaryBytes bounds a summary, so that it fits the leading section of a
+// heartbeat. When organisations have long names, those with the smallest demand are
+// left out of the summary.
+const maxSummaryBytes = maxLeadSectionBytes - 10
 
-// domain is another failure domain.
+// domain holds the newest summary of another failure domain.
 type domain struct {
-	summary Summary
-	// made is when the summary was made, by the clock of this instance.
-	made time.Time
-	// expired is true when there was no news for summaryLifetime. Its contacts are
-	// still tried.
+	summary DomainSummary
+	// createdAt is when the summary was created, by the clock of this instance.
+	createdAt time.Time
+	// expired is true when the summary is older than summaryLifetime. Heartbeats are
+	// still sent to its contacts.
 	expired bool
 }
 
-// ownSummary describes the own failure domain.
-func (s *State) ownSummary() Summary {
-	summary := Summary{FailureDomain: s.self.FailureDomain, Members: 1, Load: s.self.Load, Revision: s.self.Revision,
+// ownSummary returns the summary of the own failure domain. Its contacts are this
+// instance and a random other member.
+func (s *State) ownSummary() DomainSummary {
+	summary := DomainSummary{FailureDomain: s.self.FailureDomain, Members: 1, Load: s.self.Load, Revision: s.self.Revision,
 		Contacts: []Contact{{s.self.ID, s.self.Address}}}
-	others := s.others()
+	others := s.otherLiveMembers()
 	for _, r := range others {
 		summary.Members++
 		summary.Load += r.Load
@@ -45,14 +47,14 @@
 	return summary
 }
 
-// mergeSummary keeps the newest summary of a failure domain.
-func (s *State) mergeSummary(now time.Time, summary Summary) {
+// mergeSummary stores a received summary if it is newer than the known one.
+func (s *State) mergeSummary(now time.Time, summary DomainSummary) {
 	if summary.FailureDomain == s.self.FailureDomain || !validName(summary.FailureDomain) || summary.Age > summaryLifetime {
 		return
 	}
-	made := now.Add(-max(0, summary.Age))
+	createdAt := now.Add(-max(0, summary.Age))
 	d, known := s.domains[summary.FailureDomain]
-	if known && !made.After(d.made) {
+	if known && !createdAt.After(d.createdAt) {
 		return
 	}
 	summary.Contacts = summary.Contacts[:min(len(summary.Contacts), maxContacts)]
@@ -60,17 +62,18 @@
 	if known {
 		summary.Revision = max(summary.Revision, d.summary.Revision)
 	}
-	s.domains[summary.FailureDomain] = &domain{summary: summary, made: made}
+	s.domains[summary.FailureDomain] = &domain{summary: summary, createdAt: createdAt}
 	if len(summary.Contacts) > 0 {
-		s.hearRevision(summary.Revision, summary.Contacts[0].Address)
+		s.noteRevision(summary.Revision, summary.Contacts[0].Address)
 	}
 }
 
-// hearDomain notes a message of a member of another failure domain.
-func (s *State) hearDomain(now time.Time, from Record) {
+// noteDomainContact handles the sender of a message from another failure domain. It
+// becomes the first contact of its failure domain, or no contact if it left.
+func (s *State) noteDomainContact(now time.Time, from Record) {
 	d, known := s.domains[from.FailureDomain]
 	if !known {
-		d = &domain{summary: Summary{FailureDomain: from.FailureDomain, Members: 1}, made: now.Add(-summaryLifetime)}
+		d = &domain{summary: DomainSummary{FailureDomain: from.FailureDomain, Members: 1}, createdAt: now.Add(-summaryLifetime)}
 		s.domains[from.FailureDomain] = d
 	}
 	d.summary.Revision = max(d.summary.Revision, from.Revision)
@@ -81,47 +84,48 @@
 	d.summary.Contacts = contacts[:min(len(contacts), maxContacts)]
 }
 
-// dropContact forgets a contact that left.
+// dropContact removes a member that left from the contacts of its failure domain.
 func (s *State) dropContact(record Record) {
 	if d, known := s.domains[record.FailureDomain]; known {
 		d.summary.Contacts = slices.DeleteFunc(d.summary.Contacts, func(c Contact) bool { return c.ID == record.ID })
 	}
 }
 
-// expireDomains marks failure domains without news. Their contacts remain, so
-// that a healed partition is noticed.
+// expireDomains marks failure domains whose summary is too old. Their contacts are
+// kept, so that the domains find each other again after a network partition.
 func (s *State) expireDomains(now time.Time) {
 	for _, d := range s.domains {
-		d.expired = now.Sub(d.made) > summaryLifetime
+		d.expired = now.Sub(d.createdAt) > summaryLifetime
 	}
 }
 
-// summaries returns the failure domains that are believed, oldest news last.
-func (s *State) summaries(now time.Time) []Summary {
-	var list []Summary
+// summaries returns the summaries of the other failure domains that have not
+// expired, sorted by name.
+func (s *State) summaries(now time.Time) []DomainSummary {
+	var list []DomainSummary
 	for _, name := range sortedKeys(s.domains) {
 		d := s.domains[name]
 		if d.expired {
 			continue
 		}
 		summary := d.summary
-		summary.Age = max(0, now.Sub(d.made))
+		summary.Age = max(0, now.Sub(d.createdAt))
 		list = append(list, summary)
 	}
 	return list
 }
 
-// contact returns the address of a random contact.
-func (s *State) contact(d *domain) (string, bool) {
+// randomContact returns the address of a random contact of a failure domain.
+func (s *State) randomContact(d *domain) (string, bool) {
 	if len(d.summary.Contacts) == 0 {
 		return "", false
 	}
 	return d.summary.Contacts[s.random.IntN(len(d.summary.Contacts))].Address, true
 }
 
-// crossTarget returns an address in a random other failure domain: a contact, or
-// now and then a candidate in case the contacts are gone.
-func (s *State) crossTarget() (string, bool) {
+// crossDomainTarget returns a random address in a random other failure domain: a
+// contact or a candidate. Candidates are included because the contacts may be gone.
+func (s *State) crossDomainTarget() (string, bool) {
 	options := map[string][]string{}
 	for name, d := range s.domains {
 		for _, c := range d.summary.Contacts {
@@ -142,54 +146,56 @@
 	return addresses[s.random.IntN(len(addresses))], true
 }
 
-// Summaries returns the other failure domains that are believed, by name.
-func (s *State) Summaries(now time.Time) []Summary {
+// Summaries returns the summaries of the other failure domains that have not
+// expired, sorted by name.
+func (s *State) Summaries(now time.Time) []DomainSummary {
 	return s.summaries(now)
 }
 
-// Live returns this instance and the live or suspected members of its failure
-// domain, by ID.
-func (s *State) Live() []Record {
-	live := append(s.others(), s.self)
+// LiveMembers returns this instance and the live and suspected members of its
+// failure domain, sorted by ID.
+func (s *State) LiveMembers() []Record {
+	live := append(s.otherLiveMembers(), s.self)
 	slices.SortFunc(live, func(a, b Record) int { return strings.Compare(a.ID, b.ID) })
 	return live
 }
 
-// Candidates returns the addresses that may belong to other instances.
+// Candidates returns the addresses that SetCandidates stored, sorted.
 func (s *State) Candidates() []string { return sortedKeys(s.candidates) }
 
 // Self returns the record of this instance.
 func (s *State) Self() Record { return s.self }
 
-// HighestRevision returns the highest configuration revision that is in force at
-// any instance that was heard of.
-func (s *State) HighestRevision() int64 { return s.highest }
+// HighestRevision returns the highest configuration revision that is known to be in
+// force at any instance.
+func (s *State) HighestRevision() int64 { return s.highestRevision }
 
-// Holders returns addresses of instances that have at least a revision: members
-// of the failure domain, or contacts in others when there is none.
-func (s *State) Holders(revision int64) []string {
-	var holders []string
-	for _, r := range s.others() {
+// AddressesWithRevision returns the addresses of instances that have a configuration
+// revision or a later one: members of the own failure domain or, if there are none,
+// contacts of other failure domains.
+func (s *State) AddressesWithRevision(revision int64) []string {
+	var addresses []string
+	for _, r := range s.otherLiveMembers() {
 		if r.Revision >= revision {
-			holders = append(holders, r.Address)
+			addresses = append(addresses, r.Address)
 		}
 	}
-	if len(holders) > 0 {
-		return holders
+	if len(addresses) > 0 {
+		return addresses
 	}
 	for _, name := range sortedKeys(s.domains) {
 		if d := s.domains[name]; d.summary.Revision >= revision {
 			for _, c := range d.summary.Contacts {
-				holders = append(holders, c.Address)
+				addresses = append(addresses, c.Address)
 			}
 		}
 	}
-	return holders
+	return addresses
 }
 
-// Instances returns the number of live instances in all failure domains.
-func (s *State) Instances(now time.Time) int {
-	n := len(s.others()) + 1
+// InstanceCount returns the number of live instances in all failure domains.
+func (s *State) InstanceCount(now time.Time) int {
+	n := len(s.otherLiveMembers()) + 1
 	for _, summary := range s.summaries(now) {
 		n += summary.Members
 	}
