--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -42,8 +42,8 @@
 	} else {
 		err = report.Print(c.stdout)
 	}
-	if err == nil && report.Faulty() > 0 {
-		err = demo.ErrFaulty
+	if err == nil && report.Violations() > 0 {
+		err = demo.ErrViolations
 	}
 	return err
 }
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -86,7 +86,7 @@
 		addresses.Backends = append(addresses.Backends, server.Member())
 	}
 	if c.SettingsDir != "" {
-		entries, err := cluster.EntrySettings(c.Args.Folder, c.Instances, cluster.PortAfter())
+		entries, err := cluster.EntrySettings(c.Args.Folder, c.Instances, cluster.PortAllocator())
 		if err != nil {
 			return err
 		}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -71,7 +71,7 @@
 
 // serve starts one deployment, sends its requests and stops it. The records are
 // complete once the deployment has stopped.
-func serve(ctx context.Context, name, folder string, logger *slog.Logger) (*deployment, []traffic.Sent, error) {
+func serve(ctx context.Context, name, folder string, logger *slog.Logger) (*deployment, []traffic.Exchange, error) {
 	folder, err := unpack(name, folder)
 	if err != nil {
 		return nil, nil, err
@@ -85,22 +85,22 @@
 }
 
 // collect counts the requests of a deployment.
-func (r *Report) collect(d *deployment, results []traffic.Sent) {
+func (r *Report) collect(d *deployment, results []traffic.Exchange) {
 	v := traffic.NewVerifier(d.cluster.Set, d.cluster.Runs())
 	for _, s := range results {
 		counts := v.Count(s)
 		r.kind(d.name, s.Kind.Name).Add(counts)
-		if counts.Faulty() > 0 {
+		if counts.Violations() > 0 {
 			r.note(d.name, s)
 		}
 	}
 }
 
 // send sends all requests with a bounded number at once.
-func (d *deployment) send(ctx context.Context, requests []traffic.Request) []traffic.Sent {
-	c := &traffic.Caller{HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callersPerDeployment}}}
+func (d *deployment) send(ctx context.Context, requests []traffic.Request) []traffic.Exchange {
+	c := &traffic.Client{HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callersPerDeployment}}}
 	defer c.HTTP.CloseIdleConnections()
-	results := make([]traffic.Sent, len(requests))
+	results := make([]traffic.Exchange, len(requests))
 	var group errgroup.Group
 	group.SetLimit(callersPerDeployment)
 	started := time.Now()
@@ -111,7 +111,7 @@
 		}
 		d.disturb(i, len(requests))
 		group.Go(func() error {
-			results[i] = traffic.Sent{Request: r, Answers: d.sendAll(ctx, c, i, r)}
+			results[i] = traffic.Exchange{Request: r, Answers: d.sendAll(ctx, c, i, r)}
 			return nil
 		})
 	}
@@ -121,7 +121,7 @@
 
 // sendAll sends a request and its repeats. Every other traffic.Request is repeated while
 // it runs, the rest after its answer; each time at another instance.
-func (d *deployment) sendAll(ctx context.Context, c *traffic.Caller, i int, r traffic.Request) []traffic.Answer {
+func (d *deployment) sendAll(ctx context.Context, c *traffic.Client, i int, r traffic.Request) []traffic.Answer {
 	answers := make([]traffic.Answer, r.Repeats+1)
 	var group errgroup.Group
 	if i%2 == 0 {
@@ -158,5 +158,5 @@
 	}
 }
 
-// ErrFaulty reports a demo with a count that must be 0 and isn't.
-var ErrFaulty = errors.New("requests were lost, doubled, mixed up, or ran although the caller was told not_run")
+// ErrViolations reports a demo with a count that must be 0 and isn't.
+var ErrViolations = errors.New("requests were lost, doubled, mixed up, or ran although the caller was told not_run")
--- a/internal/demo/deployment.go
+++ b/internal/demo/deployment.go
@@ -73,7 +73,7 @@
 }
 
 func (d *deployment) startEntries(ctx context.Context, folder string, logger *slog.Logger) error {
-	entries, err := d.cluster.EntrySettings(folder, 1, d.cluster.PortAfter())
+	entries, err := d.cluster.EntrySettings(folder, 1, d.cluster.PortAllocator())
 	if err != nil {
 		return err
 	}
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -25,7 +25,7 @@
 const maxFaults = 10
 
 // note adds the description of a request with a fault.
-func (r *Report) note(deployment string, s traffic.Sent) {
+func (r *Report) note(deployment string, s traffic.Exchange) {
 	if len(r.Faults) == maxFaults {
 		return
 	}
--- a/internal/proof/burst_test.go
+++ b/internal/proof/burst_test.go
@@ -12,7 +12,7 @@
 // burst is a number of requests whose instances a scenario chooses.
 type burst struct {
 	mu          sync.Mutex
-	sent        []traffic.Sent
+	sent        []traffic.Exchange
 	interrupted []atomic.Int32
 }
 
@@ -24,7 +24,7 @@
 	for round := 0; len(b.sent) < n; round++ {
 		for _, r := range traffic.Plan(l.f.cluster.Set, l.random, fmt.Sprintf("%s%d-", prefix, round)) {
 			if kinds(r) && len(b.sent) < n {
-				b.sent = append(b.sent, traffic.Sent{Request: r})
+				b.sent = append(b.sent, traffic.Exchange{Request: r})
 			}
 		}
 	}
--- a/internal/proof/load_test.go
+++ b/internal/proof/load_test.go
@@ -39,7 +39,7 @@
 	f *fleet
 	// kinds tells which planned requests are sent.
 	kinds   func(traffic.Request) bool
-	caller  *traffic.Caller
+	caller  *traffic.Client
 	stopped atomic.Bool
 	balance context.CancelFunc
 	workers sync.WaitGroup
@@ -50,7 +50,7 @@
 	targets     []*instance
 	planned     []traffic.Request
 	round       int
-	sent        []traffic.Sent
+	sent        []traffic.Exchange
 	sending     int
 	interrupted int
 	problems    map[string]int
@@ -68,7 +68,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &load{f: f, kinds: kinds, targets: targets, balance: cancel, random: randomOf(f.name, "load"), problems: map[string]int{}}
-	l.caller = &traffic.Caller{HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callers}}, Elsewhere: l.address}
+	l.caller = &traffic.Client{HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callers}}, PollAddress: l.address}
 	l.refresh()
 	go l.keepBalance(ctx)
 	for range callers {
@@ -181,8 +181,8 @@
 
 // sendAll sends a request and its repeats: half of them at the same time, the
 // others one after the other.
-func (l *load) sendAll(r traffic.Request) traffic.Sent {
-	sent := traffic.Sent{Request: r, Answers: make([]traffic.Answer, r.Repeats+1)}
+func (l *load) sendAll(r traffic.Request) traffic.Exchange {
+	sent := traffic.Exchange{Request: r, Answers: make([]traffic.Answer, r.Repeats+1)}
 	var interrupted atomic.Int32
 	var group errgroup.Group
 	if len(r.ID)%2 == 0 {
@@ -266,7 +266,7 @@
 	var counts traffic.Counts
 	for _, s := range l.sent {
 		one := v.Count(s)
-		if one.Faulty() > 0 {
+		if one.Violations() > 0 {
 			l.f.Logf("%s: %s %+v", s.ID, s.Kind.Name, one)
 			for _, a := range s.Answers {
 				l.f.Logf("    outcome %q, %d bytes, digest %q: %s", a.Outcome, len(a.Body), a.Digest, a.Detail)
@@ -278,6 +278,6 @@
 	for problem, n := range l.problems {
 		l.f.Logf("%5d %s", n, problem)
 	}
-	l.f.Check(counts.Faulty(), qt.Equals, 0, qt.Commentf("%+v", counts))
+	l.f.Check(counts.Violations(), qt.Equals, 0, qt.Commentf("%+v", counts))
 	return counts
 }
--- a/internal/standin/cluster_test.go
+++ b/internal/standin/cluster_test.go
@@ -91,7 +91,7 @@
 	cluster, err := StartCluster(ClusterConfig{Folder: "../../examples/pondslots"})
 	c.Assert(err, qt.IsNil)
 	defer cluster.Close()
-	entries, err := cluster.EntrySettings("../../examples/pondslots", 3, cluster.PortAfter())
+	entries, err := cluster.EntrySettings("../../examples/pondslots", 3, cluster.PortAllocator())
 	c.Assert(err, qt.IsNil)
 	c.Assert(entries, qt.HasLen, 9)
 	seen := map[string]bool{}
--- a/internal/standin/settings.go
+++ b/internal/standin/settings.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// PortAfter returns ports that follow the ones of the cluster when it has a base
+// PortAllocator returns ports that follow the ones of the cluster when it has a base
 // port, and free ports otherwise.
-func (c *Cluster) PortAfter() func() (int, error) {
+func (c *Cluster) PortAllocator() func() (int, error) {
 	if c.nextPort == 0 {
 		return FreePorts()
 	}
--- a/internal/traffic/client.go
+++ b/internal/traffic/client.go
@@ -45,16 +45,16 @@
 	return Answer{Detail: err.Error()}
 }
 
-// Caller sends requests to entry instances.
-type Caller struct {
+// Client sends requests to entry instances.
+type Client struct {
 	HTTP *http.Client
-	// Elsewhere returns an instance that is asked about a durable request; nil to ask
+	// PollAddress returns an instance that is asked about a durable request; nil to ask
 	// only the instance that accepted it.
-	Elsewhere func() string
+	PollAddress func() string
 }
 
 // Send sends one request to an instance and waits for the final answer.
-func (c *Caller) Send(ctx context.Context, address string, r Request) Answer {
+func (c *Client) Send(ctx context.Context, address string, r Request) Answer {
 	url := fmt.Sprintf("http://%s/v1/organisations/%s/pipelines/%s/kinds/%s", address, r.Organisation, r.Pipeline, r.Kind.Name)
 	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(r.Body))
 	if err != nil {
@@ -85,11 +85,11 @@
 
 // poll asks for the answer of an accepted durable request until there is one. Any
 // other end than a completed one is a loss.
-func (c *Caller) poll(ctx context.Context, address, location string) Answer {
+func (c *Client) poll(ctx context.Context, address, location string) Answer {
 	for {
 		got, pending := c.ask(ctx, "http://"+address+location)
-		if c.Elsewhere != nil {
-			address = c.Elsewhere()
+		if c.PollAddress != nil {
+			address = c.PollAddress()
 			pending = pending || got.Outcome == ""
 		}
 		switch {
@@ -107,7 +107,7 @@
 }
 
 // ask returns the answer of a durable request, or true while there is none.
-func (c *Caller) ask(ctx context.Context, url string) (Answer, bool) {
+func (c *Client) ask(ctx context.Context, url string) (Answer, bool) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
--- a/internal/traffic/counts.go
+++ b/internal/traffic/counts.go
@@ -27,8 +27,8 @@
 	RepeatedKeys int `json:"repeated_keys"`
 }
 
-// Faulty returns the sum of the counts that must be 0.
-func (c Counts) Faulty() int {
+// Violations returns the sum of the counts that must be 0.
+func (c Counts) Violations() int {
 	return c.Lost + c.Doubled + c.MixedUp + c.NotRunButRan
 }
 
--- a/internal/traffic/verify.go
+++ b/internal/traffic/verify.go
@@ -12,8 +12,8 @@
 	"github.com/coltsfootdrift/coltsfootdrift/pipeline"
 )
 
-// Sent is one request with the answers to it and to its repeats.
-type Sent struct {
+// Exchange is one request with the answers to it and to its repeats.
+type Exchange struct {
 	Request
 	Answers []Answer
 	// Interrupted counts attempts whose connection broke. They were sent again.
@@ -38,7 +38,7 @@
 }
 
 // Count returns the counts of one request with its repeats.
-func (v *Verifier) Count(s Sent) Counts {
+func (v *Verifier) Count(s Exchange) Counts {
 	var counts Counts
 	allNotRun := s.Interrupted == 0
 	for i, a := range s.Answers {
@@ -60,7 +60,7 @@
 }
 
 // countAnswer counts a completed answer only when it is the whole answer to its request.
-func (v *Verifier) countAnswer(counts *Counts, s Sent, a Answer) {
+func (v *Verifier) countAnswer(counts *Counts, s Exchange, a Answer) {
 	switch {
 	case a.Outcome != entry.OutcomeCompleted:
 		counts.count(a.Outcome)
@@ -83,7 +83,7 @@
 }
 
 // delivered reports whether the caller already got an answer with the digest.
-func (s Sent) delivered(digest string) bool {
+func (s Exchange) delivered(digest string) bool {
 	for _, a := range s.Answers {
 		sum := sha256.Sum256(a.Body)
 		if a.Body != nil && hex.EncodeToString(sum[:]) == digest {
--- a/internal/traffic/verify_test.go
+++ b/internal/traffic/verify_test.go
@@ -59,7 +59,7 @@
 	} {
 		r := Request{ID: "1", Organisation: "o", Pipeline: "p", Kind: pipeline.Kind{Name: "k"}, LastStage: test.last}
 		test.want.Requests = len(test.answers)
-		got := NewVerifier(set, test.runs).Count(Sent{Request: r, Answers: test.answers})
+		got := NewVerifier(set, test.runs).Count(Exchange{Request: r, Answers: test.answers})
 		c.Assert(got, qt.Equals, test.want, qt.Commentf("%s", test.name))
 	}
 }
