--- a/internal/standin/answer.go
+++ b/internal/standin/answer.go
@@ -16,13 +16,13 @@
 
 // tooMuchBytes bounds the answer of FaultTooMuch, so that a caller without a
 // limit ends too.
-const tooMuchBytes = 64 << 20
+const oversizedAnswerBytes = 64 << 20
 
 // bytesPerToken converts a bound on tokens into a length.
 const bytesPerToken = 4
 
 // answering is one answer on its way.
-type answering struct {
+type stageResponse struct {
 	backend *Backend
 	w       http.ResponseWriter
 	r       *http.Request
@@ -31,7 +31,7 @@
 }
 
 // serve returns true when the whole answer was sent.
-func (a *answering) serve() bool {
+func (a *stageResponse) serve() bool {
 	switch a.run.Fault {
 	case FaultHang:
 		<-a.r.Context().Done()
@@ -44,19 +44,19 @@
 		_, _ = a.w.Write([]byte("\x00\xff not an answer"))
 		return false
 	case FaultTooMuch:
-		a.tooMuch()
+		a.sendOversized()
 		return false
 	}
 	if a.run.Type == pipeline.StageGenerate {
-		return a.generate()
+		return a.streamText()
 	}
-	return a.whole()
+	return a.sendDocument()
 }
 
-func (a *answering) tooMuch() {
+func (a *stageResponse) sendOversized() {
 	a.w.Header().Set("Content-Type", "application/json")
 	block := []byte(strings.Repeat(" ", 64<<10))
-	for range tooMuchBytes / len(block) {
+	for range oversizedAnswerBytes / len(block) {
 		if _, err := a.w.Write(block); err != nil {
 			return
 		}
@@ -64,7 +64,7 @@
 }
 
 // whole waits for the service time and sends the input back with the server's name.
-func (a *answering) whole() bool {
+func (a *stageResponse) sendDocument() bool {
 	if !clock.Sleep(a.r.Context(), a.backend.serviceTime()) {
 		return false
 	}
@@ -85,14 +85,14 @@
 	}
 	a.w.Header().Set("Content-Type", "application/json")
 	if a.run.Fault == FaultHalf {
-		a.breakOff(answer[:len(answer)/2])
+		a.abort(answer[:len(answer)/2])
 	}
 	_, err = a.w.Write(answer)
 	return err == nil
 }
 
 // breakOff sends what there is and breaks the connection.
-func (a *answering) breakOff(part []byte) {
+func (a *stageResponse) abort(part []byte) {
 	_, _ = a.w.Write(part)
 	_ = http.NewResponseController(a.w).Flush()
 	panic(http.ErrAbortHandler)
@@ -101,8 +101,8 @@
 // answerBytes returns the length of a generated answer.
 func (b *Backend) answerBytes(body backend.Body) int {
 	length := b.config.AnswerBytes
-	if wanted := readCallerBody(body.Input).AnswerBytes; wanted > 0 {
-		length = wanted
+	if requested := readCallerBody(body.Input).AnswerBytes; requested > 0 {
+		length = requested
 	}
 	if body.MaxTokens > 0 {
 		length = min(length, body.MaxTokens*bytesPerToken)
@@ -119,7 +119,7 @@
 
 // generate streams GeneratedText from the resume offset on. The service time of
 // the engine is that of an answer of its usual length.
-func (a *answering) generate() bool {
+func (a *stageResponse) streamText() bool {
 	text := GeneratedText(a.run.InputHash, a.run.AnswerBytes)
 	a.w.Header().Set("Content-Type", "text/event-stream")
 	if !clock.Sleep(a.r.Context(), a.backend.engine.prefill(a.body.PrefixKey, a.backend.faults.slowdown())) {
@@ -134,15 +134,15 @@
 			return false
 		}
 		if a.run.Fault == FaultHalf && end > len(text)/2 {
-			a.breakOff(nil)
+			a.abort(nil)
 		}
 		chunk := backend.StreamChunk{Attempt: a.run.Attempt, Offset: int64(offset), Data: text[offset:end]}
-		if a.event(backend.EventChunk, chunk) != nil {
+		if a.sendEvent(backend.EventChunk, chunk) != nil {
 			return false
 		}
 		offset = end
 	}
-	return a.event(backend.EventEnd, backend.StreamEnd{Attempt: a.run.Attempt, Bytes: int64(len(text))}) == nil
+	return a.sendEvent(backend.EventEnd, backend.StreamEnd{Attempt: a.run.Attempt, Bytes: int64(len(text))}) == nil
 }
 
 // chunkTime returns the time between two chunks under the current load.
@@ -152,7 +152,7 @@
 }
 
 // event sends one server-sent event with a JSON document as its data.
-func (a *answering) event(name string, data any) error {
+func (a *stageResponse) sendEvent(name string, data any) error {
 	encoded, err := json.Marshal(data)
 	if err != nil {
 		return fmt.Errorf("encode event: %w", err)
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -48,7 +48,7 @@
 type Backend struct {
 	config BackendConfig
 	slots  *slots
-	faults *backendFaults
+	faults *backendFaultInjector
 	runs   *runLog
 	load   loadReports
 	engine *engine
@@ -60,14 +60,14 @@
 		config: config,
 		slots:  &slots{total: config.Slots},
 		runs:   &runLog{},
-		faults: &backendFaults{random: rand.New(rand.NewPCG(config.Seed, 1))},
+		faults: &backendFaultInjector{random: rand.New(rand.NewPCG(config.Seed, 1))},
 		engine: newEngine(config),
 	}
 }
 
 // successor returns the server as it is after a restart: with the next
 // incarnation, nothing running, and the same record of runs and faults.
-func (b *Backend) successor() *Backend {
+func (b *Backend) restarted() *Backend {
 	config := b.config
 	config.Incarnation++
 	next := NewBackend(config)
@@ -103,7 +103,7 @@
 	router.HandleFunc(backend.PathLoad, b.serveLoad).Methods(http.MethodGet)
 	router.HandleFunc(PathFaults, serveFaults(b.Faults, b.SetFaults)).Methods(http.MethodGet, http.MethodPut)
 	router.HandleFunc(PathRuns, b.serveRuns).Methods(http.MethodGet)
-	b.engine.routes(router)
+	b.engine.register(router)
 	return router
 }
 
@@ -131,7 +131,7 @@
 		return
 	}
 	defer b.slots.release()
-	b.run(w, r, body, fault)
+	b.execute(w, r, body, fault)
 }
 
 // rank orders waiting requests by class, then by the priority of the request.
@@ -143,7 +143,7 @@
 }
 
 // run records the request and answers it, or does what the fault says.
-func (b *Backend) run(w http.ResponseWriter, r *http.Request, body backend.Body, fault Fault) {
+func (b *Backend) execute(w http.ResponseWriter, r *http.Request, body backend.Body, fault Fault) {
 	stageType := pipeline.StageType(mux.Vars(r)["type"])
 	record := newRun(b.config, r.Header.Get(backend.HeaderAttempt), stageType, body)
 	record.Fault = fault
@@ -153,7 +153,7 @@
 	run := b.runs.start(record)
 	finished := false
 	defer func() { b.runs.end(run, finished) }()
-	a := &answering{backend: b, w: w, r: r, run: record, body: body}
+	a := &stageResponse{backend: b, w: w, r: r, run: record, body: body}
 	if record.Fault == FaultCrossed {
 		a.run.Attempt = "another-" + record.Attempt
 	}
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -27,7 +27,7 @@
 }
 
 // ask sends one stage request and returns its whole answer.
-func ask(ctx context.Context, server backend.Server, request backend.StageRequest) (string, error) {
+func callStage(ctx context.Context, server backend.Server, request backend.StageRequest) (string, error) {
 	request.Attempt = "attempt-1"
 	request.Timeout = time.Minute
 	request.MaxAnswerBytes = 1 << 20
@@ -41,8 +41,8 @@
 	defer stream.Close()
 	var answer strings.Builder
 	for {
-		piece, err := stream.Next()
-		answer.Write(piece)
+		chunk, err := stream.Next()
+		answer.Write(chunk)
 		if errors.Is(err, io.EOF) {
 			return answer.String(), nil
 		}
@@ -69,13 +69,13 @@
 		for _, stage := range []pipeline.StageType{pipeline.StageService, pipeline.StageGenerate} {
 			before := len(b.Runs())
 			b.SetFaults(BackendFaults{Next: map[Fault]int{test.fault: 1}})
-			_, err := ask(c.Context(), server, backend.StageRequest{Type: stage})
+			_, err := callStage(c.Context(), server, backend.StageRequest{Type: stage})
 			c.Assert(errors.Is(err, test.want), qt.IsTrue, qt.Commentf("%s at %s: %v", test.fault, stage, err))
 			c.Assert(b.Runs()[before:], qt.HasLen, test.runs)
 		}
 	}
 	b.SetDraining(true)
-	_, err := ask(c.Context(), server, backend.StageRequest{Type: pipeline.StageService})
+	_, err := callStage(c.Context(), server, backend.StageRequest{Type: pipeline.StageService})
 	c.Assert(errors.Is(err, backend.ErrDraining), qt.IsTrue)
 }
 
@@ -84,9 +84,9 @@
 func TestResumedStream(t *testing.T) {
 	c := qt.New(t)
 	b, server := startBackend(c, BackendConfig{ID: "b", Slots: 1, AnswerBytes: 1000, ChunkBytes: 100})
-	whole, err := ask(c.Context(), server, backend.StageRequest{Type: pipeline.StageGenerate})
+	whole, err := callStage(c.Context(), server, backend.StageRequest{Type: pipeline.StageGenerate})
 	c.Assert(err, qt.IsNil)
-	rest, err := ask(c.Context(), server, backend.StageRequest{Type: pipeline.StageGenerate, ResumeOffset: 333})
+	rest, err := callStage(c.Context(), server, backend.StageRequest{Type: pipeline.StageGenerate, ResumeOffset: 333})
 	c.Assert(err, qt.IsNil)
 	c.Assert(rest, qt.Equals, whole[333:])
 	run := b.Runs()[0]
@@ -103,7 +103,7 @@
 	ctx, cancel := context.WithCancel(c.Context())
 	ended := make(chan error)
 	go func() {
-		_, err := ask(ctx, server, backend.StageRequest{Type: pipeline.StageService})
+		_, err := callStage(ctx, server, backend.StageRequest{Type: pipeline.StageService})
 		ended <- err
 	}()
 	for len(b.Runs()) == 0 {
@@ -111,7 +111,7 @@
 	}
 	cancel()
 	c.Assert(errors.Is(<-ended, backend.ErrMayHaveRun), qt.IsTrue)
-	_, err := ask(c.Context(), server, backend.StageRequest{Type: pipeline.StageService})
+	_, err := callStage(c.Context(), server, backend.StageRequest{Type: pipeline.StageService})
 	c.Assert(err, qt.IsNil)
 	c.Assert(b.Runs()[0].CutOff, qt.IsTrue)
 	c.Assert(b.Runs()[1].Finished, qt.IsTrue)
@@ -134,9 +134,9 @@
 			time.Sleep(time.Millisecond)
 		}
 	}
-	gone, cancel := context.WithCancel(c.Context())
+	cancelled, cancel := context.WithCancel(c.Context())
 	cancel()
-	c.Assert(s.acquire(gone, 9), qt.IsFalse)
+	c.Assert(s.acquire(cancelled, 9), qt.IsFalse)
 	s.release()
 	c.Assert([]int{<-order, <-order, <-order, <-order}, qt.DeepEquals, []int{1, 3, 2, 0})
 }
@@ -145,25 +145,25 @@
 // expired one, or one order twice.
 func TestOrders(t *testing.T) {
 	c := qt.New(t)
-	for _, fences := range []bool{true, false} {
-		b, server := startBackend(c, BackendConfig{ID: "b", Slots: 1, Engine: EngineConfig{FencesOrders: fences, Models: []string{"m1"}}})
-		old := map[bool]int{true: 409, false: 202}[fences]
+	for _, fencesOrders := range []bool{true, false} {
+		b, server := startBackend(c, BackendConfig{ID: "b", Slots: 1, Engine: EngineConfig{FencesOrders: fencesOrders, Models: []string{"m1"}}})
+		wantOldToken := map[bool]int{true: 409, false: 202}[fencesOrders]
 		for i, test := range []struct {
 			order backend.WireOrder
 			want  int
 		}{
 			{backend.WireOrder{Action: "role", Target: "decode", Fencing: 5, LifeMS: 4000}, 202},
-			{backend.WireOrder{Action: "role", Target: "prefill", Fencing: 4, LifeMS: 4000}, old},
+			{backend.WireOrder{Action: "role", Target: "prefill", Fencing: 4, LifeMS: 4000}, wantOldToken},
 			{backend.WireOrder{Action: "unload", Target: "m1", Fencing: 5}, 410},
 			{backend.WireOrder{Action: "reboot", Fencing: 5, LifeMS: 4000}, 400},
 		} {
 			test.order.ID = fmt.Sprint(i)
-			c.Assert(b.engine.order(test.order), qt.Equals, test.want)
+			c.Assert(b.engine.acceptOrder(test.order), qt.Equals, test.want)
 		}
-		c.Assert(b.engine.order(backend.WireOrder{ID: "0", Action: "unload", Target: "m1", Fencing: 5, LifeMS: 1}), qt.Equals, 200)
-		_, err := ask(c.Context(), server, backend.StageRequest{Type: pipeline.StageService, Model: "m1"})
+		c.Assert(b.engine.acceptOrder(backend.WireOrder{ID: "0", Action: "unload", Target: "m1", Fencing: 5, LifeMS: 1}), qt.Equals, 200)
+		_, err := callStage(c.Context(), server, backend.StageRequest{Type: pipeline.StageService, Model: "m1"})
 		c.Assert(err, qt.IsNil)
-		_, err = ask(c.Context(), server, backend.StageRequest{Type: pipeline.StageService, Model: "m2"})
+		_, err = callStage(c.Context(), server, backend.StageRequest{Type: pipeline.StageService, Model: "m2"})
 		c.Assert(errors.Is(err, backend.ErrRefused), qt.IsTrue)
 	}
 }
@@ -175,9 +175,9 @@
 	weights := NewWeightStore(1)
 	for _, want := range []int{202, 429} {
 		b := NewBackend(BackendConfig{Slots: 1, Engine: EngineConfig{Weights: weights, LoadTime: time.Hour, Models: []string{"m1"}}})
-		c.Assert(b.engine.order(backend.WireOrder{ID: "1", Action: "load", Target: "m2", LifeMS: 4000}), qt.Equals, want)
+		c.Assert(b.engine.acceptOrder(backend.WireOrder{ID: "1", Action: "load", Target: "m2", LifeMS: 4000}), qt.Equals, want)
 		c.Assert(b.engine.serves("m2"), qt.IsFalse)
-		b.engine.loaded("m2")
+		b.engine.finishLoad("m2")
 		c.Assert(b.engine.serves("m2"), qt.IsTrue)
 	}
 }
--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -9,7 +9,7 @@
 )
 
 // dropEvery is the distance of cache events that are never published.
-const dropEvery = 10
+const dropInterval = 10
 
 // maxCacheEvents bounds the events that are kept for readers.
 const maxCacheEvents = 1000
@@ -44,18 +44,18 @@
 		return true
 	}
 	if len(c.keys) == c.limit {
-		c.event(c.keys[0], false)
+		c.addEvent(c.keys[0], false)
 		c.keys = slices.Delete(c.keys, 0, 1)
 	}
 	c.keys = append(c.keys, prefix)
-	c.event(prefix, true)
+	c.addEvent(prefix, true)
 	return false
 }
 
 // event adds an event unless it is one of those that get lost.
-func (c *prefixCache) event(prefix string, stored bool) {
+func (c *prefixCache) addEvent(prefix string, stored bool) {
 	c.number++
-	if c.number%dropEvery == 0 {
+	if c.number%dropInterval == 0 {
 		return
 	}
 	event := backend.WireCacheEvent{Number: c.number, PrefixKey: prefix, Stored: stored}
--- a/internal/standin/cluster.go
+++ b/internal/standin/cluster.go
@@ -44,11 +44,11 @@
 
 // Server is a backend server of a cluster.
 type Server struct {
-	mu      sync.Mutex
-	backend *Backend
-	member  platform.Member
-	http    *http.Server
-	list    *Platform
+	mu           sync.Mutex
+	backend      *Backend
+	member       platform.Member
+	http         *http.Server
+	instanceList *Platform
 }
 
 // StartCluster reads a folder and starts its stand-ins.
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(places(set.Deployment)) == 0 {
+	if len(domainLocations(set.Deployment)) == 0 {
 		return nil, fmt.Errorf("%s in %s names no failure domain", pipeline.DeploymentFile, config.Folder)
 	}
 	fleet, err := ReadFleet(root)
@@ -82,7 +82,7 @@
 	return c, nil
 }
 
-func (c *Cluster) start(servers []planned) error {
+func (c *Cluster) start(servers []plannedServer) error {
 	for _, service := range []struct {
 		address *string
 		handler http.Handler
@@ -91,7 +91,7 @@
 		{&c.PlatformAddress, c.Platform.Handler()},
 		{&c.WeightsAddress, c.Weights.Handler()},
 	} {
-		server, address, err := serve(c.address(), service.handler)
+		server, address, err := serve(c.nextAddress(), service.handler)
 		if err != nil {
 			return err
 		}
@@ -100,8 +100,8 @@
 	}
 	members := make([]platform.Member, len(servers))
 	for i, p := range servers {
-		p.member.Address = c.address()
-		server := &Server{backend: NewBackend(p.config), member: p.member, list: c.Platform}
+		p.member.Address = c.nextAddress()
+		server := &Server{backend: NewBackend(p.config), member: p.member, instanceList: c.Platform}
 		if err := server.listen(); err != nil {
 			return err
 		}
@@ -113,7 +113,7 @@
 }
 
 // address returns the address of the next listener.
-func (c *Cluster) address() string {
+func (c *Cluster) nextAddress() string {
 	port := c.nextPort
 	if port > 0 {
 		c.nextPort++
@@ -198,11 +198,11 @@
 func (s *Server) Restart() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.backend = s.backend.successor()
+	s.backend = s.backend.restarted()
 	s.member.Incarnation++
 	if err := s.listen(); err != nil {
 		return err
 	}
-	s.list.Put(s.member)
+	s.instanceList.Put(s.member)
 	return nil
 }
--- a/internal/standin/cluster_test.go
+++ b/internal/standin/cluster_test.go
@@ -14,7 +14,7 @@
 )
 
 // memberServer returns a member as the adapter addresses it.
-func memberServer(s *Server) backend.Server {
+func backendServer(s *Server) backend.Server {
 	return backend.Server{ID: s.Member().ID, Address: s.Member().Address}
 }
 
@@ -44,7 +44,7 @@
 		}
 		for _, p := range cluster.Set.Pipelines {
 			for _, stage := range p.Stages {
-				_, err := ask(c.Context(), memberServer(cluster.Pool(stage.Pool)[0]), backend.StageRequest{Type: stage.Type, Model: stage.Model})
+				_, err := callStage(c.Context(), backendServer(cluster.Pool(stage.Pool)[0]), backend.StageRequest{Type: stage.Type, Model: stage.Model})
 				c.Assert(err, qt.IsNil)
 				regions := map[string]bool{}
 				for _, server := range cluster.Pool(stage.Pool) {
@@ -56,7 +56,7 @@
 		server := cluster.Pool("encoders")[0]
 		before := server.Backend().Runs()
 		c.Assert(server.Kill(), qt.IsNil)
-		_, err = ask(c.Context(), memberServer(server), backend.StageRequest{Type: pipeline.StageEncode})
+		_, err = callStage(c.Context(), backendServer(server), backend.StageRequest{Type: pipeline.StageEncode})
 		c.Assert(errors.Is(err, backend.ErrNotSent), qt.IsTrue)
 		c.Assert(server.Restart(), qt.IsNil)
 		c.Assert(recordedRuns(c, server), qt.DeepEquals, before)
@@ -80,8 +80,8 @@
 	c.Assert(cluster.SetFault("store:delay_ms=50"), qt.IsNil)
 	c.Assert(cluster.Store.Faults().WritesPerSecond, qt.Equals, float64(DefaultWritesPerSecond))
 	c.Assert(cluster.Store.Faults().DelayMS, qt.Equals, int64(50))
-	for _, mistake := range []string{"ledger", "ledger:slowdown", "no-such:slowdown=1", "store:delay=50", "list:lag_ms=soon"} {
-		c.Assert(cluster.SetFault(mistake), qt.IsNotNil, qt.Commentf("%s", mistake))
+	for _, invalid := range []string{"ledger", "ledger:slowdown", "no-such:slowdown=1", "store:delay=50", "list:lag_ms=soon"} {
+		c.Assert(cluster.SetFault(invalid), qt.IsNotNil, qt.Commentf("%s", invalid))
 	}
 }
 
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -47,23 +47,23 @@
 	config EngineConfig
 	cache  prefixCache
 
-	mu      sync.Mutex
-	state   backend.WireState
-	fencing int64
-	done    map[string]bool // IDs of orders that were carried out
+	mu             sync.Mutex
+	state          backend.WireState
+	fencingToken   int64
+	acceptedOrders map[string]bool // IDs of orders that were carried out
 }
 
 func newEngine(config BackendConfig) *engine {
 	e := config.Engine
 	return &engine{
-		config: e,
-		cache:  prefixCache{limit: e.CachedPrefixes, delay: e.EventDelay},
-		state:  backend.WireState{Incarnation: config.Incarnation, Models: slices.Clone(e.Models), Role: e.Role},
-		done:   map[string]bool{},
+		config:         e,
+		cache:          prefixCache{limit: e.CachedPrefixes, delay: e.EventDelay},
+		state:          backend.WireState{Incarnation: config.Incarnation, Models: slices.Clone(e.Models), Role: e.Role},
+		acceptedOrders: map[string]bool{},
 	}
 }
 
-func (e *engine) routes(router *mux.Router) {
+func (e *engine) register(router *mux.Router) {
 	router.HandleFunc(backend.PathState, e.serveState).Methods(http.MethodGet)
 	router.HandleFunc(backend.PathOrders, e.serveOrder).Methods(http.MethodPost)
 	router.HandleFunc(backend.PathCacheEvents, e.serveCacheEvents).Methods(http.MethodGet)
@@ -101,19 +101,19 @@
 	if !readJSON(w, r, &order) {
 		return
 	}
-	w.WriteHeader(e.order(order))
+	w.WriteHeader(e.acceptOrder(order))
 }
 
 // order starts an order and returns its status.
-func (e *engine) order(order backend.WireOrder) int {
+func (e *engine) acceptOrder(order backend.WireOrder) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
 	case !slices.Contains([]string{actionLoad, actionUnload, actionRole}, order.Action):
 		return http.StatusBadRequest
-	case e.done[order.ID]:
+	case e.acceptedOrders[order.ID]:
 		return http.StatusOK
-	case e.config.FencesOrders && order.Fencing < e.fencing:
+	case e.config.FencesOrders && order.Fencing < e.fencingToken:
 		return http.StatusConflict
 	case order.LifeMS <= 0:
 		return http.StatusGone
@@ -122,18 +122,18 @@
 	case order.Action == actionLoad && !e.config.Weights.Allow():
 		return http.StatusTooManyRequests
 	}
-	e.fencing = max(e.fencing, order.Fencing)
-	e.done[order.ID] = true
-	e.start(order)
+	e.fencingToken = max(e.fencingToken, order.Fencing)
+	e.acceptedOrders[order.ID] = true
+	e.execute(order)
 	return http.StatusAccepted
 }
 
 // start carries an order out. A load ends later.
-func (e *engine) start(order backend.WireOrder) {
+func (e *engine) execute(order backend.WireOrder) {
 	switch order.Action {
 	case actionLoad:
 		e.state.Loading = true
-		time.AfterFunc(e.config.LoadTime, func() { e.loaded(order.Target) })
+		time.AfterFunc(e.config.LoadTime, func() { e.finishLoad(order.Target) })
 	case actionUnload:
 		e.state.Models = slices.DeleteFunc(e.state.Models, func(m string) bool { return m == order.Target })
 	case actionRole:
@@ -141,7 +141,7 @@
 	}
 }
 
-func (e *engine) loaded(target string) {
+func (e *engine) finishLoad(target string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.state.Loading = false
@@ -180,9 +180,9 @@
 
 // loadReports makes load reports lag.
 type loadReports struct {
-	mu    sync.Mutex
-	taken time.Time
-	last  backend.WireLoad
+	mu      sync.Mutex
+	takenAt time.Time
+	last    backend.WireLoad
 }
 
 // serveLoad returns a report that is renewed only once per lag.
@@ -190,14 +190,14 @@
 	b.load.mu.Lock()
 	defer b.load.mu.Unlock()
 	now := time.Now()
-	if now.Sub(b.load.taken) >= b.config.LoadLag {
-		b.load.taken = now
+	if now.Sub(b.load.takenAt) >= b.config.LoadLag {
+		b.load.takenAt = now
 		running, waiting := b.slots.load()
 		b.load.last = backend.WireLoad{
 			Running: running, Waiting: waiting, Slots: b.config.Slots, Incarnation: b.config.Incarnation,
 		}
 	}
 	report := b.load.last
-	report.AgeMS = now.Sub(b.load.taken).Milliseconds()
+	report.AgeMS = now.Sub(b.load.takenAt).Milliseconds()
 	writeJSON(w, http.StatusOK, report)
 }
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -36,13 +36,13 @@
 }
 
 // backendFaults decides the fate of each request.
-type backendFaults struct {
+type backendFaultInjector struct {
 	mu     sync.Mutex
 	faults BackendFaults
 	random *rand.Rand
 }
 
-func (f *backendFaults) get() BackendFaults {
+func (f *backendFaultInjector) get() BackendFaults {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.faults.clone()
@@ -61,7 +61,7 @@
 	return f
 }
 
-func (f *backendFaults) change(change func(*BackendFaults)) {
+func (f *backendFaultInjector) change(change func(*BackendFaults)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.faults = f.faults.clone()
@@ -69,7 +69,7 @@
 }
 
 // slowdown returns the factor on service times.
-func (f *backendFaults) slowdown() float64 {
+func (f *backendFaultInjector) slowdown() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.faults.Slowdown == 0 {
@@ -79,7 +79,7 @@
 }
 
 // draw returns the fault that hits the next request.
-func (f *backendFaults) draw() Fault {
+func (f *backendFaultInjector) draw() Fault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, fault := range allFaults {
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -20,12 +20,12 @@
 
 // Fleet holds the sizes of stand-ins by pool.
 type Fleet struct {
-	Pools map[string]PoolSize `json:"pools"`
+	Pools map[string]PoolConfig `json:"pools"`
 }
 
 // PoolSize describes the stand-in backend servers of a pool. Times are in
 // milliseconds.
-type PoolSize struct {
+type PoolConfig struct {
 	Replicas       int     `json:"replicas"`
 	ServiceTimeMS  float64 `json:"service_time_ms"`
 	LoadFactor     float64 `json:"load_factor,omitempty"`
@@ -40,7 +40,7 @@
 }
 
 // defaultPoolSize is that of a pool that the fleet file doesn't name.
-var defaultPoolSize = PoolSize{Replicas: 3, ServiceTimeMS: 20, AnswerBytes: 2000, ChunkBytes: 250}
+var defaultPoolConfig = PoolConfig{Replicas: 3, ServiceTimeMS: 20, AnswerBytes: 2000, ChunkBytes: 250}
 
 // ReadFleet reads the fleet file in the root of a file system, if there is one.
 func ReadFleet(root fs.FS) (Fleet, error) {
@@ -65,56 +65,56 @@
 }
 
 // size returns the size of a pool with defaults for what is left out.
-func (f Fleet) size(pool string) PoolSize {
-	size, ok := f.Pools[pool]
+func (f Fleet) poolConfig(pool string) PoolConfig {
+	config, ok := f.Pools[pool]
 	if !ok {
-		return defaultPoolSize
+		return defaultPoolConfig
 	}
-	if size.ChunkBytes <= 0 {
-		size.ChunkBytes = defaultPoolSize.ChunkBytes
+	if config.ChunkBytes <= 0 {
+		config.ChunkBytes = defaultPoolConfig.ChunkBytes
 	}
-	if size.Replicas <= 0 {
-		size.Replicas = defaultPoolSize.Replicas
+	if config.Replicas <= 0 {
+		config.Replicas = defaultPoolConfig.Replicas
 	}
-	return size
+	return config
 }
 
 // place is a failure domain with its region.
-type place struct {
+type domainLocation struct {
 	region, failureDomain string
 }
 
-func places(deployment pipeline.Deployment) []place {
-	var all []place
+func domainLocations(deployment pipeline.Deployment) []domainLocation {
+	var all []domainLocation
 	for _, region := range deployment.Regions {
 		for _, domain := range region.FailureDomains {
-			all = append(all, place{region.Name, domain})
+			all = append(all, domainLocation{region.Name, domain})
 		}
 	}
 	return all
 }
 
 // planned is a backend server before it has an address.
-type planned struct {
+type plannedServer struct {
 	config BackendConfig
 	member platform.Member
 }
 
 // plan returns the backend servers of a deployment. The servers of a pool are
 // spread over the failure domains in turn.
-func (f Fleet) plan(deployment pipeline.Deployment, weights *WeightStore, speed float64) []planned {
-	var all []planned
-	domains := places(deployment)
+func (f Fleet) plan(deployment pipeline.Deployment, weights *WeightStore, speed float64) []plannedServer {
+	var all []plannedServer
+	domains := domainLocations(deployment)
 	for _, pool := range deployment.Pools {
-		size := f.size(pool.Name)
-		for i := range size.Replicas {
-			at := domains[i%len(domains)]
+		poolConfig := f.poolConfig(pool.Name)
+		for i := range poolConfig.Replicas {
+			location := domains[i%len(domains)]
 			id := fmt.Sprintf("%s-%d", pool.Name, i+1)
-			config := size.config(pool, weights, speed)
+			config := poolConfig.backendConfig(pool, weights, speed)
 			config.ID, config.Seed = id, uint64(len(all))
-			all = append(all, planned{config, platform.Member{
-				ID: id, Role: platform.RoleBackend, Pool: pool.Name, Region: at.region,
-				FailureDomain: at.failureDomain, State: platform.StateLive, Incarnation: config.Incarnation,
+			all = append(all, plannedServer{config, platform.Member{
+				ID: id, Role: platform.RoleBackend, Pool: pool.Name, Region: location.region,
+				FailureDomain: location.failureDomain, State: platform.StateLive, Incarnation: config.Incarnation,
 			}})
 		}
 	}
@@ -123,7 +123,7 @@
 
 // config turns a size into the configuration of a server whose times are
 // divided by speed.
-func (s PoolSize) config(pool pipeline.Pool, weights *WeightStore, speed float64) BackendConfig {
+func (s PoolConfig) backendConfig(pool pipeline.Pool, weights *WeightStore, speed float64) BackendConfig {
 	duration := func(ms float64) time.Duration { return time.Duration(ms / speed * float64(time.Millisecond)) }
 	return BackendConfig{
 		Pool:        pool.Name,
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -21,7 +21,7 @@
 
 // snapshot is the list of members from one change to the next.
 type snapshot struct {
-	at      time.Time
+	takenAt time.Time
 	members []platform.Member
 }
 
@@ -43,17 +43,17 @@
 func (p *Platform) Put(member platform.Member) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.replace(append(without(p.latest(), member.ID), member))
+	p.replace(append(withoutMember(p.latest(), member.ID), member))
 }
 
 // Remove takes a member off the list.
 func (p *Platform) Remove(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.replace(without(p.latest(), id))
+	p.replace(withoutMember(p.latest(), id))
 }
 
-func without(members []platform.Member, id string) []platform.Member {
+func withoutMember(members []platform.Member, id string) []platform.Member {
 	return slices.DeleteFunc(slices.Clone(members), func(m platform.Member) bool { return m.ID == id })
 }
 
@@ -66,9 +66,9 @@
 
 func (p *Platform) replace(members []platform.Member) {
 	now := time.Now()
-	p.snapshots = append(p.snapshots, snapshot{at: now, members: members})
-	horizon := now.Add(-max(p.lag(), keepHistory))
-	for len(p.snapshots) > 1 && p.snapshots[1].at.Before(horizon) {
+	p.snapshots = append(p.snapshots, snapshot{takenAt: now, members: members})
+	horizon := now.Add(-max(p.lag(), historyRetention))
+	for len(p.snapshots) > 1 && p.snapshots[1].takenAt.Before(horizon) {
 		p.snapshots = p.snapshots[1:]
 	}
 }
@@ -101,7 +101,7 @@
 	}
 	shown := p.snapshots[0]
 	for _, s := range p.snapshots {
-		if !s.at.After(time.Now().Add(-p.lag())) {
+		if !s.takenAt.After(time.Now().Add(-p.lag())) {
 			shown = s
 		}
 	}
@@ -114,13 +114,13 @@
 	router := mux.NewRouter()
 	member := platform.PathList + "/{id}"
 	router.HandleFunc(PathFaults, serveFaults(p.Faults, p.SetFaults)).Methods(http.MethodGet, http.MethodPut)
-	router.HandleFunc(platform.PathList, p.guard(p.serveList)).Methods(http.MethodGet)
-	router.HandleFunc(member, p.guard(p.servePut)).Methods(http.MethodPut)
-	router.HandleFunc(member, p.guard(p.serveRemove)).Methods(http.MethodDelete)
+	router.HandleFunc(platform.PathList, p.withFaults(p.serveList)).Methods(http.MethodGet)
+	router.HandleFunc(member, p.withFaults(p.servePut)).Methods(http.MethodPut)
+	router.HandleFunc(member, p.withFaults(p.serveRemove)).Methods(http.MethodDelete)
 	return router
 }
 
-func (p *Platform) guard(serve http.HandlerFunc) http.HandlerFunc {
+func (p *Platform) withFaults(serve http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if p.Faults().Outage {
 			w.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/standin/settings.go
+++ b/internal/standin/settings.go
@@ -21,28 +21,28 @@
 
 // EntrySettings returns the settings of perDomain entry instances in each failure
 // domain. port returns the port of the next listener.
-func (c *Cluster) EntrySettings(folder string, perDomain int, port func() (int, error)) ([]settings.Entry, error) {
+func (c *Cluster) EntrySettings(folder string, perDomain int, nextPort func() (int, error)) ([]settings.Entry, error) {
 	folder, err := filepath.Abs(folder)
 	if err != nil {
 		return nil, err
 	}
 	var entries []settings.Entry
-	for _, at := range places(c.Set.Deployment) {
+	for _, location := range domainLocations(c.Set.Deployment) {
 		for i := range perDomain {
 			entry := settings.Entry{
-				Instance:        fmt.Sprintf("%s-entry-%d", at.failureDomain, i+1),
-				Region:          at.region,
-				FailureDomain:   at.failureDomain,
+				Instance:        fmt.Sprintf("%s-entry-%d", location.failureDomain, i+1),
+				Region:          location.region,
+				FailureDomain:   location.failureDomain,
 				StoreAddress:    c.StoreAddress,
 				PlatformAddress: c.PlatformAddress,
 				PipelineFiles:   folder,
 			}
 			for _, address := range []*string{&entry.CallerAddress, &entry.PeerAddress, &entry.AdminAddress} {
-				number, err := port()
+				port, err := nextPort()
 				if err != nil {
 					return nil, err
 				}
-				*address = net.JoinHostPort(Host, strconv.Itoa(number))
+				*address = net.JoinHostPort(Host, strconv.Itoa(port))
 			}
 			entries = append(entries, entry)
 		}
--- a/internal/standin/slots.go
+++ b/internal/standin/slots.go
@@ -8,9 +8,9 @@
 
 // waiter is a request that waits for a slot.
 type waiter struct {
-	rank, number int
-	granted      chan struct{}
-	position     int
+	rank, arrival int
+	granted       chan struct{}
+	position      int
 }
 
 // waiters is a heap: a higher rank first, then the order of arrival.
@@ -21,7 +21,7 @@
 	if w[i].rank != w[j].rank {
 		return w[i].rank > w[j].rank
 	}
-	return w[i].number < w[j].number
+	return w[i].arrival < w[j].arrival
 }
 func (w waiters) Swap(i, j int) {
 	w[i], w[j] = w[j], w[i]
@@ -41,11 +41,11 @@
 
 // slots runs a bounded number of requests at once and lets others wait by rank.
 type slots struct {
-	mu      sync.Mutex
-	total   int
-	running int
-	arrived int
-	waiting waiters
+	mu          sync.Mutex
+	total       int
+	running     int
+	lastArrival int
+	waiting     waiters
 }
 
 // acquire waits for a slot, or returns false when the context ends first.
@@ -56,8 +56,8 @@
 		s.mu.Unlock()
 		return true
 	}
-	s.arrived++
-	w := &waiter{rank: rank, number: s.arrived, granted: make(chan struct{})}
+	s.lastArrival++
+	w := &waiter{rank: rank, arrival: s.lastArrival, granted: make(chan struct{})}
 	heap.Push(&s.waiting, w)
 	s.mu.Unlock()
 	select {
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -12,30 +12,30 @@
 
 // keepHistory is how long past values and tombstones are kept. Stale reads
 // can't go back further, and a watch that starts at an older version misses deletions.
-const keepHistory = 2 * time.Minute
+const historyRetention = 2 * time.Minute
 
 // revision is the state of a key from one write to the next.
 type revision struct {
-	at      time.Time
-	entry   store.Entry
-	deleted bool
+	writtenAt time.Time
+	entry     store.Entry
+	deleted   bool
 }
 
 // record is the history of a key, oldest revision first.
-type record struct {
+type keyHistory struct {
 	key       string
 	revisions []revision
 }
 
 // last returns the current revision.
-func (r *record) last() *revision {
-	return &r.revisions[len(r.revisions)-1]
+func (h *keyHistory) latest() *revision {
+	return &h.revisions[len(h.revisions)-1]
 }
 
 // at returns the revision that was current at a time, or nil.
-func (r *record) at(t time.Time) *revision {
-	for _, past := range slices.Backward(r.revisions) {
-		if !past.at.After(t) {
+func (h *keyHistory) revisionAt(t time.Time) *revision {
+	for _, past := range slices.Backward(h.revisions) {
+		if !past.writtenAt.After(t) {
 			return &past
 		}
 	}
@@ -43,7 +43,7 @@
 }
 
 // grant is a lease with its keys.
-type grant struct {
+type leaseState struct {
 	ttl   time.Duration
 	timer *time.Timer
 	keys  map[string]bool
@@ -60,58 +60,58 @@
 type keyspace struct {
 	mu        sync.Mutex
 	version   store.Version
-	records   []*record // in key order
-	leases    map[store.LeaseID]*grant
+	histories []*keyHistory // in key order
+	leases    map[store.LeaseID]*leaseState
 	lastLease store.LeaseID
 	watchers  map[*watcher]bool
 }
 
 func newKeyspace() *keyspace {
-	return &keyspace{leases: map[store.LeaseID]*grant{}, watchers: map[*watcher]bool{}}
+	return &keyspace{leases: map[store.LeaseID]*leaseState{}, watchers: map[*watcher]bool{}}
 }
 
 // find returns the position of a key, or where it would be inserted.
 func (k *keyspace) find(key string) (int, bool) {
-	return slices.BinarySearchFunc(k.records, key, func(r *record, key string) int { return cmp.Compare(r.key, key) })
+	return slices.BinarySearchFunc(k.histories, key, func(h *keyHistory, key string) int { return cmp.Compare(h.key, key) })
 }
 
 // current returns the live revision of a key, or nil.
 func (k *keyspace) current(key string) *revision {
 	i, ok := k.find(key)
-	if !ok || k.records[i].last().deleted {
+	if !ok || k.histories[i].latest().deleted {
 		return nil
 	}
-	return k.records[i].last()
+	return k.histories[i].latest()
 }
 
 // get returns an entry as it was at a time.
-func (k *keyspace) get(key string, at time.Time) (store.Entry, bool) {
+func (k *keyspace) get(key string, asOf time.Time) (store.Entry, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	i, ok := k.find(key)
 	if !ok {
 		return store.Entry{}, false
 	}
-	past := k.records[i].at(at)
-	if past == nil || past.deleted {
+	found := k.histories[i].revisionAt(asOf)
+	if found == nil || found.deleted {
 		return store.Entry{}, false
 	}
-	return past.entry, true
+	return found.entry, true
 }
 
 // list returns entries as they were at a time.
-func (k *keyspace) list(prefix, after string, limit int, at time.Time) []store.Entry {
+func (k *keyspace) list(prefix, after string, limit int, asOf time.Time) []store.Entry {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var entries []store.Entry
 	first, _ := k.find(max(prefix, after))
-	for _, r := range k.records[first:] {
-		if len(entries) == limit || !strings.HasPrefix(r.key, prefix) {
+	for _, h := range k.histories[first:] {
+		if len(entries) == limit || !strings.HasPrefix(h.key, prefix) {
 			break
 		}
-		past := r.at(at)
-		if r.key > after && past != nil && !past.deleted {
-			entries = append(entries, past.entry)
+		found := h.revisionAt(asOf)
+		if h.key > after && found != nil && !found.deleted {
+			entries = append(entries, found.entry)
 		}
 	}
 	return entries
@@ -121,7 +121,7 @@
 func (k *keyspace) write(entry store.Entry, expect store.Version) (store.Version, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if err := k.expect(entry.Key, expect); err != nil {
+	if err := k.checkVersion(entry.Key, expect); err != nil {
 		return 0, err
 	}
 	if entry.Lease != 0 {
@@ -133,7 +133,7 @@
 	}
 	k.version++
 	entry.Version = k.version
-	k.append(revision{entry: entry})
+	k.appendRevision(revision{entry: entry})
 	return entry.Version, nil
 }
 
@@ -144,15 +144,15 @@
 	if k.current(key) == nil {
 		return store.ErrNotFound
 	}
-	if err := k.expect(key, expect); err != nil {
+	if err := k.checkVersion(key, expect); err != nil {
 		return err
 	}
-	k.tombstone(key)
+	k.addTombstone(key)
 	return nil
 }
 
 // expect returns a *store.ConflictError when the key has another version.
-func (k *keyspace) expect(key string, version store.Version) error {
+func (k *keyspace) checkVersion(key string, version store.Version) error {
 	var has store.Version
 	if current := k.current(key); current != nil {
 		has = current.entry.Version
@@ -163,21 +163,21 @@
 	return nil
 }
 
-func (k *keyspace) tombstone(key string) {
+func (k *keyspace) addTombstone(key string) {
 	k.version++
-	k.append(revision{entry: store.Entry{Key: key, Version: k.version}, deleted: true})
+	k.appendRevision(revision{entry: store.Entry{Key: key, Version: k.version}, deleted: true})
 }
 
 // append adds a revision, drops history that is too old and wakes watchers.
-func (k *keyspace) append(next revision) {
-	next.at = time.Now()
+func (k *keyspace) appendRevision(next revision) {
+	next.writtenAt = time.Now()
 	key := next.entry.Key
 	i, ok := k.find(key)
 	if !ok {
-		k.records = slices.Insert(k.records, i, &record{key: key})
+		k.histories = slices.Insert(k.histories, i, &keyHistory{key: key})
 	}
-	r := k.records[i]
-	r.revisions = append(trim(r.revisions, next.at.Add(-keepHistory)), next)
+	h := k.histories[i]
+	h.revisions = append(dropHistory(h.revisions, next.writtenAt.Add(-historyRetention)), next)
 	for w := range k.watchers {
 		if strings.HasPrefix(key, w.prefix) {
 			close(w.wake)
@@ -187,9 +187,9 @@
 }
 
 // trim drops revisions that were no longer current at the horizon.
-func trim(revisions []revision, horizon time.Time) []revision {
+func dropHistory(revisions []revision, horizon time.Time) []revision {
 	keep := 0
-	for keep+1 < len(revisions) && revisions[keep+1].at.Before(horizon) {
+	for keep+1 < len(revisions) && revisions[keep+1].writtenAt.Before(horizon) {
 		keep++
 	}
 	return slices.Delete(revisions, 0, keep)
@@ -202,15 +202,15 @@
 	defer k.mu.Unlock()
 	result := store.WatchResult{Version: k.version}
 	first, _ := k.find(prefix)
-	for _, r := range k.records[first:] {
-		if !strings.HasPrefix(r.key, prefix) {
+	for _, h := range k.histories[first:] {
+		if !strings.HasPrefix(h.key, prefix) {
 			break
 		}
-		last := r.last()
+		last := h.latest()
 		switch {
 		case last.entry.Version <= after:
 		case last.deleted:
-			result.Deleted = append(result.Deleted, r.key)
+			result.Deleted = append(result.Deleted, h.key)
 		default:
 			result.Changed = append(result.Changed, last.entry)
 		}
@@ -224,14 +224,14 @@
 }
 
 // forget ends a watch that no longer waits.
-func (k *keyspace) forget(w *watcher) {
+func (k *keyspace) cancelWatch(w *watcher) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	delete(k.watchers, w)
 }
 
 // waiting returns the number of watches that wait.
-func (k *keyspace) waiting() int {
+func (k *keyspace) waitingWatches() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return len(k.watchers)
@@ -243,7 +243,7 @@
 	k.lastLease++
 	id := k.lastLease
 	timer := time.AfterFunc(ttl, func() { _ = k.endLease(id) })
-	k.leases[id] = &grant{ttl: ttl, timer: timer, keys: map[string]bool{}}
+	k.leases[id] = &leaseState{ttl: ttl, timer: timer, keys: map[string]bool{}}
 	return id
 }
 
@@ -270,7 +270,7 @@
 	delete(k.leases, id)
 	for key := range lease.keys {
 		if current := k.current(key); current != nil && current.entry.Lease == id {
-			k.tombstone(key)
+			k.addTombstone(key)
 		}
 	}
 	return nil
--- a/internal/standin/store_faults.go
+++ b/internal/standin/store_faults.go
@@ -77,12 +77,12 @@
 	WaitingWatches int   `json:"waiting_watches"`
 }
 
-func (c *StoreCounts) of(call storeCall) *int64 {
+func (c *StoreCounts) counter(call storeCall) *int64 {
 	return [...]*int64{&c.Gets, &c.Lists, &c.Watches, &c.Writes, &c.Deletes, &c.Grants, &c.KeepAlives, &c.Revokes}[call]
 }
 
 // storeFaults decides the fate of each call.
-type storeFaults struct {
+type storeFaultInjector struct {
 	mu            sync.Mutex
 	faults        StoreFaults
 	counts        StoreCounts
@@ -91,8 +91,8 @@
 	outage        chan struct{} // closed while there is an outage
 }
 
-func newStoreFaults() *storeFaults {
-	f := &storeFaults{random: rand.New(rand.NewPCG(1, 2)), outage: make(chan struct{})}
+func newStoreFaultInjector() *storeFaultInjector {
+	f := &storeFaultInjector{random: rand.New(rand.NewPCG(1, 2)), outage: make(chan struct{})}
 	f.set(StoreFaults{WritesPerSecond: DefaultWritesPerSecond, ReadsPerSecond: DefaultReadsPerSecond})
 	return f
 }
@@ -101,13 +101,13 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond*burstSeconds)))
 }
 
-func (f *storeFaults) get() StoreFaults {
+func (f *storeFaultInjector) get() StoreFaults {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.faults
 }
 
-func (f *storeFaults) set(faults StoreFaults) {
+func (f *storeFaultInjector) set(faults StoreFaults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if faults.WritesPerSecond != f.faults.WritesPerSecond {
@@ -125,13 +125,13 @@
 	f.faults = faults
 }
 
-func (f *storeFaults) counted() StoreCounts {
+func (f *storeFaultInjector) copyCounts() StoreCounts {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.counts
 }
 
-func (f *storeFaults) interrupted() <-chan struct{} {
+func (f *storeFaultInjector) outageStarted() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.outage
@@ -139,7 +139,7 @@
 
 // begin counts a call and returns 200 when it is to be carried out, or the status
 // of a call that isn't.
-func (f *storeFaults) begin(call storeCall) (StoreFaults, int) {
+func (f *storeFaultInjector) begin(call storeCall) (StoreFaults, int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	limiter := f.reads
@@ -154,12 +154,12 @@
 		f.counts.OverRate++
 		return f.faults, http.StatusTooManyRequests
 	}
-	*f.counts.of(call)++
+	*f.counts.counter(call)++
 	return f.faults, http.StatusOK
 }
 
 // losesAnswer decides whether the answer of a write is lost.
-func (f *storeFaults) losesAnswer() bool {
+func (f *storeFaultInjector) losesAnswer() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
@@ -173,7 +173,7 @@
 }
 
 // readTime returns the time as of which a read is answered.
-func (f *storeFaults) readTime() time.Time {
+func (f *storeFaultInjector) readTime() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
--- a/internal/standin/store_http.go
+++ b/internal/standin/store_http.go
@@ -23,12 +23,12 @@
 // Store is a stand-in of the platform's key-value service.
 type Store struct {
 	keys   *keyspace
-	faults *storeFaults
+	faults *storeFaultInjector
 }
 
 // NewStore returns an empty store with the platform's rate limits.
 func NewStore() *Store {
-	return &Store{keys: newKeyspace(), faults: newStoreFaults()}
+	return &Store{keys: newKeyspace(), faults: newStoreFaultInjector()}
 }
 
 // Faults returns the faults in force.
@@ -39,8 +39,8 @@
 
 // Counts returns the calls so far by type.
 func (s *Store) Counts() StoreCounts {
-	counts := s.faults.counted()
-	counts.WaitingWatches = s.keys.waiting()
+	counts := s.faults.copyCounts()
+	counts.WaitingWatches = s.keys.waitingWatches()
 	return counts
 }
 
@@ -51,19 +51,19 @@
 	router.HandleFunc(PathCounts, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, s.Counts()) })
 	key := store.PathKeys + "{key:.+}"
 	lease := store.PathLeases + "/{lease:[0-9]+}"
-	router.HandleFunc(key, s.guard(callGet, s.get)).Methods(http.MethodGet)
-	router.HandleFunc(key, s.guard(callWrite, s.write)).Methods(http.MethodPut)
-	router.HandleFunc(key, s.guard(callDelete, s.remove)).Methods(http.MethodDelete)
-	router.HandleFunc(store.PathList, s.guard(callList, s.list)).Methods(http.MethodGet)
-	router.HandleFunc(store.PathWatch, s.guard(callWatch, s.watch)).Methods(http.MethodGet)
-	router.HandleFunc(store.PathLeases, s.guard(callGrant, s.grant)).Methods(http.MethodPost)
-	router.HandleFunc(lease+store.KeepAliveSuffix, s.guard(callKeepAlive, s.keepAlive)).Methods(http.MethodPost)
-	router.HandleFunc(lease, s.guard(callRevoke, s.revoke)).Methods(http.MethodDelete)
+	router.HandleFunc(key, s.withFaults(callGet, s.get)).Methods(http.MethodGet)
+	router.HandleFunc(key, s.withFaults(callWrite, s.write)).Methods(http.MethodPut)
+	router.HandleFunc(key, s.withFaults(callDelete, s.remove)).Methods(http.MethodDelete)
+	router.HandleFunc(store.PathList, s.withFaults(callList, s.list)).Methods(http.MethodGet)
+	router.HandleFunc(store.PathWatch, s.withFaults(callWatch, s.watch)).Methods(http.MethodGet)
+	router.HandleFunc(store.PathLeases, s.withFaults(callGrant, s.grant)).Methods(http.MethodPost)
+	router.HandleFunc(lease+store.KeepAliveSuffix, s.withFaults(callKeepAlive, s.keepAlive)).Methods(http.MethodPost)
+	router.HandleFunc(lease, s.withFaults(callRevoke, s.revoke)).Methods(http.MethodDelete)
 	return router
 }
 
 // guard applies rate limits and faults around a call.
-func (s *Store) guard(call storeCall, serve http.HandlerFunc) http.HandlerFunc {
+func (s *Store) withFaults(call storeCall, serve http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		faults, status := s.faults.begin(call)
 		if !clock.Sleep(r.Context(), faults.delay()) {
@@ -89,23 +89,23 @@
 func (d discardWriter) Write(p []byte) (int, error) { return len(p), nil }
 func (d discardWriter) WriteHeader(int)             {}
 
-func keyOf(r *http.Request) string {
+func keyParam(r *http.Request) string {
 	return strings.TrimPrefix(r.URL.Path, store.PathKeys)
 }
 
 // number reads a query parameter, 0 when it is absent or malformed.
-func number(r *http.Request, name string) int64 {
+func intParam(r *http.Request, name string) int64 {
 	n, _ := strconv.ParseInt(r.URL.Query().Get(name), 10, 64)
 	return n
 }
 
-func leaseOf(r *http.Request) store.LeaseID {
+func leaseParam(r *http.Request) store.LeaseID {
 	id, _ := strconv.ParseInt(mux.Vars(r)["lease"], 10, 64)
 	return store.LeaseID(id)
 }
 
 func (s *Store) get(w http.ResponseWriter, r *http.Request) {
-	entry, ok := s.keys.get(keyOf(r), s.faults.readTime())
+	entry, ok := s.keys.get(keyParam(r), s.faults.readTime())
 	if !ok {
 		w.WriteHeader(http.StatusNotFound)
 		return
@@ -114,7 +114,7 @@
 }
 
 func (s *Store) list(w http.ResponseWriter, r *http.Request) {
-	limit := int(number(r, store.ParamLimit))
+	limit := int(intParam(r, store.ParamLimit))
 	if limit <= 0 {
 		limit = defaultListLimit
 	}
@@ -141,14 +141,14 @@
 		w.WriteHeader(http.StatusRequestEntityTooLarge)
 		return
 	}
-	lease := store.LeaseID(number(r, store.ParamLease))
-	entry := store.Entry{Key: keyOf(r), Value: value, Lease: lease}
-	version, err := s.keys.write(entry, store.Version(number(r, store.ParamExpect)))
+	lease := store.LeaseID(intParam(r, store.ParamLease))
+	entry := store.Entry{Key: keyParam(r), Value: value, Lease: lease}
+	version, err := s.keys.write(entry, store.Version(intParam(r, store.ParamExpect)))
 	writeResult(w, err, store.WireWrite{Version: version})
 }
 
 func (s *Store) remove(w http.ResponseWriter, r *http.Request) {
-	err := s.keys.remove(keyOf(r), store.Version(number(r, store.ParamExpect)))
+	err := s.keys.remove(keyParam(r), store.Version(intParam(r, store.ParamExpect)))
 	writeResult(w, err, store.WireWrite{})
 }
 
@@ -169,16 +169,16 @@
 // version that it started from.
 func (s *Store) watch(w http.ResponseWriter, r *http.Request) {
 	prefix := r.URL.Query().Get(store.ParamPrefix)
-	after := store.Version(number(r, store.ParamAfter))
+	after := store.Version(intParam(r, store.ParamAfter))
 	result, waiting := s.keys.changes(prefix, after)
 	if waiting != nil {
-		if !s.waitFor(r, waiting) {
+		if !s.waitForChange(r, waiting) {
 			writeJSON(w, http.StatusOK, store.WireWatch{Version: after})
 			return
 		}
 		result, waiting = s.keys.changes(prefix, after)
 		if waiting != nil {
-			s.keys.forget(waiting)
+			s.keys.cancelWatch(waiting)
 		}
 	}
 	changed := wireEntries(result.Changed)
@@ -186,8 +186,8 @@
 }
 
 // waitFor returns true when the watcher was woken before its time ended.
-func (s *Store) waitFor(r *http.Request, waiting *watcher) bool {
-	wait := time.Duration(number(r, store.ParamWaitMS)) * time.Millisecond
+func (s *Store) waitForChange(r *http.Request, waiting *watcher) bool {
+	wait := time.Duration(intParam(r, store.ParamWaitMS)) * time.Millisecond
 	if wait <= 0 {
 		wait = defaultWatchWait
 	}
@@ -198,27 +198,27 @@
 		return true
 	case <-timer.C:
 	case <-r.Context().Done():
-	case <-s.faults.interrupted():
-		s.keys.forget(waiting)
+	case <-s.faults.outageStarted():
+		s.keys.cancelWatch(waiting)
 		panic(http.ErrAbortHandler) // an outage also ends waiting watches
 	}
-	s.keys.forget(waiting)
+	s.keys.cancelWatch(waiting)
 	return false
 }
 
 func (s *Store) grant(w http.ResponseWriter, r *http.Request) {
-	var wanted store.WireGrant
-	if !readJSON(w, r, &wanted) {
+	var request store.WireGrant
+	if !readJSON(w, r, &request) {
 		return
 	}
-	lease := s.keys.grantLease(time.Duration(wanted.TTLMS) * time.Millisecond)
+	lease := s.keys.grantLease(time.Duration(request.TTLMS) * time.Millisecond)
 	writeJSON(w, http.StatusOK, store.WireLease{Lease: lease})
 }
 
 func (s *Store) keepAlive(w http.ResponseWriter, r *http.Request) {
-	writeResult(w, s.keys.keepAlive(leaseOf(r)), store.WireLease{Lease: leaseOf(r)})
+	writeResult(w, s.keys.keepAlive(leaseParam(r)), store.WireLease{Lease: leaseParam(r)})
 }
 
 func (s *Store) revoke(w http.ResponseWriter, r *http.Request) {
-	writeResult(w, s.keys.endLease(leaseOf(r)), store.WireLease{Lease: leaseOf(r)})
+	writeResult(w, s.keys.endLease(leaseParam(r)), store.WireLease{Lease: leaseParam(r)})
 }
--- a/internal/standin/store_test.go
+++ b/internal/standin/store_test.go
@@ -96,7 +96,7 @@
 
 // Guards against a lost answer whose write did not take effect, and against a
 // refused call that did.
-func TestFaultsSayTheTruth(t *testing.T) {
+func TestStoreFaultsMatchTheirEffects(t *testing.T) {
 	s := startStore(t)
 	faults := s.Faults()
 	s.Assert(s.call(http.MethodPut, PathFaults, `{"lose_next": 1}`, nil), qt.Equals, http.StatusOK)
@@ -130,24 +130,24 @@
 
 // Guards against a watch that misses the end of a lease or a change that came
 // before it waits.
-func TestWatchSeesLeaseEnd(t *testing.T) {
+func TestWatchReportsLeaseEnd(t *testing.T) {
 	s := startStore(t)
 	var lease store.WireLease
 	s.call(http.MethodPost, "/v1/leases", `{"ttl_ms": 60000}`, &lease)
 	s.call(http.MethodPut, fmt.Sprintf("/v1/kv/w/k?expect=0&lease=%d", lease.Lease), "v", nil)
-	var seen store.WireWatch
-	s.call(http.MethodGet, "/v1/watch?prefix=w/&after=0", "", &seen)
-	s.Assert(seen.Changed, qt.HasLen, 1)
-	s.Assert(seen.Changed[0].Lease, qt.Equals, lease.Lease)
+	var first store.WireWatch
+	s.call(http.MethodGet, "/v1/watch?prefix=w/&after=0", "", &first)
+	s.Assert(first.Changed, qt.HasLen, 1)
+	s.Assert(first.Changed[0].Lease, qt.Equals, lease.Lease)
 
 	unchanged := store.WireWatch{}
-	s.call(http.MethodGet, fmt.Sprintf("/v1/watch?prefix=w/&after=%d&wait_ms=1", seen.Version), "", &unchanged)
-	s.Assert(unchanged, qt.DeepEquals, store.WireWatch{Version: seen.Version})
+	s.call(http.MethodGet, fmt.Sprintf("/v1/watch?prefix=w/&after=%d&wait_ms=1", first.Version), "", &unchanged)
+	s.Assert(unchanged, qt.DeepEquals, store.WireWatch{Version: first.Version})
 
 	deleted := make(chan store.WireWatch)
 	go func() {
 		var next store.WireWatch
-		s.call(http.MethodGet, fmt.Sprintf("/v1/watch?prefix=w/&after=%d", seen.Version), "", &next)
+		s.call(http.MethodGet, fmt.Sprintf("/v1/watch?prefix=w/&after=%d", first.Version), "", &next)
 		deleted <- next
 	}()
 	for s.Counts().WaitingWatches == 0 {
@@ -166,10 +166,10 @@
 	s := startStore(t)
 	ended := make(chan int)
 	go func() { ended <- s.call(http.MethodGet, "/v1/watch?prefix=w/&after=0", "", nil) }()
-	for s.keys.waiting() == 0 {
+	for s.keys.waitingWatches() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	s.call(http.MethodPut, PathFaults, `{"outage": true}`, nil)
 	s.Assert(<-ended, qt.Equals, 0)
-	s.Assert(s.keys.waiting(), qt.Equals, 0)
+	s.Assert(s.keys.waitingWatches(), qt.Equals, 0)
 }
