--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -23,18 +23,18 @@
 // The demo stays under 30 s: no request starts after sendLimit, none runs longer
 // than timeLimit, and the stop of the instances has a deadline of its own.
 const (
-	sendLimit = 10 * time.Second
-	timeLimit = 23 * time.Second
+	sendPeriod  = 10 * time.Second
+	demoTimeout = 23 * time.Second
 )
 
 // callersPerDeployment is the number of requests on their way at once.
 const callersPerDeployment = 24
 
 // slowdown is the factor by which one engine is slow for a while.
-const slowdown = 5
+const slowdownFactor = 5
 
 // seed is that of the order of requests.
-const seed = 1
+const requestOrderSeed = 1
 
 // Run serves the requests of all example deployments.
 func Run(ctx context.Context, logger *slog.Logger) (*Report, error) {
@@ -44,7 +44,7 @@
 		return nil, fmt.Errorf("demo: %w", err)
 	}
 	defer os.RemoveAll(folder)
-	ctx, cancel := context.WithTimeout(ctx, timeLimit)
+	ctx, cancel := context.WithTimeout(ctx, demoTimeout)
 	defer cancel()
 
 	report := &Report{Kinds: map[string]*traffic.Counts{}}
@@ -52,26 +52,26 @@
 	var group errgroup.Group
 	for _, name := range examples.Deployments() {
 		group.Go(func() error {
-			d, results, err := serve(ctx, name, folder, logger)
+			d, results, err := runDeployment(ctx, name, folder, logger)
 			if err != nil {
 				return fmt.Errorf("demo of %s: %w", name, err)
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			report.Instances += d.instances
-			report.collect(d, results)
+			report.Instances += d.instanceCount
+			report.countRequests(d, results)
 			return nil
 		})
 	}
 	err = group.Wait()
-	report.total()
+	report.sumKinds()
 	report.Seconds = time.Since(started).Seconds()
 	return report, err
 }
 
 // serve starts one deployment, sends its requests and stops it. The records are
 // complete once the deployment has stopped.
-func serve(ctx context.Context, name, folder string, logger *slog.Logger) (*deployment, []traffic.Exchange, error) {
+func runDeployment(ctx context.Context, name, folder string, logger *slog.Logger) (*deployment, []traffic.Exchange, error) {
 	folder, err := unpack(name, folder)
 	if err != nil {
 		return nil, nil, err
@@ -80,18 +80,18 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	results := d.send(ctx, traffic.Plan(d.cluster.Set, rand.New(rand.NewPCG(seed, 1)), ""))
+	results := d.send(ctx, traffic.Plan(d.cluster.Set, rand.New(rand.NewPCG(requestOrderSeed, 1)), ""))
 	return d, results, d.stop()
 }
 
 // collect counts the requests of a deployment.
-func (r *Report) collect(d *deployment, results []traffic.Exchange) {
+func (r *Report) countRequests(d *deployment, results []traffic.Exchange) {
 	v := traffic.NewVerifier(d.cluster.Set, d.cluster.Runs())
 	for _, s := range results {
 		counts := v.Count(s)
-		r.kind(d.name, s.Kind.Name).Add(counts)
+		r.countsOf(d.name, s.Kind.Name).Add(counts)
 		if counts.Violations() > 0 {
-			r.note(d.name, s)
+			r.addViolation(d.name, s)
 		}
 	}
 }
@@ -105,13 +105,13 @@
 	group.SetLimit(callersPerDeployment)
 	started := time.Now()
 	for i, r := range requests {
-		if time.Since(started) > sendLimit {
+		if time.Since(started) > sendPeriod {
 			results = results[:i]
 			break
 		}
-		d.disturb(i, len(requests))
+		d.injectFaults(i, len(requests))
 		group.Go(func() error {
-			results[i] = traffic.Exchange{Request: r, Answers: d.sendAll(ctx, c, i, r)}
+			results[i] = traffic.Exchange{Request: r, Answers: d.sendWithRepeats(ctx, c, i, r)}
 			return nil
 		})
 	}
@@ -121,14 +121,14 @@
 
 // sendAll sends a request and its repeats. Every other traffic.Request is repeated while
 // it runs, the rest after its answer; each time at another instance.
-func (d *deployment) sendAll(ctx context.Context, c *traffic.Client, i int, r traffic.Request) []traffic.Answer {
+func (d *deployment) sendWithRepeats(ctx context.Context, c *traffic.Client, position int, r traffic.Request) []traffic.Answer {
 	answers := make([]traffic.Answer, r.Repeats+1)
 	var group errgroup.Group
-	if i%2 == 0 {
+	if position%2 == 0 {
 		group.SetLimit(1)
 	}
 	for n := range answers {
-		address := d.addresses[(i+n)%len(d.addresses)]
+		address := d.callerAddresses[(position+n)%len(d.callerAddresses)]
 		group.Go(func() error {
 			answers[n] = c.Send(ctx, address, r)
 			return nil
@@ -141,11 +141,11 @@
 // disturb makes stand-ins misbehave while requests are sent: at a quarter of them
 // an engine becomes slow, a server leaves and single answers go wrong, at three
 // quarters the slow engine recovers.
-func (d *deployment) disturb(i, total int) {
+func (d *deployment) injectFaults(position, total int) {
 	servers := d.cluster.Servers
-	switch i {
+	switch position {
 	case total / 4:
-		servers[0].Backend().SetSlowdown(slowdown)
+		servers[0].Backend().SetSlowdown(slowdownFactor)
 		servers[1].Backend().SetFaults(standin.BackendFaults{Next: map[standin.Fault]int{
 			standin.FaultHalf: 1, standin.FaultCrossed: 1, standin.FaultRefuse: 1,
 		}})
--- a/internal/demo/deployment.go
+++ b/internal/demo/deployment.go
@@ -21,7 +21,7 @@
 )
 
 // speed divides the times of the stand-ins, so that the demo is short.
-const speed = 80
+const speedFactor = 80
 
 // startAttempts bounds the starts of an instance whose ports another process took
 // between the search and the start.
@@ -40,9 +40,9 @@
 	cluster *standin.Cluster
 	apps    []*fx.App
 	// addresses serve callers, admins readiness.
-	addresses, admins []string
+	callerAddresses, adminAddresses []string
 	// instances is the number of entry instances that served.
-	instances int
+	instanceCount int
 }
 
 // unpack writes the embedded files of a deployment into a folder.
@@ -57,22 +57,22 @@
 
 // start starts an example from a folder.
 func start(ctx context.Context, name, folder string, logger *slog.Logger) (*deployment, error) {
-	cluster, err := standin.StartCluster(standin.ClusterConfig{Folder: folder, Speed: speed})
+	cluster, err := standin.StartCluster(standin.ClusterConfig{Folder: folder, Speed: speedFactor})
 	if err != nil {
 		return nil, err
 	}
 	d := &deployment{name: name, cluster: cluster}
 	for range startAttempts {
-		err = d.startEntries(ctx, folder, logger)
+		err = d.startInstances(ctx, folder, logger)
 		if err == nil {
 			return d, nil
 		}
-		d.stopEntries()
+		d.stopInstances()
 	}
 	return nil, errors.Join(err, d.stop())
 }
 
-func (d *deployment) startEntries(ctx context.Context, folder string, logger *slog.Logger) error {
+func (d *deployment) startInstances(ctx context.Context, folder string, logger *slog.Logger) error {
 	entries, err := d.cluster.EntrySettings(folder, 1, d.cluster.PortAllocator())
 	if err != nil {
 		return err
@@ -80,15 +80,15 @@
 	for _, e := range entries {
 		e.DrainGraceMS = 1
 		e.ShutdownDeadlineMS = shutdownDeadline.Milliseconds()
-		if err := d.startEntry(ctx, e, logger); err != nil {
+		if err := d.startInstance(ctx, e, logger); err != nil {
 			return fmt.Errorf("start %s: %w", e.Instance, err)
 		}
 	}
-	d.instances = len(entries)
+	d.instanceCount = len(entries)
 	return d.waitReady(ctx)
 }
 
-func (d *deployment) startEntry(ctx context.Context, e settings.Entry, logger *slog.Logger) error {
+func (d *deployment) startInstance(ctx context.Context, e settings.Entry, logger *slog.Logger) error {
 	app := entry.New(e, logger)
 	if err := app.Start(ctx); err != nil {
 		return err
@@ -98,27 +98,27 @@
 		FailureDomain: e.FailureDomain, State: platform.StateLive,
 	})
 	d.apps = append(d.apps, app)
-	d.addresses = append(d.addresses, e.CallerAddress)
-	d.admins = append(d.admins, e.AdminAddress)
+	d.callerAddresses = append(d.callerAddresses, e.CallerAddress)
+	d.adminAddresses = append(d.adminAddresses, e.AdminAddress)
 	return nil
 }
 
 // waitReady waits until every instance says that it is ready.
 func (d *deployment) waitReady(ctx context.Context) error {
-	for _, admin := range d.admins {
-		for !ready(ctx, admin) {
+	for _, address := range d.adminAddresses {
+		for !isReady(ctx, address) {
 			select {
 			case <-time.After(pollInterval):
 			case <-ctx.Done():
-				return fmt.Errorf("instance at %s isn't ready: %w", admin, ctx.Err())
+				return fmt.Errorf("instance at %s isn't ready: %w", address, ctx.Err())
 			}
 		}
 	}
 	return nil
 }
 
-func ready(ctx context.Context, admin string) bool {
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+admin+"/readyz", nil)
+func isReady(ctx context.Context, adminAddress string) bool {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+adminAddress+"/readyz", nil)
 	if err != nil {
 		return false
 	}
@@ -131,17 +131,17 @@
 	return response.StatusCode == http.StatusOK || response.StatusCode == http.StatusNotFound
 }
 
-func (d *deployment) stopEntries() error {
+func (d *deployment) stopInstances() error {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownDeadline)
 	defer cancel()
 	var errs []error
 	for _, app := range d.apps {
 		errs = append(errs, app.Stop(ctx))
 	}
-	d.apps, d.addresses, d.admins = nil, nil, nil
+	d.apps, d.callerAddresses, d.adminAddresses = nil, nil, nil
 	return errors.Join(errs...)
 }
 
 func (d *deployment) stop() error {
-	return errors.Join(d.stopEntries(), d.cluster.Close())
+	return errors.Join(d.stopInstances(), d.cluster.Close())
 }
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -16,27 +16,27 @@
 	// Kinds holds the counts by deployment and request kind, as "tavares/dossier".
 	Kinds map[string]*traffic.Counts `json:"kinds"`
 	// Faults describes the first requests whose counts must be 0 and are not.
-	Faults    []string `json:"faults,omitempty"`
-	Instances int      `json:"instances"`
-	Seconds   float64  `json:"seconds"`
+	ViolationDetails []string `json:"faults,omitempty"`
+	Instances        int      `json:"instances"`
+	Seconds          float64  `json:"seconds"`
 }
 
 // maxFaults bounds the descriptions in a report.
-const maxFaults = 10
+const maxViolations = 10
 
 // note adds the description of a request with a fault.
-func (r *Report) note(deployment string, s traffic.Exchange) {
-	if len(r.Faults) == maxFaults {
+func (r *Report) addViolation(deployment string, s traffic.Exchange) {
+	if len(r.ViolationDetails) == maxViolations {
 		return
 	}
-	fault := deployment + "/" + s.Kind.Name + " " + s.ID + ":"
+	description := deployment + "/" + s.Kind.Name + " " + s.ID + ":"
 	for _, answer := range s.Answers {
-		fault += fmt.Sprintf(" [%s %s, %d bytes]", answer.Outcome, answer.Detail, len(answer.Body))
+		description += fmt.Sprintf(" [%s %s, %d bytes]", answer.Outcome, answer.Detail, len(answer.Body))
 	}
-	r.Faults = append(r.Faults, fault)
+	r.ViolationDetails = append(r.ViolationDetails, description)
 }
 
-func (r *Report) kind(deployment, kind string) *traffic.Counts {
+func (r *Report) countsOf(deployment, kind string) *traffic.Counts {
 	name := deployment + "/" + kind
 	if r.Kinds[name] == nil {
 		r.Kinds[name] = &traffic.Counts{}
@@ -45,7 +45,7 @@
 }
 
 // total sums the kinds up.
-func (r *Report) total() {
+func (r *Report) sumKinds() {
 	r.Counts = traffic.Counts{}
 	for _, counts := range r.Kinds {
 		r.Counts.Add(*counts)
@@ -63,8 +63,8 @@
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	for _, fault := range r.Faults {
-		fmt.Fprintln(w, fault)
+	for _, description := range r.ViolationDetails {
+		fmt.Fprintln(w, description)
 	}
 	_, err := fmt.Fprintf(w, "\n%d entry instances, %d streams, %d repeated keys, %.1f s\n",
 		r.Instances, r.Streams, r.RepeatedKeys, r.Seconds)
--- a/internal/traffic/client.go
+++ b/internal/traffic/client.go
@@ -24,7 +24,7 @@
 const pollInterval = 50 * time.Millisecond
 
 // askTimeout bounds one question about a durable request.
-const askTimeout = 2 * time.Second
+const statusTimeout = 2 * time.Second
 
 // Answer is what a caller got.
 type Answer struct {
@@ -41,7 +41,7 @@
 	Detail string
 }
 
-func lost(err error) Answer {
+func lostAnswer(err error) Answer {
 	return Answer{Detail: err.Error()}
 }
 
@@ -58,7 +58,7 @@
 	url := fmt.Sprintf("http://%s/v1/organisations/%s/pipelines/%s/kinds/%s", address, r.Organisation, r.Pipeline, r.Kind.Name)
 	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(r.Body))
 	if err != nil {
-		return lost(err)
+		return lostAnswer(err)
 	}
 	httpRequest.Header.Set("Content-Type", "application/json")
 	if r.Key != "" {
@@ -72,7 +72,7 @@
 	}
 	response, err := c.HTTP.Do(httpRequest)
 	if err != nil {
-		return lost(err)
+		return lostAnswer(err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode == http.StatusAccepted {
@@ -80,14 +80,14 @@
 		answer.Location = response.Header.Get("Location")
 		return answer
 	}
-	return read(response)
+	return readAnswer(response)
 }
 
 // poll asks for the answer of an accepted durable request until there is one. Any
 // other end than a completed one is a loss.
 func (c *Client) poll(ctx context.Context, address, location string) Answer {
 	for {
-		got, pending := c.ask(ctx, "http://"+address+location)
+		got, pending := c.fetchStatus(ctx, "http://"+address+location)
 		if c.PollAddress != nil {
 			address = c.PollAddress()
 			pending = pending || got.Outcome == ""
@@ -96,27 +96,27 @@
 		case got.Outcome == entry.OutcomeCompleted:
 			return got
 		case !pending:
-			return lost(fmt.Errorf("accepted, then outcome %q: %s", got.Outcome, got.Detail))
+			return lostAnswer(fmt.Errorf("accepted, then outcome %q: %s", got.Outcome, got.Detail))
 		}
 		select {
 		case <-time.After(pollInterval):
 		case <-ctx.Done():
-			return lost(fmt.Errorf("accepted as %s: %w", location, ctx.Err()))
+			return lostAnswer(fmt.Errorf("accepted as %s: %w", location, ctx.Err()))
 		}
 	}
 }
 
 // ask returns the answer of a durable request, or true while there is none.
-func (c *Client) ask(ctx context.Context, url string) (Answer, bool) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (c *Client) fetchStatus(ctx context.Context, url string) (Answer, bool) {
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return lost(err), false
+		return lostAnswer(err), false
 	}
 	response, err := c.HTTP.Do(httpRequest)
 	if err != nil {
-		return lost(err), false
+		return lostAnswer(err), false
 	}
 	defer response.Body.Close()
 	switch response.StatusCode {
@@ -125,7 +125,7 @@
 	case http.StatusOK:
 		return readStatus(response.Body)
 	}
-	return read(response), false
+	return readAnswer(response), false
 }
 
 // readStatus returns the answer that the status of a durable request holds, or
@@ -133,7 +133,7 @@
 func readStatus(body io.Reader) (Answer, bool) {
 	var status entry.JobStatus
 	if err := json.NewDecoder(body).Decode(&status); err != nil {
-		return lost(fmt.Errorf("status: %w", err)), false
+		return lostAnswer(fmt.Errorf("status: %w", err)), false
 	}
 	if status.State != job.StateFinished {
 		return Answer{}, true
@@ -142,7 +142,7 @@
 }
 
 // read returns the final answer that a response holds.
-func read(response *http.Response) Answer {
+func readAnswer(response *http.Response) Answer {
 	contentType := response.Header.Get("Content-Type")
 	if strings.HasPrefix(contentType, "text/event-stream") {
 		return readStream(response.Body)
@@ -150,14 +150,14 @@
 	// The answer has its length, so that a cut-off one is an error here.
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return lost(err)
+		return lostAnswer(err)
 	}
 	if strings.HasPrefix(contentType, "application/problem+json") {
 		return readProblem(body)
 	}
 	outcome := entry.Outcome(response.Header.Get(entry.HeaderOutcome))
 	if outcome != entry.OutcomeCompleted {
-		return lost(fmt.Errorf("status %d with outcome %q: %.200s", response.StatusCode, outcome, body))
+		return lostAnswer(fmt.Errorf("status %d with outcome %q: %.200s", response.StatusCode, outcome, body))
 	}
 	return Answer{Outcome: outcome, Body: plainText(body)}
 }
@@ -177,44 +177,44 @@
 		SHA256 string `json:"sha256"`
 	}
 	if err := json.Unmarshal(body, &problem); err != nil {
-		return lost(fmt.Errorf("problem: %w", err))
+		return lostAnswer(fmt.Errorf("problem: %w", err))
 	}
 	return Answer{Outcome: problem.Outcome, Digest: problem.SHA256, Detail: problem.Error()}
 }
 
 // errNoEnd reports a stream that stopped without its end mark.
-var errNoEnd = errors.New("stream has no end mark")
+var errNoEndEvent = errors.New("stream has no end mark")
 
 // readStream reads a streamed answer up to its end mark.
 func readStream(body io.Reader) Answer {
 	var text bytes.Buffer
 	for event, err := range sse.Read(body, &sse.ReadConfig{MaxEventSize: maxEventBytes}) {
 		if err != nil {
-			return lost(err)
+			return lostAnswer(err)
 		}
 		switch event.Type {
 		case entry.EventData:
-			var piece string
-			if err := json.Unmarshal([]byte(event.Data), &piece); err != nil {
-				return lost(err)
+			var chunk string
+			if err := json.Unmarshal([]byte(event.Data), &chunk); err != nil {
+				return lostAnswer(err)
 			}
-			text.WriteString(piece)
+			text.WriteString(chunk)
 		case entry.EventError:
 			return readProblem([]byte(event.Data))
 		case entry.EventEnd:
-			return endOfStream(event.Data, text.Bytes())
+			return readEndEvent(event.Data, text.Bytes())
 		}
 	}
-	return lost(errNoEnd)
+	return lostAnswer(errNoEndEvent)
 }
 
-func endOfStream(data string, text []byte) Answer {
+func readEndEvent(data string, text []byte) Answer {
 	var end entry.StreamEnd
 	if err := json.Unmarshal([]byte(data), &end); err != nil {
-		return lost(err)
+		return lostAnswer(err)
 	}
 	if end.Bytes != int64(len(text)) {
-		return lost(fmt.Errorf("%d of %d bytes arrived", len(text), end.Bytes))
+		return lostAnswer(fmt.Errorf("%d of %d bytes arrived", len(text), end.Bytes))
 	}
 	return Answer{Outcome: end.Outcome, Body: text}
 }
--- a/internal/traffic/plan.go
+++ b/internal/traffic/plan.go
@@ -13,11 +13,11 @@
 	interactiveRequests = 120
 	normalRequests      = 40
 	longRequests        = 6
-	onceRequests        = 60
+	atMostOnceRequests  = 60
 	// repeatEvery is the distance of keys that are sent again.
-	repeatEvery = 3
+	repeatInterval = 3
 	// streamEvery is the distance of streamed requests.
-	streamEvery = 2
+	streamInterval = 2
 )
 
 // Lengths of generated answers in bytes.
@@ -59,7 +59,7 @@
 	for i := range set.Pipelines {
 		p := &set.Pipelines[i]
 		for _, kind := range p.Kinds {
-			for n := range amount(kind) {
+			for n := range requestCount(kind) {
 				organisation := set.Deployment.Organisations[len(requests)%len(set.Deployment.Organisations)]
 				requests = append(requests, newRequest(p, kind, organisation.Name, prefix, n))
 			}
@@ -69,10 +69,10 @@
 	return requests
 }
 
-func amount(kind pipeline.Kind) int {
+func requestCount(kind pipeline.Kind) int {
 	switch {
 	case kind.AtMostOnce():
-		return onceRequests
+		return atMostOnceRequests
 	case kind.Class == pipeline.ClassInteractive:
 		return interactiveRequests
 	case kind.Class == pipeline.ClassLong:
@@ -101,11 +101,11 @@
 		length = longAnswerBytes + n
 	case kind.AtMostOnce():
 		r.Key = "key-" + r.ID
-		if n%repeatEvery == 0 {
+		if n%repeatInterval == 0 {
 			r.Repeats = 1 + n%2
 		}
 	default:
-		r.Stream = r.LastStage == pipeline.StageGenerate && n%streamEvery == 0
+		r.Stream = r.LastStage == pipeline.StageGenerate && n%streamInterval == 0
 	}
 	r.Body, _ = json.Marshal(callerBody{RequestID: r.ID, Text: "request " + r.ID, AnswerBytes: length})
 	return r
--- a/internal/traffic/verify.go
+++ b/internal/traffic/verify.go
@@ -55,7 +55,7 @@
 	if allNotRun && len(v.byRequest[s.ID]) > 0 {
 		counts.NotRunButRan += len(s.Answers)
 	}
-	counts.Doubled = max(0, v.onceRuns(s.Request)-1)
+	counts.Doubled = max(0, v.nonIdempotentRuns(s.Request)-1)
 	return counts
 }
 
@@ -72,12 +72,12 @@
 		counts.Completed++
 		return
 	}
-	switch v.check(s.Request, a.Body) {
-	case answerWhole:
+	switch v.checkBody(s.Request, a.Body) {
+	case answerComplete:
 		counts.Completed++
-	case answerCut:
+	case answerTruncated:
 		counts.Lost++
-	case answerOfAnother:
+	case answerOfOtherRequest:
 		counts.MixedUp++
 	}
 }
@@ -94,15 +94,15 @@
 }
 
 // verdict says what an answer is compared with the records.
-type verdict int
+type answerCheck int
 
 const (
-	answerWhole verdict = iota
-	answerCut
-	answerOfAnother
+	answerComplete answerCheck = iota
+	answerTruncated
+	answerOfOtherRequest
 )
 
-func (v *Verifier) check(r Request, body []byte) verdict {
+func (v *Verifier) checkBody(r Request, body []byte) answerCheck {
 	if r.LastStage == pipeline.StageGenerate {
 		return v.checkText(r, string(body))
 	}
@@ -111,47 +111,47 @@
 
 // checkText compares generated text with what the engine was to generate for the
 // input that the text names.
-func (v *Verifier) checkText(r Request, text string) verdict {
+func (v *Verifier) checkText(r Request, text string) answerCheck {
 	hash, _, _ := strings.Cut(text, "\n")
-	run, ok := v.own(r, hash)
+	run, ok := v.findRun(r, hash)
 	switch {
 	case !ok:
-		return answerOfAnother
+		return answerOfOtherRequest
 	case text == standin.GeneratedText(hash, run.AnswerBytes):
-		return answerWhole
+		return answerComplete
 	case strings.HasPrefix(standin.GeneratedText(hash, run.AnswerBytes), text):
-		return answerCut
+		return answerTruncated
 	}
-	return answerOfAnother
+	return answerOfOtherRequest
 }
 
 // checkDocument compares the answer of a service with the input that the service
 // recorded for the request.
-func (v *Verifier) checkDocument(r Request, body []byte) verdict {
+func (v *Verifier) checkDocument(r Request, body []byte) answerCheck {
 	var document struct {
 		RequestID string          `json:"request_id"`
 		Input     json.RawMessage `json:"input"`
 	}
 	if json.Unmarshal(body, &document) != nil {
-		return answerCut
+		return answerTruncated
 	}
 	var input bytes.Buffer
 	if json.Compact(&input, document.Input) != nil {
-		return answerCut
+		return answerTruncated
 	}
 	sum := sha256.Sum256(input.Bytes())
-	_, ok := v.own(r, hex.EncodeToString(sum[:]))
+	_, ok := v.findRun(r, hex.EncodeToString(sum[:]))
 	if !ok || document.RequestID != r.ID {
-		return answerOfAnother
+		return answerOfOtherRequest
 	}
-	return answerWhole
+	return answerComplete
 }
 
 // own returns the run of a request's last stage with the input hash.
-func (v *Verifier) own(r Request, hash string) (standin.Run, bool) {
+func (v *Verifier) findRun(r Request, hash string) (standin.Run, bool) {
 	for _, run := range v.byInput[hash] {
-		same := run.RequestID == r.ID && run.Organisation == r.Organisation && run.Kind == r.Kind.Name
-		if same && run.Type == r.LastStage {
+		matches := run.RequestID == r.ID && run.Organisation == r.Organisation && run.Kind == r.Kind.Name
+		if matches && run.Type == r.LastStage {
 			return run, true
 		}
 	}
@@ -159,7 +159,7 @@
 }
 
 // onceRuns returns how often the once stage of a request ran.
-func (v *Verifier) onceRuns(r Request) int {
+func (v *Verifier) nonIdempotentRuns(r Request) int {
 	p, ok := v.set.Pipeline(r.Pipeline)
 	if !ok {
 		return 0
--- a/internal/traffic/verify_test.go
+++ b/internal/traffic/verify_test.go
@@ -18,7 +18,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-func run(id string, stage pipeline.StageType) standin.Run {
+func recordedRun(id string, stage pipeline.StageType) standin.Run {
 	return standin.Run{RequestID: id, InputHash: hashOf(id), Type: stage, Pool: string(stage), Organisation: "o", Kind: "k", AnswerBytes: 200}
 }
 
@@ -41,21 +41,21 @@
 		answers []Answer
 		want    Counts
 	}{
-		{"whole document", service, []standin.Run{run("1", service)}, []Answer{completed(document("1"))}, Counts{Completed: 1}},
-		{"whole text", engine, []standin.Run{run("1", engine)}, []Answer{completed(text("1"))}, Counts{Completed: 1}},
+		{"whole document", service, []standin.Run{recordedRun("1", service)}, []Answer{completed(document("1"))}, Counts{Completed: 1}},
+		{"whole text", engine, []standin.Run{recordedRun("1", engine)}, []Answer{completed(text("1"))}, Counts{Completed: 1}},
 		{"no answer", service, nil, []Answer{{}}, Counts{Lost: 1}},
-		{"digest of a delivered answer", service, []standin.Run{run("1", service)}, []Answer{completed(document("1")), {Outcome: entry.OutcomeCompleted, Digest: hashOf(document("1"))}}, Counts{Completed: 2, RepeatedKeys: 1}},
-		{"digest only", service, []standin.Run{run("1", service)}, []Answer{{Outcome: entry.OutcomeCompleted, Digest: hashOf(document("1"))}}, Counts{Lost: 1}},
-		{"cut text", engine, []standin.Run{run("1", engine)}, []Answer{completed(text("1")[:150])}, Counts{Lost: 1}},
-		{"cut document", service, []standin.Run{run("1", service)}, []Answer{completed(document("1")[:9])}, Counts{Lost: 1}},
-		{"other document", service, []standin.Run{run("1", service), run("2", service)}, []Answer{completed(document("2"))}, Counts{MixedUp: 1}},
-		{"other text", engine, []standin.Run{run("1", engine), run("2", engine)}, []Answer{completed(text("2"))}, Counts{MixedUp: 1}},
-		{"text of two", engine, []standin.Run{run("1", engine)}, []Answer{completed(text("1")[:65] + text("2")[:135])}, Counts{MixedUp: 1}},
+		{"digest of a delivered answer", service, []standin.Run{recordedRun("1", service)}, []Answer{completed(document("1")), {Outcome: entry.OutcomeCompleted, Digest: hashOf(document("1"))}}, Counts{Completed: 2, RepeatedKeys: 1}},
+		{"digest only", service, []standin.Run{recordedRun("1", service)}, []Answer{{Outcome: entry.OutcomeCompleted, Digest: hashOf(document("1"))}}, Counts{Lost: 1}},
+		{"cut text", engine, []standin.Run{recordedRun("1", engine)}, []Answer{completed(text("1")[:150])}, Counts{Lost: 1}},
+		{"cut document", service, []standin.Run{recordedRun("1", service)}, []Answer{completed(document("1")[:9])}, Counts{Lost: 1}},
+		{"other document", service, []standin.Run{recordedRun("1", service), recordedRun("2", service)}, []Answer{completed(document("2"))}, Counts{MixedUp: 1}},
+		{"other text", engine, []standin.Run{recordedRun("1", engine), recordedRun("2", engine)}, []Answer{completed(text("2"))}, Counts{MixedUp: 1}},
+		{"text of two", engine, []standin.Run{recordedRun("1", engine)}, []Answer{completed(text("1")[:65] + text("2")[:135])}, Counts{MixedUp: 1}},
 		{"answer without a run", service, nil, []Answer{completed(document("1"))}, Counts{MixedUp: 1}},
-		{"two runs", service, []standin.Run{run("1", service), run("1", service)}, []Answer{completed(document("1"))}, Counts{Completed: 1, Doubled: 1}},
+		{"two runs", service, []standin.Run{recordedRun("1", service), recordedRun("1", service)}, []Answer{completed(document("1"))}, Counts{Completed: 1, Doubled: 1}},
 		{"not run", service, nil, []Answer{notRun}, Counts{NotRun: 1}},
-		{"ran", service, []standin.Run{run("1", service)}, []Answer{notRun}, Counts{NotRun: 1, NotRunButRan: 1}},
-		{"repeat", service, []standin.Run{run("1", service)}, []Answer{completed(document("1")), notRun}, Counts{Completed: 1, NotRun: 1, RepeatedKeys: 1}},
+		{"ran", service, []standin.Run{recordedRun("1", service)}, []Answer{notRun}, Counts{NotRun: 1, NotRunButRan: 1}},
+		{"repeat", service, []standin.Run{recordedRun("1", service)}, []Answer{completed(document("1")), notRun}, Counts{Completed: 1, NotRun: 1, RepeatedKeys: 1}},
 	} {
 		r := Request{ID: "1", Organisation: "o", Pipeline: "p", Kind: pipeline.Kind{Name: "k"}, LastStage: test.last}
 		test.want.Requests = len(test.answers)
