--- a/internal/proof/backend_test.go
+++ b/internal/proof/backend_test.go
@@ -11,26 +11,26 @@
 )
 
 // drainLimit is the time after which a leaving server may get no new work.
-const drainLimit = 3 * time.Second
+const drainPropagationLimit = 3 * time.Second
 
 // Guards against new work at a leaving server from an instance that was not
 // refused itself and sees no list.
-func TestServerLeavesWithoutList(t *testing.T) {
-	f := beginLong(t, "server-leaves")
-	const home = "norte-adega" // has a second server of the pool
-	leaving := f.server("labelling", home)
-	first, second := f.in(home)[0], f.in(home)[1]
-	l := f.startLoad(f.in(home)...)
-	f.wait("runs at the server", func() bool { return len(leaving.Backend().Runs()) > 10 })
-	for _, route := range f.lists {
-		route.cut()
+func TestServerDrainsWithoutInstanceList(t *testing.T) {
+	f := startLongScenario(t, "server-leaves")
+	const serverDomain = "norte-adega" // has a second server of the pool
+	leaving := f.serverIn("labelling", serverDomain)
+	first, second := f.inDomain(serverDomain)[0], f.inDomain(serverDomain)[1]
+	l := f.startLoad(f.inDomain(serverDomain)...)
+	f.waitUntil("runs at the server", func() bool { return len(leaving.Backend().Runs()) > 10 })
+	for _, proxy := range f.listProxies {
+		proxy.blackhole()
 	}
 	l.retarget(first)
-	l.settle()
+	l.waitForRunningRequests()
 	leaving.Backend().SetDraining(true)
-	f.wait("first refusal", func() bool { return slices.Contains(first.status().Peers.Draining, leaving.Member().ID) })
-	learned := time.Now()
-	f.wait("drain limit", func() bool { return time.Since(learned) > drainLimit })
+	f.waitUntil("first refusal", func() bool { return slices.Contains(first.status().Peers.Draining, leaving.Member().ID) })
+	refusedAt := time.Now()
+	f.waitUntil("drain limit", func() bool { return time.Since(refusedAt) > drainPropagationLimit })
 	// From here on the stand-in would run new work, so that its record shows any.
 	leaving.Backend().SetDraining(false)
 	before := len(leaving.Backend().Runs())
@@ -41,7 +41,7 @@
 }
 
 // server returns the first server of a pool in a failure domain.
-func (f *fleet) server(pool, domain string) *standin.Server {
+func (f *fleet) serverIn(pool, domain string) *standin.Server {
 	for _, server := range f.cluster.Pool(pool) {
 		if server.Member().FailureDomain == domain {
 			return server
--- a/internal/proof/burst_test.go
+++ b/internal/proof/burst_test.go
@@ -17,13 +17,13 @@
 }
 
 // some returns n planned requests of some kinds that the callers won't send.
-func (l *load) some(n int, prefix string, kinds func(traffic.Request) bool) *burst {
+func (l *load) newBurst(n int, prefix string, selects func(traffic.Request) bool) *burst {
 	b := &burst{}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for round := 0; len(b.sent) < n; round++ {
 		for _, r := range traffic.Plan(l.f.cluster.Set, l.random, fmt.Sprintf("%s%d-", prefix, round)) {
-			if kinds(r) && len(b.sent) < n {
+			if selects(r) && len(b.sent) < n {
 				b.sent = append(b.sent, traffic.Exchange{Request: r})
 			}
 		}
@@ -33,44 +33,44 @@
 }
 
 // keyed returns n planned at-most-once requests.
-func (l *load) keyed(n int) *burst { return l.some(n, "burst-", atMostOnce) }
+func (l *load) newKeyedBurst(n int) *burst { return l.newBurst(n, "burst-", atMostOnce) }
 
 // startAt sends the requests to one instance, and elsewhere when it breaks the connection.
-func (l *load) startAt(first *instance, b *burst) *sync.WaitGroup {
+func (l *load) sendTo(first *instance, b *burst) *sync.WaitGroup {
 	var group sync.WaitGroup
 	for n, s := range b.sent {
 		group.Go(func() {
-			ctx, cancel := context.WithTimeout(context.Background(), finalLimit)
+			ctx, cancel := context.WithTimeout(context.Background(), finalAnswerTimeout)
 			defer cancel()
-			answer := l.caller.Send(ctx, first.settings.CallerAddress, s.Request)
-			l.note(s.Request, answer)
+			answer := l.client.Send(ctx, first.settings.CallerAddress, s.Request)
+			l.recordProblem(s.Request, answer)
 			if answer.Outcome == "" && answer.Location == "" {
 				b.interrupted[n].Add(1)
 				answer = l.send(s.Request, &b.interrupted[n])
 			}
-			b.add(n, answer)
+			b.addAnswer(n, answer)
 		})
 	}
 	return &group
 }
 
 // repeatElsewhere sends the requests again to ready instances.
-func (l *load) repeatElsewhere(b *burst) {
+func (l *load) resend(b *burst) {
 	var group sync.WaitGroup
 	for n, s := range b.sent {
-		group.Go(func() { b.add(n, l.send(s.Request, &b.interrupted[n])) })
+		group.Go(func() { b.addAnswer(n, l.send(s.Request, &b.interrupted[n])) })
 	}
 	group.Wait()
 }
 
-func (b *burst) add(n int, answer traffic.Answer) {
+func (b *burst) addAnswer(n int, answer traffic.Answer) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.sent[n].Answers = append(b.sent[n].Answers, answer)
 }
 
 // join adds the answers of a finished burst to those of the load.
-func (l *load) join(b *burst) {
+func (l *load) addBurst(b *burst) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for n, s := range b.sent {
@@ -80,7 +80,7 @@
 }
 
 // ran returns the number of runs of the requests.
-func (f *fleet) ran(b *burst) int {
+func (f *fleet) runsOf(b *burst) int {
 	ids := map[string]bool{}
 	for _, s := range b.sent {
 		ids[s.ID] = true
--- a/internal/proof/configuration_change_test.go
+++ b/internal/proof/configuration_change_test.go
@@ -16,29 +16,29 @@
 
 // Guards against commands that don't work together over a whole change of the
 // configuration with a running instance.
-func TestStory(t *testing.T) {
+func TestConfigurationChange(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir:   "testdata",
-		Setup: func(env *testscript.Env) error { return prepareStory(qt.New(t), env) },
-		Cmds:  map[string]func(ts *testscript.TestScript, neg bool, args []string){"reaches": reaches},
+		Setup: func(env *testscript.Env) error { return setUpConfigurationChange(qt.New(t), env) },
+		Cmds:  map[string]func(ts *testscript.TestScript, neg bool, args []string){"eventually": runUntilMatch},
 	})
 }
 
 // prepareStory starts stand-ins and writes the settings of one instance and three
 // versions of the operators' files.
-func prepareStory(c *qt.C, env *testscript.Env) error {
-	cluster, err := standin.StartCluster(standin.ClusterConfig{Folder: folder, Speed: speed})
+func setUpConfigurationChange(c *qt.C, env *testscript.Env) error {
+	cluster, err := standin.StartCluster(standin.ClusterConfig{Folder: exampleFolder, Speed: speedFactor})
 	if err != nil {
 		return err
 	}
 	env.Defer(func() { _ = cluster.Close() }) // the instance may still hold connections
-	f := &fleet{C: c, name: "story", cluster: cluster}
+	f := &fleet{C: c, name: "configuration-change", cluster: cluster}
 	for name, mbits := range map[string]int{"tavares": 30, "ana": 40, "bo": 20} {
-		if err := os.CopyFS(filepath.Join(env.WorkDir, name), os.DirFS(f.variant(mbits))); err != nil {
+		if err := os.CopyFS(filepath.Join(env.WorkDir, name), os.DirFS(f.withLinkCapacity(mbits))); err != nil {
 			return err
 		}
 	}
-	entries, err := cluster.EntrySettings(folder, 1, nextPort)
+	entries, err := cluster.EntrySettings(exampleFolder, 1, nextPort)
 	if err != nil {
 		return err
 	}
@@ -55,11 +55,12 @@
 	return nil
 }
 
-// reaches runs a command until its output matches: reaches PATTERN NAME ARG...
-func reaches(ts *testscript.TestScript, _ bool, args []string) {
+// runUntilMatch runs a command until its output matches a pattern:
+// eventually PATTERN NAME ARG...
+func runUntilMatch(ts *testscript.TestScript, _ bool, args []string) {
 	pattern, err := regexp.Compile(args[0])
 	ts.Check(err)
-	deadline := time.Now().Add(conditionLimit)
+	deadline := time.Now().Add(conditionTimeout)
 	var output []byte
 	for time.Now().Before(deadline) {
 		command := exec.Command(binary, args[2:]...)
--- a/internal/proof/faulty_test.go
+++ b/internal/proof/faulty_test.go
@@ -9,7 +9,7 @@
 // Guards against answers of a faulty server that reach a caller, and against
 // calls that are sent again although they may have run.
 func TestFaultyAnswers(t *testing.T) {
-	f := begin(t, "faulty-answers")
+	f := startScenario(t, "faulty-answers")
 	faults := []standin.Fault{standin.FaultGarbage, standin.FaultHalf, standin.FaultCrossed, standin.FaultError, standin.FaultRefuse}
 	share := map[standin.Fault]float64{standin.FaultTooMuch: 0.002}
 	for _, fault := range faults {
@@ -20,14 +20,14 @@
 	}
 	l := f.startLoad()
 	for _, fault := range append(faults[:4:4], standin.FaultTooMuch) {
-		f.wait(string(fault), func() bool { return f.faulted(fault) > 0 })
+		f.waitUntil(string(fault), func() bool { return f.runsWithFault(fault) > 0 })
 	}
 	l.waitMore(150, atMostOnce)
 	l.verify("garbage, half, crossed, error, refused 2 % each", "too much 0.2 %")
 }
 
 // faulted returns the number of runs that a fault hit.
-func (f *fleet) faulted(fault standin.Fault) int {
+func (f *fleet) runsWithFault(fault standin.Fault) int {
 	n := 0
 	for _, run := range f.cluster.Runs() {
 		if run.Fault == fault {
--- a/internal/proof/fleet_test.go
+++ b/internal/proof/fleet_test.go
@@ -21,14 +21,14 @@
 )
 
 const (
-	folder = "../../examples/tavares"
+	exampleFolder = "../../examples/tavares"
 	// speed divides the times of backend servers.
-	speed = 20
+	speedFactor = 20
 	// perDomain is the number of entry instances of a failure domain.
-	perDomain = 2
+	instancesPerDomain = 2
 	// conditionLimit bounds the wait for a condition. The longest stated target,
 	// 13 s for a configuration, and a start fit in with a wide margin.
-	conditionLimit = 40 * time.Second
+	conditionTimeout = 40 * time.Second
 	// drainGrace lets the load balancer of the load see the readiness withdrawn: it
 	// asks every balanceInterval and waits readinessTimeout at the most.
 	drainGrace = 1500 * time.Millisecond
@@ -37,7 +37,7 @@
 )
 
 // domain is the failure domain that partitions hit. It is the only one of its region.
-const domain = "centro-arm"
+const isolatedDomain = "centro-arm"
 
 // fleet is one deployment: stand-ins in the test process and entry processes.
 type fleet struct {
@@ -46,73 +46,73 @@
 	cluster   *standin.Cluster
 	instances []*instance
 	// stores and lists hold the ways to the store and the instance list by failure domain.
-	stores, lists map[string]*route
-	links         *partition
-	random        *rand.Rand
+	storeProxies, listProxies map[string]*faultProxy
+	partition                 *partition
+	random                    *rand.Rand
 }
 
 // begin starts the fleet of a scenario. Scenarios run in parallel.
-func begin(t *testing.T, name string) *fleet {
+func startScenario(t *testing.T, name string) *fleet {
 	t.Parallel()
-	slots <- struct{}{}
-	t.Cleanup(func() { <-slots })
+	scenarioSlots <- struct{}{}
+	t.Cleanup(func() { <-scenarioSlots })
 	return newFleet(qt.New(t), name)
 }
 
 // beginLong starts the fleet of a scenario that is left out of go test ./..., which
 // is to take less than a minute.
-func beginLong(t *testing.T, name string) *fleet {
+func startLongScenario(t *testing.T, name string) *fleet {
 	if !*all {
 		t.Skip("runs with -all")
 	}
-	return begin(t, name)
+	return startScenario(t, name)
 }
 
 // newFleet starts the deployment with a published configuration and waits until
 // every instance is ready.
 func newFleet(c *qt.C, name string) *fleet {
-	cluster, err := standin.StartCluster(standin.ClusterConfig{Folder: folder, Speed: speed})
+	cluster, err := standin.StartCluster(standin.ClusterConfig{Folder: exampleFolder, Speed: speedFactor})
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() { _ = cluster.Close() }) // connections of killed processes may be broken
-	f := &fleet{C: c, name: name, cluster: cluster, stores: map[string]*route{}, lists: map[string]*route{}, random: randomOf(name, "faults")}
-	f.links = f.newPartition()
-	c.Assert(f.publish(folder, "first"), qt.IsNil)
-	f.configure()
-	f.each(func(i *instance) { i.start() })
+	f := &fleet{C: c, name: name, cluster: cluster, storeProxies: map[string]*faultProxy{}, listProxies: map[string]*faultProxy{}, random: randomOf(name, "faults")}
+	f.partition = f.newPartition()
+	c.Assert(f.publish(exampleFolder, "first"), qt.IsNil)
+	f.writeSettings()
+	f.forEachInstance(func(i *instance) { i.start() })
 	f.waitReady(f.instances...)
 	f.waitPeers()
 	return f
 }
 
 // configure writes the settings of all instances.
-func (f *fleet) configure() {
-	entries, err := f.cluster.EntrySettings(folder, perDomain, nextPort)
+func (f *fleet) writeSettings() {
+	entries, err := f.cluster.EntrySettings(exampleFolder, instancesPerDomain, nextPort)
 	f.Assert(err, qt.IsNil)
 	proxies := newProxies()
 	for i := range entries {
 		e := &entries[i]
-		if f.stores[e.FailureDomain] == nil {
-			f.stores[e.FailureDomain] = newRoute(f.C, proxies, "store-"+e.FailureDomain, f.cluster.StoreAddress)
-			f.lists[e.FailureDomain] = newRoute(f.C, proxies, "list-"+e.FailureDomain, f.cluster.PlatformAddress)
+		if f.storeProxies[e.FailureDomain] == nil {
+			f.storeProxies[e.FailureDomain] = newFaultProxy(f.C, proxies, "store-"+e.FailureDomain, f.cluster.StoreAddress)
+			f.listProxies[e.FailureDomain] = newFaultProxy(f.C, proxies, "list-"+e.FailureDomain, f.cluster.PlatformAddress)
 		}
-		e.StoreAddress, e.PlatformAddress = f.stores[e.FailureDomain].address(), f.lists[e.FailureDomain].address()
+		e.StoreAddress, e.PlatformAddress = f.storeProxies[e.FailureDomain].address(), f.listProxies[e.FailureDomain].address()
 		e.PipelineFiles = ""
 		e.DrainGraceMS = drainGrace.Milliseconds()
 		f.instances = append(f.instances, &instance{C: f.C, settings: *e})
 	}
-	f.join(entries)
+	f.registerInstances(entries)
 	paths, err := standin.WriteSettings(f.TempDir(), entries)
 	f.Assert(err, qt.IsNil)
 	for n, i := range f.instances {
 		i.path = paths[n]
 	}
-	f.Cleanup(func() { f.each(func(i *instance) { i.end() }) })
+	f.Cleanup(func() { f.forEachInstance(func(i *instance) { i.killAndShowLog() }) })
 }
 
 // join makes the instances known to each other by the addresses of their relays.
-func (f *fleet) join(entries []settings.Entry) {
+func (f *fleet) registerInstances(entries []settings.Entry) {
 	for n := range entries {
-		entries[n].AdvertiseAddress = f.links.relay(f.instances[n])
+		entries[n].AdvertiseAddress = f.partition.startRelay(f.instances[n])
 	}
 	for n := range entries {
 		entries[n].Peers = nil
@@ -127,25 +127,25 @@
 	}
 }
 
-func (f *fleet) each(do func(*instance)) {
+func (f *fleet) forEachInstance(visit func(*instance)) {
 	for _, i := range f.instances {
-		do(i)
+		visit(i)
 	}
 }
 
 // in returns the instances of a failure domain.
-func (f *fleet) in(domain string) []*instance {
-	var found []*instance
+func (f *fleet) inDomain(domain string) []*instance {
+	var instances []*instance
 	for _, i := range f.instances {
 		if i.settings.FailureDomain == domain {
-			found = append(found, i)
+			instances = append(instances, i)
 		}
 	}
-	return found
+	return instances
 }
 
 // any returns a random instance.
-func (f *fleet) any() *instance { return f.instances[f.random.IntN(len(f.instances))] }
+func (f *fleet) randomInstance() *instance { return f.instances[f.random.IntN(len(f.instances))] }
 
 // publish runs the publish command on a folder directly at the store.
 func (f *fleet) publish(folder, author string, more ...string) error {
@@ -159,9 +159,9 @@
 }
 
 // variant copies the operators' files with another link capacity.
-func (f *fleet) variant(mbits int) string {
+func (f *fleet) withLinkCapacity(mbits int) string {
 	target := filepath.Join(f.TempDir(), fmt.Sprint(mbits))
-	f.Assert(os.CopyFS(target, os.DirFS(folder)), qt.IsNil)
+	f.Assert(os.CopyFS(target, os.DirFS(exampleFolder)), qt.IsNil)
 	path := filepath.Join(target, "deployment.jsonc")
 	text, err := os.ReadFile(path)
 	f.Assert(err, qt.IsNil)
@@ -171,12 +171,12 @@
 }
 
 // wait waits until a condition holds.
-func (f *fleet) wait(what string, condition func() bool) {
+func (f *fleet) waitUntil(what string, condition func() bool) {
 	f.Helper()
-	deadline := time.Now().Add(conditionLimit)
+	deadline := time.Now().Add(conditionTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			f.Fatalf("%s: %s not reached in %s", f.name, what, conditionLimit)
+			f.Fatalf("%s: %s not reached in %s", f.name, what, conditionTimeout)
 		}
 		time.Sleep(pollInterval)
 	}
@@ -185,7 +185,7 @@
 func (f *fleet) waitReady(instances ...*instance) {
 	f.Helper()
 	for _, i := range instances {
-		f.wait(i.settings.Instance+" ready", i.ready)
+		f.waitUntil(i.settings.Instance+" ready", i.ready)
 	}
 }
 
@@ -193,7 +193,7 @@
 func (f *fleet) waitPeers() {
 	f.Helper()
 	for _, i := range f.instances {
-		f.wait(i.settings.Instance+" knows its peers", func() bool { return len(i.status().Peers.Members) == perDomain })
+		f.waitUntil(i.settings.Instance+" knows its peers", func() bool { return len(i.status().Peers.Members) == instancesPerDomain })
 	}
 }
 
@@ -201,7 +201,7 @@
 func (f *fleet) waitRevision(revision int64, instances ...*instance) {
 	f.Helper()
 	for _, i := range instances {
-		f.wait(fmt.Sprintf("revision %d in %s", revision, i.settings.Instance), func() bool {
+		f.waitUntil(fmt.Sprintf("revision %d in %s", revision, i.settings.Instance), func() bool {
 			return i.status().Configuration.Revision == revision
 		})
 	}
--- a/internal/proof/instance_test.go
+++ b/internal/proof/instance_test.go
@@ -67,13 +67,13 @@
 }
 
 // logTail is how many bytes of its log an instance of a failed scenario shows.
-const logTail = 2000
+const logTailBytes = 2000
 
 // end kills the process and shows what it logged last when the scenario failed.
-func (i *instance) end() {
+func (i *instance) killAndShowLog() {
 	i.kill()
 	if log := i.log.String(); i.Failed() {
-		i.Logf("%s:\n%s", i.settings.Instance, log[max(0, len(log)-logTail):])
+		i.Logf("%s:\n%s", i.settings.Instance, log[max(0, len(log)-logTailBytes):])
 	}
 }
 
--- a/internal/proof/jobs_test.go
+++ b/internal/proof/jobs_test.go
@@ -15,53 +15,53 @@
 )
 
 // leaseLife is how long the lease of a holder of jobs lasts.
-const leaseLife = 10 * time.Second
+const leaseTTL = 10 * time.Second
 
 // Guards against dossiers that are lost, or start anew, when their holder dies.
 func TestJobHolderKilled(t *testing.T) {
-	f := begin(t, "job-holder-killed")
-	f.jobs("SIGKILL of the holder of 15 dossiers", func(victim *instance) { victim.kill() })
+	f := startScenario(t, "job-holder-killed")
+	f.testJobHolderFault("SIGKILL of the holder of 15 dossiers", func(victim *instance) { victim.kill() })
 }
 
 // Guards against a holder that goes on with dossiers that were taken over while
 // it was paused.
 func TestJobHolderPaused(t *testing.T) {
-	f := beginLong(t, "job-holder-paused")
-	f.jobs("SIGSTOP of the holder of 15 dossiers for 13 s", func(victim *instance) {
+	f := startLongScenario(t, "job-holder-paused")
+	f.testJobHolderFault("SIGSTOP of the holder of 15 dossiers for 13 s", func(victim *instance) {
 		victim.signal(syscall.SIGSTOP)
-		paused := time.Now()
-		time.AfterFunc(leaseLife+3*time.Second, func() { victim.signal(syscall.SIGCONT) })
+		pausedAt := time.Now()
+		time.AfterFunc(leaseTTL+3*time.Second, func() { victim.signal(syscall.SIGCONT) })
 		f.Cleanup(func() {
-			f.wait("end of the pause", func() bool { return time.Since(paused) > leaseLife+3*time.Second })
+			f.waitUntil("end of the pause", func() bool { return time.Since(pausedAt) > leaseTTL+3*time.Second })
 		})
 	})
 }
 
 // Guards against dossiers that a planned stop loses or cuts off.
 func TestJobHolderStopped(t *testing.T) {
-	f := beginLong(t, "job-holder-stopped")
-	f.jobs("SIGTERM of the holder of 15 dossiers", func(victim *instance) {
+	f := startLongScenario(t, "job-holder-stopped")
+	f.testJobHolderFault("SIGTERM of the holder of 15 dossiers", func(victim *instance) {
 		f.Check(victim.stop(), qt.IsNil)
 	})
 }
 
 // jobs makes one instance accept dossiers, brings a fault about while they run, and
 // checks that all arrive and that no recorded stage runs again.
-func (f *fleet) jobs(fault string, bring func(victim *instance)) {
+func (f *fleet) testJobHolderFault(fault string, injectFault func(victim *instance)) {
 	f.Helper()
 	for _, engine := range f.cluster.Pool("assistant") {
 		engine.Backend().SetSlowdown(10)
 	}
 	l := f.startLoadOf(func(r traffic.Request) bool { return !r.Kind.Durable })
-	victim := f.any()
-	dossiers := l.some(15, "job-", durable)
-	running := l.startAt(victim, dossiers)
-	f.wait("recorded stages", func() bool { return len(f.recordedStages()) >= 10 })
+	victim := f.randomInstance()
+	dossiers := l.newBurst(15, "job-", durable)
+	running := l.sendTo(victim, dossiers)
+	f.waitUntil("recorded stages", func() bool { return len(f.recordedStages()) >= 10 })
 	recorded, before := f.recordedStages(), f.stageRuns()
-	bring(victim)
+	injectFault(victim)
 	f.Check(len(recorded) >= 10, qt.IsTrue, qt.Commentf("%d recorded stages", len(recorded)))
 	running.Wait()
-	l.join(dossiers)
+	l.addBurst(dossiers)
 	l.verify(fault)
 	f.checkRunOnce(dossiers, recorded, before)
 }
--- a/internal/proof/load_test.go
+++ b/internal/proof/load_test.go
@@ -26,10 +26,10 @@
 	maxRequests = 6000
 	// attemptLimit is when a caller gives up a connection and asks elsewhere: the
 	// longest deadline of a kind that isn't durable is 10 s.
-	attemptLimit = 12 * time.Second
+	attemptTimeout = 12 * time.Second
 	// finalLimit bounds the wait for the final answer to one request, from the first
 	// attempt on. A job whose holder died has to be taken over in it.
-	finalLimit = 60 * time.Second
+	finalAnswerTimeout = 60 * time.Second
 	// balanceInterval is how often the load balancer asks for readiness.
 	balanceInterval = 100 * time.Millisecond
 )
@@ -38,11 +38,11 @@
 type load struct {
 	f *fleet
 	// kinds tells which planned requests are sent.
-	kinds   func(traffic.Request) bool
-	caller  *traffic.Client
-	stopped atomic.Bool
-	balance context.CancelFunc
-	workers sync.WaitGroup
+	selects      func(traffic.Request) bool
+	client       *traffic.Client
+	stopped      atomic.Bool
+	stopBalancer context.CancelFunc
+	workers      sync.WaitGroup
 
 	mu          sync.Mutex
 	random      *rand.Rand
@@ -51,7 +51,7 @@
 	planned     []traffic.Request
 	round       int
 	sent        []traffic.Exchange
-	sending     int
+	started     int
 	interrupted int
 	problems    map[string]int
 }
@@ -62,17 +62,17 @@
 }
 
 // startLoadOf starts callers that send only some kinds.
-func (f *fleet) startLoadOf(kinds func(traffic.Request) bool, targets ...*instance) *load {
+func (f *fleet) startLoadOf(selects func(traffic.Request) bool, targets ...*instance) *load {
 	if len(targets) == 0 {
 		targets = f.instances
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &load{f: f, kinds: kinds, targets: targets, balance: cancel, random: randomOf(f.name, "load"), problems: map[string]int{}}
-	l.caller = &traffic.Client{HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callers}}, PollAddress: l.address}
-	l.refresh()
-	go l.keepBalance(ctx)
+	l := &load{f: f, selects: selects, targets: targets, stopBalancer: cancel, random: randomOf(f.name, "load"), problems: map[string]int{}}
+	l.client = &traffic.Client{HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callers}}, PollAddress: l.pickAddress}
+	l.refreshReady()
+	go l.runBalancer(ctx)
 	for range callers {
-		l.workers.Go(l.work)
+		l.workers.Go(l.runCaller)
 	}
 	f.Cleanup(l.end)
 	return l
@@ -82,26 +82,26 @@
 func (l *load) end() {
 	l.stopped.Store(true)
 	l.workers.Wait()
-	l.balance()
-	l.caller.HTTP.CloseIdleConnections()
+	l.stopBalancer()
+	l.client.HTTP.CloseIdleConnections()
 }
 
 // keepBalance does what the platform's load balancer does.
-func (l *load) keepBalance(ctx context.Context) {
+func (l *load) runBalancer(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(balanceInterval)
-		l.refresh()
+		l.refreshReady()
 	}
 }
 
-func (l *load) refresh() {
+func (l *load) refreshReady() {
 	l.mu.Lock()
 	targets := l.targets
 	l.mu.Unlock()
-	up := make([]bool, len(targets))
+	isReady := make([]bool, len(targets))
 	var group sync.WaitGroup
 	for n, i := range targets {
-		group.Go(func() { up[n] = i.ready() })
+		group.Go(func() { isReady[n] = i.ready() })
 	}
 	group.Wait()
 	l.mu.Lock()
@@ -111,26 +111,26 @@
 	}
 	l.ready = l.ready[:0]
 	for n, i := range targets {
-		if up[n] {
+		if isReady[n] {
 			l.ready = append(l.ready, i)
 		}
 	}
 }
 
 // address returns a random ready instance, or any when none is.
-func (l *load) address() string {
+func (l *load) pickAddress() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	from := l.ready
-	if len(from) == 0 {
-		from = l.targets
+	candidates := l.ready
+	if len(candidates) == 0 {
+		candidates = l.targets
 	}
-	return from[l.random.IntN(len(from))].settings.CallerAddress
+	return candidates[l.random.IntN(len(candidates))].settings.CallerAddress
 }
 
-func (l *load) work() {
+func (l *load) runCaller() {
 	for {
-		request, ok := l.next()
+		request, ok := l.nextRequest()
 		if !ok {
 			return
 		}
@@ -142,20 +142,20 @@
 	}
 }
 
-func (l *load) next() (traffic.Request, bool) {
+func (l *load) nextRequest() (traffic.Request, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.stopped.Load() || l.sending == maxRequests {
+	if l.stopped.Load() || l.started == maxRequests {
 		return traffic.Request{}, false
 	}
 	if len(l.planned) == 0 {
 		l.round++
 		plan := traffic.Plan(l.f.cluster.Set, l.random, fmt.Sprintf("%d-", l.round))
-		l.planned = slices.DeleteFunc(plan, func(r traffic.Request) bool { return !l.kinds(r) })
+		l.planned = slices.DeleteFunc(plan, func(r traffic.Request) bool { return !l.selects(r) })
 	}
 	request := l.planned[0]
 	l.planned = l.planned[1:]
-	l.sending++
+	l.started++
 	return request, true
 }
 
@@ -164,15 +164,15 @@
 	l.mu.Lock()
 	l.targets, l.ready = targets, nil
 	l.mu.Unlock()
-	l.refresh()
+	l.refreshReady()
 }
 
 // settle waits until the requests that were under way are finished.
-func (l *load) settle() {
+func (l *load) waitForRunningRequests() {
 	l.mu.Lock()
-	target := l.sending
+	target := l.started
 	l.mu.Unlock()
-	l.f.wait("requests under way", func() bool {
+	l.f.waitUntil("requests under way", func() bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		return len(l.sent) >= target
@@ -202,18 +202,18 @@
 // send sends a request to random instances until there is a final answer. A request
 // without a key is idempotent, and one with a key runs once.
 func (l *load) send(r traffic.Request, interrupted *atomic.Int32) traffic.Answer {
-	final, cancel := context.WithTimeout(context.Background(), finalLimit)
+	finalCtx, cancel := context.WithTimeout(context.Background(), finalAnswerTimeout)
 	defer cancel()
 	for {
-		limit := attemptLimit
+		timeout := attemptTimeout
 		if r.Kind.Durable {
-			limit = finalLimit
+			timeout = finalAnswerTimeout
 		}
-		ctx, cancel := context.WithTimeout(final, limit)
-		answer := l.caller.Send(ctx, l.address(), r)
+		ctx, cancel := context.WithTimeout(finalCtx, timeout)
+		answer := l.client.Send(ctx, l.pickAddress(), r)
 		cancel()
-		l.note(r, answer)
-		if answer.Outcome != "" || answer.Location != "" || final.Err() != nil {
+		l.recordProblem(r, answer)
+		if answer.Outcome != "" || answer.Location != "" || finalCtx.Err() != nil {
 			return answer
 		}
 		interrupted.Add(1)
@@ -222,7 +222,7 @@
 }
 
 // note counts interrupted attempts and the details of other ends than completed.
-func (l *load) note(r traffic.Request, answer traffic.Answer) {
+func (l *load) recordProblem(r traffic.Request, answer traffic.Answer) {
 	if answer.Outcome == entry.OutcomeCompleted {
 		return
 	}
@@ -235,12 +235,12 @@
 }
 
 // completed returns the number of requests that were completed so far.
-func (l *load) completed(kinds func(traffic.Request) bool) int {
+func (l *load) completed(selects func(traffic.Request) bool) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
 	for _, s := range l.sent {
-		if kinds(s.Request) && s.Answers[0].Outcome == entry.OutcomeCompleted {
+		if selects(s.Request) && s.Answers[0].Outcome == entry.OutcomeCompleted {
 			n++
 		}
 	}
@@ -252,10 +252,10 @@
 func durable(r traffic.Request) bool    { return r.Async }
 
 // waitMore waits until n more requests of some kinds are completed.
-func (l *load) waitMore(n int, kinds func(traffic.Request) bool) {
+func (l *load) waitMore(n int, selects func(traffic.Request) bool) {
 	l.f.Helper()
-	target := l.completed(kinds) + n
-	l.f.wait(fmt.Sprintf("%d more requests", n), func() bool { return l.completed(kinds) >= target })
+	target := l.completed(selects) + n
+	l.f.waitUntil(fmt.Sprintf("%d more requests", n), func() bool { return l.completed(selects) >= target })
 }
 
 // verify ends the load, reports the scenario and checks the four counts.
@@ -265,16 +265,16 @@
 	v := traffic.NewVerifier(l.f.cluster.Set, l.f.cluster.Runs())
 	var counts traffic.Counts
 	for _, s := range l.sent {
-		one := v.Count(s)
-		if one.Violations() > 0 {
-			l.f.Logf("%s: %s %+v", s.ID, s.Kind.Name, one)
+		requestCounts := v.Count(s)
+		if requestCounts.Violations() > 0 {
+			l.f.Logf("%s: %s %+v", s.ID, s.Kind.Name, requestCounts)
 			for _, a := range s.Answers {
 				l.f.Logf("    outcome %q, %d bytes, digest %q: %s", a.Outcome, len(a.Body), a.Digest, a.Detail)
 			}
 		}
-		counts.Add(one)
+		counts.Add(requestCounts)
 	}
-	report.add(reported{l.f.name, faults, counts})
+	table.add(scenarioRow{l.f.name, faults, counts})
 	for problem, n := range l.problems {
 		l.f.Logf("%5d %s", n, problem)
 	}
--- a/internal/proof/main_test.go
+++ b/internal/proof/main_test.go
@@ -28,9 +28,9 @@
 
 // atOnce is the number of scenarios that run at the same time. Each has six entry
 // processes, which share the processors with the load and the stand-ins.
-const atOnce = 4
+const maxConcurrentScenarios = 4
 
-var slots = make(chan struct{}, atOnce)
+var scenarioSlots = make(chan struct{}, maxConcurrentScenarios)
 
 // nextPort returns a port that no scenario has. Scenarios that search on their own
 // choose the same ports before either binds them.
@@ -67,47 +67,47 @@
 		return 1
 	}
 	code := m.Run()
-	report.print()
+	table.print()
 	return code
 }
 
 // reported is a row of the table of scenarios.
-type reported struct {
+type scenarioRow struct {
 	scenario string
 	faults   []string
 	counts   traffic.Counts
 }
 
 // reports collects rows while scenarios run in parallel.
-type reports struct {
+type scenarioTable struct {
 	mu   sync.Mutex
-	rows []reported
+	rows []scenarioRow
 }
 
-var report reports
+var table scenarioTable
 
-func (r *reports) add(row reported) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.rows = append(r.rows, row)
+func (t *scenarioTable) add(row scenarioRow) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.rows = append(t.rows, row)
 }
 
-func (r *reports) print() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if len(r.rows) == 0 {
+func (t *scenarioTable) print() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if len(t.rows) == 0 {
 		return
 	}
-	slices.SortFunc(r.rows, func(a, b reported) int { return strings.Compare(a.scenario, b.scenario) })
+	slices.SortFunc(t.rows, func(a, b scenarioRow) int { return strings.Compare(a.scenario, b.scenario) })
 	fmt.Printf("\nseed %d\n", *seed)
-	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(table, "scenario\trequests\tcompleted\tnot_run\tfailed\tunknown\tlost\tdoubled\tmixed_up\tnot_run_but_ran\tfaults")
-	for _, row := range r.rows {
+	writer := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(writer, "scenario\trequests\tcompleted\tnot_run\tfailed\tunknown\tlost\tdoubled\tmixed_up\tnot_run_but_ran\tfaults")
+	for _, row := range t.rows {
 		c := row.counts
-		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", row.scenario, c.Requests, c.Completed, c.NotRun,
+		fmt.Fprintf(writer, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", row.scenario, c.Requests, c.Completed, c.NotRun,
 			c.Failed, c.Unknown, c.Lost, c.Doubled, c.MixedUp, c.NotRunButRan, strings.Join(row.faults, ", "))
 	}
-	_ = table.Flush()
+	_ = writer.Flush()
 }
 
 // randomOf returns the random source of one purpose of a scenario.
--- a/internal/proof/operators_test.go
+++ b/internal/proof/operators_test.go
@@ -10,12 +10,12 @@
 )
 
 // Guards against a race of operators in which both win, or one change is taken back.
-func TestOperatorsRace(t *testing.T) {
-	f := begin(t, "operators-race")
+func TestConcurrentPublish(t *testing.T) {
+	f := startScenario(t, "operators-race")
 	watch := f.watchRevisions()
 	l := f.startLoad()
 	f.storeFaults(func(faults *standin.StoreFaults) { faults.DelayMS = 20 })
-	folders := []string{f.variant(40), f.variant(50)}
+	folders := []string{f.withLinkCapacity(40), f.withLinkCapacity(50)}
 	results := make(chan error, len(folders))
 	for _, folder := range folders {
 		go func() { results <- f.publish(folder, folder, "--base", "1") }()
--- a/internal/proof/proxy_test.go
+++ b/internal/proof/proxy_test.go
@@ -14,7 +14,7 @@
 )
 
 // route is a fault-injecting proxy to one address.
-type route struct {
+type faultProxy struct {
 	c     *qt.C
 	proxy *toxiproxy.Proxy
 }
@@ -23,39 +23,39 @@
 	return toxiproxy.NewServer(toxiproxy.NewMetricsContainer(prometheus.NewRegistry()), zerolog.Nop())
 }
 
-func newRoute(c *qt.C, server *toxiproxy.ApiServer, name, upstream string) *route {
+func newFaultProxy(c *qt.C, server *toxiproxy.ApiServer, name, upstream string) *faultProxy {
 	proxy := toxiproxy.NewProxy(server, name, standin.Host+":0", upstream)
 	c.Assert(proxy.Start(), qt.IsNil)
-	r := &route{c: c, proxy: proxy}
+	p := &faultProxy{c: c, proxy: proxy}
 	c.Cleanup(func() {
-		r.mend()
+		p.heal()
 		proxy.Stop()
 	})
-	return r
+	return p
 }
 
-func (r *route) address() string { return r.proxy.Listen }
+func (p *faultProxy) address() string { return p.proxy.Listen }
 
 // cut lets no byte through in either direction until mend, as a partition does:
 // connections stay open and nothing answers.
-func (r *route) cut() {
+func (p *faultProxy) blackhole() {
 	for _, stream := range []string{"upstream", "downstream"} {
-		r.toxic("cut-"+stream, "timeout", stream, `"timeout": 0`)
+		p.addToxic("cut-"+stream, "timeout", stream, `"timeout": 0`)
 	}
 }
 
 // slow delays each answer.
-func (r *route) slow(milliseconds int) {
-	r.toxic("slow", "latency", "downstream", fmt.Sprintf(`"latency": %d`, milliseconds))
+func (p *faultProxy) delayAnswers(milliseconds int) {
+	p.addToxic("slow", "latency", "downstream", fmt.Sprintf(`"latency": %d`, milliseconds))
 }
 
-func (r *route) toxic(name, kind, stream, attributes string) {
+func (p *faultProxy) addToxic(name, kind, stream, attributes string) {
 	document := fmt.Sprintf(`{"name": %q, "type": %q, "stream": %q, "attributes": {%s}}`, name, kind, stream, attributes)
-	_, err := r.proxy.Toxics.AddToxicJson(strings.NewReader(document))
-	r.c.Assert(err, qt.IsNil)
+	_, err := p.proxy.Toxics.AddToxicJson(strings.NewReader(document))
+	p.c.Assert(err, qt.IsNil)
 }
 
 // mend removes all faults. Connections that were cut are broken.
-func (r *route) mend() {
-	r.proxy.Toxics.ResetToxics(context.Background())
+func (p *faultProxy) heal() {
+	p.proxy.Toxics.ResetToxics(context.Background())
 }
--- a/internal/proof/relay_test.go
+++ b/internal/proof/relay_test.go
@@ -26,28 +26,28 @@
 
 	mu sync.Mutex
 	// off holds the failure domains that are cut off.
-	off map[string]bool
+	isolated map[string]bool
 	// open holds TCP connections by the failure domains at their ends.
-	open map[net.Conn][2]string
+	connections map[net.Conn][2]string
 	// dropped counts heartbeats and connections that the cut hit.
 	dropped int
 }
 
 func (f *fleet) newPartition() *partition {
-	return &partition{f: f, off: map[string]bool{}, open: map[net.Conn][2]string{}}
+	return &partition{f: f, isolated: map[string]bool{}, connections: map[net.Conn][2]string{}}
 }
 
 // relay passes on TCP connections and datagrams to an instance and returns the
 // address that others use.
-func (p *partition) relay(target *instance) string {
+func (p *partition) startRelay(target *instance) string {
 	listener, socket := p.listen()
 	p.f.Cleanup(func() {
 		listener.Close()
 		socket.Close()
-		p.breakOff(func([2]string) bool { return true })
+		p.closeConnections(func([2]string) bool { return true })
 	})
-	go p.passDatagrams(socket, target)
-	go p.acceptAll(listener, target)
+	go p.forwardDatagrams(socket, target)
+	go p.acceptConnections(listener, target)
 	return listener.Addr().String()
 }
 
@@ -71,21 +71,21 @@
 }
 
 // cut cuts failure domains off, or joins them again.
-func (p *partition) cut(off bool, domains ...string) {
+func (p *partition) setIsolated(isolated bool, domains ...string) {
 	p.mu.Lock()
 	for _, domain := range domains {
-		p.off[domain] = off
+		p.isolated[domain] = isolated
 	}
 	p.mu.Unlock()
-	p.breakOff(func(ends [2]string) bool { return p.separated(ends[0], ends[1]) })
+	p.closeConnections(func(ends [2]string) bool { return p.isSeparated(ends[0], ends[1]) })
 }
 
 // separated reports whether the cut lies between two failure domains. An unknown
 // end is separated from one that is cut off.
-func (p *partition) separated(a, b string) bool {
+func (p *partition) isSeparated(a, b string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	separated := a != b && (p.off[a] || p.off[b])
+	separated := a != b && (p.isolated[a] || p.isolated[b])
 	if separated {
 		p.dropped++
 	}
@@ -93,27 +93,27 @@
 }
 
 // hit returns the number of heartbeats and connections that the cut hit.
-func (p *partition) hit() int {
+func (p *partition) droppedCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.dropped
 }
 
-func (p *partition) breakOff(hit func([2]string) bool) {
+func (p *partition) closeConnections(selects func([2]string) bool) {
 	p.mu.Lock()
-	open := make(map[net.Conn][2]string, len(p.open))
-	for connection, ends := range p.open {
-		open[connection] = ends
+	connections := make(map[net.Conn][2]string, len(p.connections))
+	for connection, ends := range p.connections {
+		connections[connection] = ends
 	}
 	p.mu.Unlock()
-	for connection, ends := range open {
-		if hit(ends) {
+	for connection, ends := range connections {
+		if selects(ends) {
 			connection.Close()
 		}
 	}
 }
 
-func (p *partition) passDatagrams(socket net.PacketConn, target *instance) {
+func (p *partition) forwardDatagrams(socket net.PacketConn, target *instance) {
 	to := net.UDPAddrFromAddrPort(netip.MustParseAddrPort(target.settings.PeerAddress))
 	buffer := make([]byte, maxHeartbeatBytes)
 	for {
@@ -121,14 +121,14 @@
 		if err != nil {
 			return
 		}
-		if !p.separated(p.senderOf(from.String()), target.settings.FailureDomain) {
+		if !p.isSeparated(p.senderDomain(from.String()), target.settings.FailureDomain) {
 			_, _ = socket.WriteTo(buffer[:n], to) // a heartbeat may be lost
 		}
 	}
 }
 
 // senderOf returns the failure domain of the instance that sends from an address.
-func (p *partition) senderOf(address string) string {
+func (p *partition) senderDomain(address string) string {
 	for _, i := range p.f.instances {
 		if i.settings.PeerAddress == address {
 			return i.settings.FailureDomain
@@ -137,46 +137,46 @@
 	return ""
 }
 
-func (p *partition) acceptAll(listener net.Listener, target *instance) {
+func (p *partition) acceptConnections(listener net.Listener, target *instance) {
 	for {
 		connection, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		go p.passConnection(connection, target)
+		go p.forwardConnection(connection, target)
 	}
 }
 
-func (p *partition) passConnection(connection net.Conn, target *instance) {
+func (p *partition) forwardConnection(connection net.Conn, target *instance) {
 	defer connection.Close()
-	ends := [2]string{p.callerOf(connection), target.settings.FailureDomain}
-	if p.separated(ends[0], ends[1]) {
+	ends := [2]string{p.callerDomain(connection), target.settings.FailureDomain}
+	if p.isSeparated(ends[0], ends[1]) {
 		return
 	}
-	onward, err := net.Dial("tcp", target.settings.PeerAddress)
+	upstream, err := net.Dial("tcp", target.settings.PeerAddress)
 	if err != nil {
 		return
 	}
-	defer onward.Close()
+	defer upstream.Close()
 	p.mu.Lock()
-	p.open[connection] = ends
+	p.connections[connection] = ends
 	p.mu.Unlock()
 	go func() {
-		_, _ = io.Copy(onward, connection)
-		onward.Close()
+		_, _ = io.Copy(upstream, connection)
+		upstream.Close()
 	}()
-	_, _ = io.Copy(connection, onward)
+	_, _ = io.Copy(connection, upstream)
 	p.mu.Lock()
-	delete(p.open, connection)
+	delete(p.connections, connection)
 	p.mu.Unlock()
 }
 
 // callerOf returns the failure domain of the process that holds the other end of a
 // connection.
-func (p *partition) callerOf(connection net.Conn) string {
-	socket := socketOf(connection.RemoteAddr().(*net.TCPAddr))
+func (p *partition) callerDomain(connection net.Conn) string {
+	socket := socketName(connection.RemoteAddr().(*net.TCPAddr))
 	for _, i := range p.f.instances {
-		if socket != "" && i.holds(socket) {
+		if socket != "" && i.hasSocket(socket) {
 			return i.settings.FailureDomain
 		}
 	}
@@ -184,7 +184,7 @@
 }
 
 // socketOf returns the name of the socket bound to a loopback port, as in /proc.
-func socketOf(address *net.TCPAddr) string {
+func socketName(address *net.TCPAddr) string {
 	table, err := os.ReadFile("/proc/self/net/tcp")
 	if err != nil {
 		return ""
@@ -200,7 +200,7 @@
 }
 
 // holds reports whether the process has the socket open.
-func (i *instance) holds(socket string) bool {
+func (i *instance) hasSocket(socket string) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.command == nil {
--- a/internal/proof/revision_test.go
+++ b/internal/proof/revision_test.go
@@ -10,15 +10,15 @@
 // revisionWatch looks for an instance whose revision falls.
 type revisionWatch struct {
 	f       *fleet
-	end     chan struct{}
+	stopped chan struct{}
 	once    sync.Once
 	running sync.WaitGroup
 	// falls holds the instances whose revision fell while their process went on.
-	falls []string
+	regressions []string
 }
 
 func (f *fleet) watchRevisions() *revisionWatch {
-	w := &revisionWatch{f: f, end: make(chan struct{})}
+	w := &revisionWatch{f: f, stopped: make(chan struct{})}
 	w.running.Go(w.run)
 	f.Cleanup(w.stop)
 	return w
@@ -31,12 +31,12 @@
 			now := i.status().Configuration.Revision
 			// A process that starts, or doesn't answer, has none.
 			if now != 0 && now < highest[i] {
-				w.falls = append(w.falls, i.settings.Instance)
+				w.regressions = append(w.regressions, i.settings.Instance)
 			}
 			highest[i] = max(highest[i], now)
 		}
 		select {
-		case <-w.end:
+		case <-w.stopped:
 			return
 		case <-time.After(pollInterval):
 		}
@@ -44,7 +44,7 @@
 }
 
 func (w *revisionWatch) stop() {
-	w.once.Do(func() { close(w.end) })
+	w.once.Do(func() { close(w.stopped) })
 	w.running.Wait()
 }
 
@@ -52,5 +52,5 @@
 func (w *revisionWatch) check() {
 	w.f.Helper()
 	w.stop()
-	w.f.Check(w.falls, qt.HasLen, 0)
+	w.f.Check(w.regressions, qt.HasLen, 0)
 }
--- a/internal/proof/stop_test.go
+++ b/internal/proof/stop_test.go
@@ -7,8 +7,8 @@
 )
 
 // Guards against a planned stop that cuts off a request or fails.
-func TestGracefulStopInTurn(t *testing.T) {
-	f := beginLong(t, "graceful-stop")
+func TestRollingGracefulStop(t *testing.T) {
+	f := startLongScenario(t, "graceful-stop")
 	l := f.startLoad()
 	for _, i := range f.instances {
 		l.waitMore(20, idempotent)
--- a/internal/proof/store_test.go
+++ b/internal/proof/store_test.go
@@ -8,57 +8,57 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/standin"
 )
 
-func (f *fleet) outage(on bool) {
+func (f *fleet) setStoreOutage(on bool) {
 	f.storeFaults(func(faults *standin.StoreFaults) { faults.Outage = on })
 }
 
 // Guards against idempotent kinds that stop with the store, and keyed requests
 // that run without a claim.
 func TestStoreOutage(t *testing.T) {
-	f := begin(t, "store-outage")
+	f := startScenario(t, "store-outage")
 	l := f.startLoad()
 	l.waitMore(30, atMostOnce)
-	f.outage(true)
+	f.setStoreOutage(true)
 	l.waitMore(200, idempotent)
-	f.outage(false)
+	f.setStoreOutage(false)
 	l.waitMore(30, atMostOnce)
 	counts := l.verify("store outage")
 	f.Check(counts.NotRun > 0, qt.IsTrue, qt.Commentf("keyed requests during the outage"))
 }
 
 // Guards against a failure domain that doesn't come back while the store is down.
-func TestOutageOverRestartOfDomain(t *testing.T) {
-	f := begin(t, "outage+domain-restart")
-	f.Assert(f.publish(f.variant(31), "second"), qt.IsNil)
+func TestDomainRestartDuringStoreOutage(t *testing.T) {
+	f := startScenario(t, "outage+domain-restart")
+	f.Assert(f.publish(f.withLinkCapacity(31), "second"), qt.IsNil)
 	f.waitRevision(2, f.instances...)
 	l := f.startLoad()
-	f.outage(true)
-	for _, i := range f.in(domain) {
+	f.setStoreOutage(true)
+	for _, i := range f.inDomain(isolatedDomain) {
 		i.kill()
 	}
-	for _, i := range f.in(domain) {
+	for _, i := range f.inDomain(isolatedDomain) {
 		i.start()
 	}
-	f.waitReady(f.in(domain)...)
-	f.waitRevision(2, f.in(domain)...)
-	l.retarget(f.in(domain)...)
+	f.waitReady(f.inDomain(isolatedDomain)...)
+	f.waitRevision(2, f.inDomain(isolatedDomain)...)
+	l.retarget(f.inDomain(isolatedDomain)...)
 	l.waitMore(50, idempotent)
-	f.outage(false)
+	f.setStoreOutage(false)
 	l.waitMore(20, atMostOnce)
 	l.verify("store outage", "SIGKILL and restart of a failure domain")
 }
 
 // Guards against a slow store that makes claims unsafe or stops other kinds.
 func TestStoreSlow(t *testing.T) {
-	f := beginLong(t, "store-slow")
+	f := startLongScenario(t, "store-slow")
 	l := f.startLoad()
-	for _, route := range f.stores {
-		route.slow(300)
+	for _, proxy := range f.storeProxies {
+		proxy.delayAnswers(300)
 	}
 	l.waitMore(50, idempotent)
 	l.waitMore(20, atMostOnce)
-	for _, route := range f.stores {
-		route.mend()
+	for _, proxy := range f.storeProxies {
+		proxy.heal()
 	}
 	l.waitMore(30, atMostOnce)
 	l.verify("300 ms added to each store answer")
@@ -66,22 +66,22 @@
 
 // Guards against a failure domain that stops serving idempotent kinds when it is
 // cut off, or runs keyed requests without a claim.
-func TestDomainCutOff(t *testing.T) {
-	f := beginLong(t, "domain-cut-off")
-	l := f.startLoad(f.in(domain)...)
+func TestDomainIsolated(t *testing.T) {
+	f := startLongScenario(t, "domain-cut-off")
+	l := f.startLoad(f.inDomain(isolatedDomain)...)
 	l.waitMore(20, atMostOnce)
-	f.stores[domain].cut()
+	f.storeProxies[isolatedDomain].blackhole()
 	l.waitMore(50, idempotent)
-	f.lists[domain].cut()
-	f.links.cut(true, domain)
+	f.listProxies[isolatedDomain].blackhole()
+	f.partition.setIsolated(true, isolatedDomain)
 	l.waitMore(50, idempotent)
 	l.retarget(f.instances...)
 	l.waitMore(50, atMostOnce)
-	f.wait("traffic that the cut hit", func() bool { return f.links.hit() > 0 })
-	f.stores[domain].mend()
-	f.lists[domain].mend()
-	f.links.cut(false, domain)
-	l.retarget(f.in(domain)...)
+	f.waitUntil("traffic that the cut hit", func() bool { return f.partition.droppedCount() > 0 })
+	f.storeProxies[isolatedDomain].heal()
+	f.listProxies[isolatedDomain].heal()
+	f.partition.setIsolated(false, isolatedDomain)
+	l.retarget(f.inDomain(isolatedDomain)...)
 	l.waitMore(20, atMostOnce)
 	l.verify("store cut", "then list and peers cut")
 }
@@ -89,18 +89,18 @@
 // Guards against an instance that doesn't come back behind a partition although
 // its peer holds the configuration.
 func TestPartitionAndRestart(t *testing.T) {
-	f := begin(t, "partition+restart")
+	f := startScenario(t, "partition+restart")
 	l := f.startLoad()
-	f.stores[domain].cut()
-	f.links.cut(true, domain)
-	victim := f.in(domain)[0]
+	f.storeProxies[isolatedDomain].blackhole()
+	f.partition.setIsolated(true, isolatedDomain)
+	victim := f.inDomain(isolatedDomain)[0]
 	victim.kill()
 	victim.start()
 	f.waitReady(victim)
 	f.Check(victim.status().Configuration.Revision, qt.Equals, int64(1))
 	l.waitMore(50, idempotent)
-	f.stores[domain].mend()
-	f.links.cut(false, domain)
+	f.storeProxies[isolatedDomain].heal()
+	f.partition.setIsolated(false, isolatedDomain)
 	l.waitMore(30, atMostOnce)
 	l.verify("failure domain cut off from store and peers", "SIGKILL and restart")
 }
