--- a/internal/standin/admin.go
+++ b/internal/standin/admin.go
@@ -6,29 +6,29 @@
 	"net/http"
 )
 
-// Admin paths of every stand-in. GET reads, PUT replaces the fields that the
-// JSON document names.
+// Admin paths of the stand-ins. GET reads; PUT replaces the fields that are set in
+// the JSON document.
 const (
 	PathFaults = "/admin/faults"
 	PathCounts = "/admin/counts"
 	PathRuns   = "/admin/runs"
 )
 
-// maxDocumentBytes bounds a JSON document that a stand-in reads.
+// maxDocumentBytes is the size limit of a JSON document that a stand-in reads.
 const maxDocumentBytes = 32 << 20
 
-// writeJSON sends a JSON document as the whole answer.
+// writeJSON sends a JSON document as the whole response body.
 func writeJSON(w http.ResponseWriter, status int, document any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(document)
 }
 
-// readJSON reads a JSON document over into, whose other fields keep their
-// values. It answers a mistake with 400 and returns false.
+// readJSON decodes the request body into a document. Fields that the body does not
+// set keep their values. On an error it answers with status 400 and returns false.
 func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
-	// The body is read to its end: before that, net/http doesn't notice that a
-	// caller went away.
+	// Read the body to its end: until then net/http does not detect that the caller
+	// has disconnected.
 	data, err := io.ReadAll(io.LimitReader(r.Body, maxDocumentBytes))
 	if err == nil {
 		err = json.Unmarshal(data, into)
@@ -39,7 +39,7 @@
 	return err == nil
 }
 
-// serveFaults serves faults of one type over PathFaults.
+// serveFaults serves GET and PUT of PathFaults for one type of faults.
 func serveFaults[F any](get func() F, set func(F)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		faults := get()
--- a/internal/standin/answer.go
+++ b/internal/standin/answer.go
@@ -14,14 +14,14 @@
 	"github.com/coltsfootdrift/coltsfootdrift/pipeline"
 )
 
-// tooMuchBytes bounds the answer of FaultTooMuch, so that a caller without a
-// limit ends too.
+// oversizedAnswerBytes is the size of the answer of FaultTooMuch. It is bounded so
+// that a caller that enforces no limit finishes too.
 const oversizedAnswerBytes = 64 << 20
 
-// bytesPerToken converts a bound on tokens into a length.
+// bytesPerToken converts a token limit into an answer length in bytes.
 const bytesPerToken = 4
 
-// answering is one answer on its way.
+// stageResponse writes the response to one stage request.
 type stageResponse struct {
 	backend *Backend
 	w       http.ResponseWriter
@@ -30,7 +30,8 @@
 	body    backend.Body
 }
 
-// serve returns true when the whole answer was sent.
+// serve sends the answer, or what the fault makes of it. It returns true when the
+// whole answer was sent.
 func (a *stageResponse) serve() bool {
 	switch a.run.Fault {
 	case FaultHang:
@@ -63,7 +64,8 @@
 	}
 }
 
-// whole waits for the service time and sends the input back with the server's name.
+// sendDocument waits for the service time and sends the input back with the server's
+// ID. A server of any stage type but generate answers like this.
 func (a *stageResponse) sendDocument() bool {
 	if !clock.Sleep(a.r.Context(), a.backend.serviceTime()) {
 		return false
@@ -91,14 +93,15 @@
 	return err == nil
 }
 
-// breakOff sends what there is and breaks the connection.
+// abort sends a part of the answer and closes the connection.
 func (a *stageResponse) abort(part []byte) {
 	_, _ = a.w.Write(part)
 	_ = http.NewResponseController(a.w).Flush()
 	panic(http.ErrAbortHandler)
 }
 
-// answerBytes returns the length of a generated answer.
+// answerBytes returns the length of a generated answer: the one that the caller
+// requests, or else the server's, limited by the maximum number of tokens.
 func (b *Backend) answerBytes(body backend.Body) int {
 	length := b.config.AnswerBytes
 	if requested := readCallerBody(body.Input).AnswerBytes; requested > 0 {
@@ -111,21 +114,22 @@
 }
 
 // GeneratedText returns the answer that every stand-in engine generates for an
-// input, so that a reader can check it byte for byte.
+// input. It is deterministic, so that a reader can check it byte for byte.
 func GeneratedText(inputHash string, length int) string {
 	line := inputHash + "\n"
 	return strings.Repeat(line, length/len(line)+1)[:length]
 }
 
-// generate streams GeneratedText from the resume offset on. The service time of
-// the engine is that of an answer of its usual length.
+// streamText streams GeneratedText from the resume offset on. The service time of
+// the engine applies to an answer of its configured length; longer and shorter ones
+// take proportionally longer and shorter.
 func (a *stageResponse) streamText() bool {
 	text := GeneratedText(a.run.InputHash, a.run.AnswerBytes)
 	a.w.Header().Set("Content-Type", "text/event-stream")
 	if !clock.Sleep(a.r.Context(), a.backend.engine.prefill(a.body.PrefixKey, a.backend.faults.slowdown())) {
 		return false
 	}
-	// Each chunk has its own due time, so that the delays of timers don't add up.
+	// Each chunk has its own due time, so that timer delays do not accumulate.
 	due := time.Now()
 	for offset := int(a.body.ResumeOffset); offset < len(text); {
 		end := min(offset+a.backend.config.ChunkBytes, len(text))
@@ -145,13 +149,13 @@
 	return a.sendEvent(backend.EventEnd, backend.StreamEnd{Attempt: a.run.Attempt, Bytes: int64(len(text))}) == nil
 }
 
-// chunkTime returns the time between two chunks under the current load.
+// chunkTime returns the interval between two chunks under the current load.
 func (b *Backend) chunkTime() time.Duration {
 	chunks := max(1, (b.config.AnswerBytes+b.config.ChunkBytes-1)/b.config.ChunkBytes)
 	return b.serviceTime() / time.Duration(chunks)
 }
 
-// event sends one server-sent event with a JSON document as its data.
+// sendEvent sends one server-sent event with a JSON document as its data.
 func (a *stageResponse) sendEvent(name string, data any) error {
 	encoded, err := json.Marshal(data)
 	if err != nil {
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -1,6 +1,7 @@
-// Package standin holds the project's stand-ins of outside systems: backend
-// servers, the key-value service, the instance list and the weight store. They
-// serve tests, the demo and the experiments, and record what they were asked to do.
+// Package standin implements stand-ins (fakes) of external systems: backend servers,
+// the key-value service, the instance list and the weight store. Tests, the demo and
+// the experiments run against them. They inject faults and record the requests that
+// they receive.
 package standin
 
 import (
@@ -20,27 +21,28 @@
 // BackendConfig describes a stand-in backend server.
 type BackendConfig struct {
 	ID string
-	// Pool names the pool in the records of runs.
+	// Pool is the name of the pool in the records of runs.
 	Pool string
-	// Slots is the number of requests that run at once; further ones wait.
+	// Slots is the number of requests that run concurrently; further ones are queued.
 	Slots int
-	// ServiceTime is how long one request takes when the server is neither
-	// slowed nor loaded.
+	// ServiceTime is how long one request takes without a slowdown and without
+	// concurrent requests.
 	ServiceTime time.Duration
-	// LoadFactor is the share by which requests take longer when all slots are
-	// busy: 1 doubles the time.
+	// LoadFactor is the fraction by which the service time grows when all slots are
+	// busy: 1 doubles it.
 	LoadFactor float64
-	// AnswerBytes is the length of a generated answer.
+	// AnswerBytes is the default length of a generated answer.
 	AnswerBytes int
-	// ChunkBytes is the length of one generated chunk.
+	// ChunkBytes is the length of one chunk of a generated answer.
 	ChunkBytes int
-	// LoadLag is how old load reports are.
+	// LoadLag is the age at which a load report is renewed. Until then the old report
+	// is returned.
 	LoadLag time.Duration
-	// Incarnation rises with each restart of the server.
+	// Incarnation increases with each restart of the server.
 	Incarnation int64
-	// Engine describes a model engine; unused by other stage types.
+	// Engine configures a model engine; other stage types do not use it.
 	Engine EngineConfig
-	// Seed is the seed of random faults.
+	// Seed seeds the random choice of faults.
 	Seed uint64
 }
 
@@ -65,8 +67,8 @@
 	}
 }
 
-// successor returns the server as it is after a restart: with the next
-// incarnation, nothing running, and the same record of runs and faults.
+// restarted returns the server as it is after a restart: with the next incarnation,
+// no running requests, and the same recorded runs and faults.
 func (b *Backend) restarted() *Backend {
 	config := b.config
 	config.Incarnation++
@@ -80,7 +82,7 @@
 	b.faults.change(func(f *BackendFaults) { f.Slowdown = factor })
 }
 
-// SetDraining makes the server refuse new requests as a leaving one.
+// SetDraining makes the server refuse new requests, as a draining server does.
 func (b *Backend) SetDraining(draining bool) {
 	b.faults.change(func(f *BackendFaults) { f.Draining = draining })
 }
@@ -93,10 +95,10 @@
 	b.faults.change(func(f *BackendFaults) { *f = faults.clone() })
 }
 
-// Runs returns a copy of the record of requests that ran.
+// Runs returns a copy of the recorded runs.
 func (b *Backend) Runs() []Run { return b.runs.after(0) }
 
-// Handler serves the stage wire form, the engine paths and the admin paths.
+// Handler serves the stage protocol, the engine paths and the admin paths.
 func (b *Backend) Handler() http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc(backend.PathStage+"{type}", b.serveStage).Methods(http.MethodPost)
@@ -107,7 +109,7 @@
 	return router
 }
 
-// serveRuns returns the runs from the position in the query parameter "after" on.
+// serveRuns returns the runs that follow the first "after" ones, a query parameter.
 func (b *Backend) serveRuns(w http.ResponseWriter, r *http.Request) {
 	position, _ := strconv.Atoi(r.URL.Query().Get("after"))
 	writeJSON(w, http.StatusOK, b.runs.after(position))
@@ -134,7 +136,8 @@
 	b.execute(w, r, body, fault)
 }
 
-// rank orders waiting requests by class, then by the priority of the request.
+// rank returns the rank of a queued request: by class, then by the priority of the
+// request.
 func rank(r *http.Request, body backend.Body) int {
 	const prioritiesPerClass = 100
 	priority, _ := strconv.Atoi(strings.TrimPrefix(r.Header.Get(backend.HeaderPriority), "u="))
@@ -142,7 +145,7 @@
 	return class*prioritiesPerClass + priority
 }
 
-// run records the request and answers it, or does what the fault says.
+// execute records the run of a request and sends its answer, or applies the fault.
 func (b *Backend) execute(w http.ResponseWriter, r *http.Request, body backend.Body, fault Fault) {
 	stageType := pipeline.StageType(mux.Vars(r)["type"])
 	record := newRun(b.config, r.Header.Get(backend.HeaderAttempt), stageType, body)
@@ -171,7 +174,7 @@
 	return time.Duration(float64(b.config.ServiceTime) * factor)
 }
 
-// output is the answer of every stage type but generate.
+// output is the answer of every stage type except generate.
 type output struct {
 	Server    string             `json:"server"`
 	Stage     pipeline.StageType `json:"stage"`
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -26,7 +26,7 @@
 	return b, backend.Server{ID: config.ID, Address: server.Listener.Addr().String()}
 }
 
-// ask sends one stage request and returns its whole answer.
+// callStage sends one stage request and returns its whole answer.
 func callStage(ctx context.Context, server backend.Server, request backend.StageRequest) (string, error) {
 	request.Attempt = "attempt-1"
 	request.Timeout = time.Minute
@@ -52,8 +52,8 @@
 	}
 }
 
-// Guards against a stand-in whose fault the adapter takes for a whole answer or
-// for another kind of failure, and against a run that isn't recorded.
+// Guards against injected faults that the backend adapter mistakes for a whole answer
+// or for another kind of failure, and against runs that are not recorded.
 func TestFaultsOfOneRequest(t *testing.T) {
 	c := qt.New(t)
 	b, server := startBackend(c, BackendConfig{ID: "b", Slots: 1, AnswerBytes: 1000, ChunkBytes: 100})
@@ -79,8 +79,8 @@
 	c.Assert(errors.Is(err, backend.ErrDraining), qt.IsTrue)
 }
 
-// Guards against a resumed stream that repeats or skips a byte, and against a
-// record without the caller's request ID.
+// Guards against a resumed stream that repeats or skips bytes, and against a recorded
+// run without the caller's request ID.
 func TestResumedStream(t *testing.T) {
 	c := qt.New(t)
 	b, server := startBackend(c, BackendConfig{ID: "b", Slots: 1, AnswerBytes: 1000, ChunkBytes: 100})
@@ -117,8 +117,8 @@
 	c.Assert(b.Runs()[1].Finished, qt.IsTrue)
 }
 
-// Guards against waiting requests that are served in the order of arrival
-// although their classes differ.
+// Guards against queued requests that are served in the order of arrival although
+// their ranks differ.
 func TestSlotsByRank(t *testing.T) {
 	c := qt.New(t)
 	s := &slots{total: 1}
@@ -141,8 +141,8 @@
 	c.Assert([]int{<-order, <-order, <-order, <-order}, qt.DeepEquals, []int{1, 3, 2, 0})
 }
 
-// Guards against an engine that carries out an order of an earlier leader, an
-// expired one, or one order twice.
+// Guards against an engine that carries out an order of a former leader, an expired
+// order, or one order twice.
 func TestOrders(t *testing.T) {
 	c := qt.New(t)
 	for _, fencesOrders := range []bool{true, false} {
@@ -168,8 +168,8 @@
 	}
 }
 
-// Guards against loads above the weight store's rate, and against a load that is
-// over before its time.
+// Guards against loads above the rate limit of the weight store, and against a load
+// that finishes before its load time.
 func TestWeightStoreLimitsLoads(t *testing.T) {
 	c := qt.New(t)
 	weights := NewWeightStore(1)
@@ -182,7 +182,7 @@
 	}
 }
 
-// Guards against a load report that shows the present instead of the past.
+// Guards against a load report that is renewed before LoadLag has passed.
 func TestLoadReportLags(t *testing.T) {
 	c := qt.New(t)
 	b, server := startBackend(c, BackendConfig{ID: "b", Slots: 2, LoadLag: time.Hour})
@@ -197,8 +197,8 @@
 	}
 }
 
-// Guards against a cache that grows without bound, and against events that come
-// early or without the gap that the platform's engines show.
+// Guards against a cache that grows beyond its limit, and against events that are
+// published early or without the gaps that the platform's engines have.
 func TestPrefixCache(t *testing.T) {
 	c := qt.New(t)
 	cache := prefixCache{limit: 2, delay: time.Minute}
@@ -212,7 +212,7 @@
 	c.Assert(cache.published(8, time.Now().Add(time.Hour))[1].Number, qt.Equals, int64(11))
 }
 
-// Guards against a list that shows a change before its lag.
+// Guards against a list that shows a change before the lag has passed.
 func TestListLags(t *testing.T) {
 	c := qt.New(t)
 	var list Platform
--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -8,20 +8,21 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/backend"
 )
 
-// dropEvery is the distance of cache events that are never published.
+// dropInterval is the interval at which cache events are dropped: every tenth one is
+// never published.
 const dropInterval = 10
 
-// maxCacheEvents bounds the events that are kept for readers.
+// maxCacheEvents is the number of events that are kept for readers.
 const maxCacheEvents = 1000
 
-// cacheEvent is an event with the time from which on it is published.
+// cacheEvent is an event with the time at which it is published.
 type cacheEvent struct {
 	backend.WireCacheEvent
 	due time.Time
 }
 
-// prefixCache is a bounded set of prompt prefixes that evicts the one that was
-// not used for the longest time.
+// prefixCache is a bounded set of prompt prefixes with LRU eviction. It reports
+// insertions and evictions as numbered events, which are published with a delay.
 type prefixCache struct {
 	mu     sync.Mutex
 	limit  int
@@ -52,7 +53,7 @@
 	return false
 }
 
-// event adds an event unless it is one of those that get lost.
+// addEvent adds an event unless it is one of the dropped ones.
 func (c *prefixCache) addEvent(prefix string, stored bool) {
 	c.number++
 	if c.number%dropInterval == 0 {
@@ -72,7 +73,8 @@
 	return slices.Contains(c.keys, prefix)
 }
 
-// published returns the events after a number that are due.
+// published returns the events with a higher number than after whose publication
+// time has passed.
 func (c *prefixCache) published(after int64, now time.Time) []backend.WireCacheEvent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/cluster.go
+++ b/internal/standin/cluster.go
@@ -14,21 +14,21 @@
 	"github.com/coltsfootdrift/coltsfootdrift/pipeline"
 )
 
-// Host is the loopback address of all stand-ins.
+// Host is the loopback address on which all stand-ins listen.
 const Host = "127.0.0.1"
 
-// ClusterConfig says which stand-ins to start.
+// ClusterConfig configures a cluster of stand-ins.
 type ClusterConfig struct {
-	// Folder holds the operators' files and the fleet file.
+	// Folder holds the deployment and pipeline files, and optionally the fleet file.
 	Folder string
-	// BasePort is the port of the store; the list, the weight store and the
-	// backend servers follow. 0 takes any free ports.
+	// BasePort is the port of the store; the instance list, the weight store and the
+	// backend servers use the ports that follow. 0 uses any free ports.
 	BasePort int
 	// Speed divides the times of backend servers; 0 means 1.
 	Speed float64
 }
 
-// Cluster is the stand-ins of one deployment on loopback.
+// Cluster holds the running stand-ins of one deployment.
 type Cluster struct {
 	Set      *pipeline.Set
 	Store    *Store
@@ -42,7 +42,7 @@
 	listeners []*http.Server
 }
 
-// Server is a backend server of a cluster.
+// Server is a backend server of a cluster. It can be killed and restarted.
 type Server struct {
 	mu           sync.Mutex
 	backend      *Backend
@@ -51,7 +51,7 @@
 	instanceList *Platform
 }
 
-// StartCluster reads a folder and starts its stand-ins.
+// StartCluster reads a deployment folder and starts its stand-ins.
 func StartCluster(config ClusterConfig) (*Cluster, error) {
 	root := os.DirFS(config.Folder)
 	set, err := pipeline.Collect(root)
@@ -59,7 +59,7 @@
 		return nil, err
 	}
 	if len(domainLocations(set.Deployment)) == 0 {
-		return nil, fmt.Errorf("%s in %s names no failure domain", pipeline.DeploymentFile, config.Folder)
+		return nil, fmt.Errorf("%s in %s has no failure domain", pipeline.DeploymentFile, config.Folder)
 	}
 	fleet, err := ReadFleet(root)
 	if err != nil {
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// address returns the address of the next listener.
+// nextAddress returns the address for the next listener.
 func (c *Cluster) nextAddress() string {
 	port := c.nextPort
 	if port > 0 {
@@ -121,7 +121,7 @@
 	return net.JoinHostPort(Host, strconv.Itoa(port))
 }
 
-// serve listens on an address and returns the one that it got.
+// serve starts an HTTP server and returns the address on which it listens.
 func serve(address string, handler http.Handler) (*http.Server, string, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -132,7 +132,7 @@
 	return server, listener.Addr().String(), nil
 }
 
-// Close stops all stand-ins and breaks their connections.
+// Close stops all stand-ins and closes their connections.
 func (c *Cluster) Close() error {
 	var errs []error
 	for _, listener := range c.listeners {
@@ -144,7 +144,7 @@
 	return errors.Join(errs...)
 }
 
-// Runs returns the record of all backend servers.
+// Runs returns the recorded runs of all backend servers.
 func (c *Cluster) Runs() []Run {
 	var runs []Run
 	for _, server := range c.Servers {
@@ -164,14 +164,14 @@
 	return servers
 }
 
-// Backend returns the stand-in that serves now.
+// Backend returns the current stand-in, which a restart replaces.
 func (s *Server) Backend() *Backend {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.backend
 }
 
-// Member returns the server as the list knows it.
+// Member returns the server's entry in the instance list.
 func (s *Server) Member() platform.Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -187,14 +187,15 @@
 	return nil
 }
 
-// Kill breaks all connections and stops listening. The list still holds the server.
+// Kill closes all connections and stops listening. The server stays in the instance
+// list.
 func (s *Server) Kill() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.http.Close()
 }
 
-// Restart starts a killed server at its address with the next incarnation.
+// Restart starts a killed server at its old address with the next incarnation.
 func (s *Server) Restart() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/cluster_test.go
+++ b/internal/standin/cluster_test.go
@@ -13,12 +13,12 @@
 	"github.com/coltsfootdrift/coltsfootdrift/pipeline"
 )
 
-// memberServer returns a member as the adapter addresses it.
+// backendServer returns the address of a server in the form of the backend adapter.
 func backendServer(s *Server) backend.Server {
 	return backend.Server{ID: s.Member().ID, Address: s.Member().Address}
 }
 
-// recordedRuns reads the record over the admin path.
+// recordedRuns reads the recorded runs of a server from its admin path.
 func recordedRuns(c *qt.C, s *Server) []Run {
 	response, err := http.Get("http://" + s.Member().Address + PathRuns)
 	c.Assert(err, qt.IsNil)
@@ -28,8 +28,8 @@
 	return runs
 }
 
-// Guards against an example whose pools or pipelines have no stand-ins in each
-// region, and against a restart that loses the record of runs.
+// Guards against example deployments with a pool or pipeline that lacks stand-ins in
+// a region, and against a restart that loses the recorded runs.
 func TestExamplesHaveStandIns(t *testing.T) {
 	c := qt.New(t)
 	for folder, want := range map[string]map[string]int{
@@ -64,8 +64,8 @@
 	}
 }
 
-// Guards against a fault that hits another target than the named one, and against
-// a mistyped fault that is ignored.
+// Guards against a fault that is applied to another target than the named one, and
+// against a mistyped fault that is ignored.
 func TestSetFault(t *testing.T) {
 	c := qt.New(t)
 	cluster, err := StartCluster(ClusterConfig{Folder: "../../examples/tavares"})
@@ -85,7 +85,7 @@
 	}
 }
 
-// Guards against settings of two instances that share a port.
+// Guards against two listeners with the same port in the generated settings.
 func TestSettingsHaveOwnPorts(t *testing.T) {
 	c := qt.New(t)
 	cluster, err := StartCluster(ClusterConfig{Folder: "../../examples/pondslots"})
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -12,37 +12,40 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/backend"
 )
 
-// Actions of orders.
+// Actions of the orders that an engine accepts.
 const (
 	actionLoad   = "load"
 	actionUnload = "unload"
 	actionRole   = "role"
 )
 
-// EngineConfig describes a model engine.
+// EngineConfig configures a model engine.
 type EngineConfig struct {
-	// Models lists what is loaded at the start. Without any, the engine serves
-	// every model.
+	// Models lists the models that are loaded at the start. When it is empty, the
+	// engine serves every model.
 	Models []string
 	Role   string
-	// FencesOrders makes the engine refuse orders with an old fencing number.
+	// FencesOrders makes the engine refuse orders with a lower fencing token than the
+	// highest one that it has accepted.
 	FencesOrders bool
-	// LoadTime is how long a load takes once the weight store allowed it.
+	// LoadTime is how long loading a model takes after the weight store allowed it.
 	LoadTime time.Duration
 	// Weights is the weight store; nil allows every load.
 	Weights *WeightStore
-	// PrefillTime is the time before the first chunk without a cached prefix; a
-	// cached one needs a tenth.
+	// PrefillTime is the time to the first chunk when the prefix is not cached. A
+	// cached prefix takes a tenth of it.
 	PrefillTime time.Duration
-	// CachedPrefixes bounds the prefix cache; 0 caches none.
+	// CachedPrefixes is the capacity of the prefix cache; 0 disables it.
 	CachedPrefixes int
-	// EventDelay is how late cache events are published. Every tenth is dropped.
+	// EventDelay is the delay after which cache events are published. Every tenth
+	// event is dropped.
 	EventDelay time.Duration
 	// PrefixBytes is the size of the KV cache of one prefix.
 	PrefixBytes int64
 }
 
-// engine is what a model engine has besides running requests.
+// engine holds the models, the role, the orders and the prefix cache of a model
+// engine. Running requests is up to Backend.
 type engine struct {
 	config EngineConfig
 	cache  prefixCache
@@ -50,7 +53,7 @@
 	mu             sync.Mutex
 	state          backend.WireState
 	fencingToken   int64
-	acceptedOrders map[string]bool // IDs of orders that were carried out
+	acceptedOrders map[string]bool // IDs of accepted orders
 }
 
 func newEngine(config BackendConfig) *engine {
@@ -71,14 +74,14 @@
 	router.HandleFunc(backend.PathKVImport, e.serveImport).Methods(http.MethodPost)
 }
 
-// serves reports whether a model is loaded.
+// serves reports whether requests for a model are accepted.
 func (e *engine) serves(model string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return model == "" || len(e.config.Models) == 0 || slices.Contains(e.state.Models, model)
 }
 
-// prefill returns the time before the first chunk, and caches the prefix.
+// prefill returns the time to the first chunk and caches the prefix.
 func (e *engine) prefill(prefix string, slowdown float64) time.Duration {
 	const cachedShare = 10
 	needed := time.Duration(float64(e.config.PrefillTime) * slowdown)
@@ -104,7 +107,7 @@
 	w.WriteHeader(e.acceptOrder(order))
 }
 
-// order starts an order and returns its status.
+// acceptOrder starts an order, or refuses it, and returns the HTTP status.
 func (e *engine) acceptOrder(order backend.WireOrder) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -128,7 +131,7 @@
 	return http.StatusAccepted
 }
 
-// start carries an order out. A load ends later.
+// execute carries out an order. Loading a model finishes after LoadTime.
 func (e *engine) execute(order backend.WireOrder) {
 	switch order.Action {
 	case actionLoad:
@@ -150,7 +153,8 @@
 	}
 }
 
-// serveCacheEvents returns published events after the number in the query.
+// serveCacheEvents returns the published events with a higher number than the query
+// parameter "after".
 func (e *engine) serveCacheEvents(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
 	writeJSON(w, http.StatusOK, e.cache.published(after, time.Now()))
@@ -178,14 +182,14 @@
 	writeJSON(w, http.StatusOK, kv)
 }
 
-// loadReports makes load reports lag.
+// loadReports holds the last load report, so that reports lag behind the load.
 type loadReports struct {
 	mu      sync.Mutex
 	takenAt time.Time
 	last    backend.WireLoad
 }
 
-// serveLoad returns a report that is renewed only once per lag.
+// serveLoad returns the last load report and renews it at most once per LoadLag.
 func (b *Backend) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	b.load.mu.Lock()
 	defer b.load.mu.Unlock()
--- a/internal/standin/fault_spec.go
+++ b/internal/standin/fault_spec.go
@@ -8,21 +8,22 @@
 	"strings"
 )
 
-// Targets of faults besides pools and backend servers.
+// Fault targets other than pools and backend servers.
 const (
 	targetStore = "store"
 	targetList  = "list"
 )
 
 // SetFault sets one fault from a text of the form TARGET:NAME=VALUE. The target is
-// "store", "list", a pool or a backend server; the name is a field of the JSON
-// document of the target's admin path, with a dot before the key of a map:
+// "store", "list" (the instance list), a pool or a backend server. The name is a
+// field of the JSON document at the target's PathFaults; a dot separates a map from
+// its key. Examples:
 // "store:delay_ms=50", "ledger-1:slowdown=10", "ledger:share.error=0.1".
 func (c *Cluster) SetFault(text string) error {
 	target, setting, ok := strings.Cut(text, ":")
 	name, value, hasValue := strings.Cut(setting, "=")
 	if !ok || !hasValue {
-		return fmt.Errorf("fault %q: want TARGET:NAME=VALUE", text)
+		return fmt.Errorf("fault %q does not have the form TARGET:NAME=VALUE", text)
 	}
 	document := value
 	for _, field := range slices.Backward(strings.Split(name, ".")) {
@@ -58,7 +59,8 @@
 	return nil
 }
 
-// merge decodes a document over faults and sets the result.
+// merge overwrites the fields of faults that a JSON document sets. Unknown fields are
+// an error.
 func merge[F any](document string, faults F, set func(F)) error {
 	decoder := json.NewDecoder(bytes.NewReader([]byte(document)))
 	decoder.DisallowUnknownFields()
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -8,34 +8,35 @@
 // Fault is a way in which a backend server mishandles one request.
 type Fault string
 
-// Faults of one request. FaultRefuse doesn't run it; all others do.
+// Faults of one request. With FaultRefuse the request does not run; with all others
+// it does.
 const (
 	FaultNone    Fault = ""
 	FaultRefuse  Fault = "refuse"
-	FaultError   Fault = "error"    // status 500 after the request ran
-	FaultHalf    Fault = "half"     // the connection breaks in the middle of the answer
-	FaultGarbage Fault = "garbage"  // bytes that are no answer
-	FaultTooMuch Fault = "too_much" // an answer without end, up to tooMuchBytes
-	FaultCrossed Fault = "crossed"  // the attempt ID of another request
-	FaultHang    Fault = "hang"     // no answer until the caller gives up
+	FaultError   Fault = "error"    // status 500 although the request ran
+	FaultHalf    Fault = "half"     // the connection is closed in the middle of the answer
+	FaultGarbage Fault = "garbage"  // bytes that cannot be decoded as an answer
+	FaultTooMuch Fault = "too_much" // an oversized answer of oversizedAnswerBytes
+	FaultCrossed Fault = "crossed"  // an answer with the attempt ID of another request
+	FaultHang    Fault = "hang"     // no answer until the caller disconnects
 )
 
-// allFaults is the order in which shares are drawn.
+// allFaults lists the faults in the order in which the next one is chosen.
 var allFaults = []Fault{FaultRefuse, FaultError, FaultHalf, FaultGarbage, FaultTooMuch, FaultCrossed, FaultHang}
 
-// BackendFaults are the faults of a backend server.
+// BackendFaults configures the faults of a backend server.
 type BackendFaults struct {
 	// Slowdown multiplies the service time; 0 and 1 mean none.
 	Slowdown float64 `json:"slowdown"`
-	// Draining refuses new requests as a leaving server does.
+	// Draining refuses new requests, as a draining server does.
 	Draining bool `json:"draining"`
-	// Share is the share of requests that each fault hits, 0 to 1.
+	// Share is the fraction of requests that each fault affects, 0 to 1.
 	Share map[Fault]float64 `json:"share,omitempty"`
-	// Next is the number of next requests that each fault hits.
+	// Next is the number of following requests that each fault affects.
 	Next map[Fault]int `json:"next,omitempty"`
 }
 
-// backendFaults decides the fate of each request.
+// backendFaultInjector chooses the fault of each request.
 type backendFaultInjector struct {
 	mu     sync.Mutex
 	faults BackendFaults
@@ -48,7 +49,7 @@
 	return f.faults.clone()
 }
 
-// clone copies the maps, so that a reader never shares them with draw.
+// clone copies the maps, so that no reader shares them with draw, which changes them.
 func (f BackendFaults) clone() BackendFaults {
 	share, next := map[Fault]float64{}, map[Fault]int{}
 	for fault, value := range f.Share {
@@ -68,7 +69,7 @@
 	change(&f.faults)
 }
 
-// slowdown returns the factor on service times.
+// slowdown returns the factor by which service times are multiplied.
 func (f *backendFaultInjector) slowdown() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -78,7 +79,8 @@
 	return f.faults.Slowdown
 }
 
-// draw returns the fault that hits the next request.
+// draw returns the fault of the next request: one with a count in Next, or else a
+// random one by Share.
 func (f *backendFaultInjector) draw() Fault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -14,16 +14,16 @@
 	"github.com/coltsfootdrift/coltsfootdrift/pipeline"
 )
 
-// FleetFile describes the stand-ins of a deployment. It lies beside the
-// deployment file and is optional.
+// FleetFile is the name of the file that configures the stand-ins of a deployment.
+// It is optional and in the same folder as the deployment file.
 const FleetFile = "standin.jsonc"
 
-// Fleet holds the sizes of stand-ins by pool.
+// Fleet is the content of the fleet file. Pools are keyed by name.
 type Fleet struct {
 	Pools map[string]PoolConfig `json:"pools"`
 }
 
-// PoolSize describes the stand-in backend servers of a pool. Times are in
+// PoolConfig configures the stand-in backend servers of a pool. Times are in
 // milliseconds.
 type PoolConfig struct {
 	Replicas       int     `json:"replicas"`
@@ -39,10 +39,11 @@
 	PrefixBytes    int64   `json:"prefix_bytes,omitempty"`
 }
 
-// defaultPoolSize is that of a pool that the fleet file doesn't name.
+// defaultPoolConfig applies to pools that the fleet file does not name.
 var defaultPoolConfig = PoolConfig{Replicas: 3, ServiceTimeMS: 20, AnswerBytes: 2000, ChunkBytes: 250}
 
-// ReadFleet reads the fleet file in the root of a file system, if there is one.
+// ReadFleet reads the fleet file in the root of a file system. Without the file it
+// returns an empty Fleet.
 func ReadFleet(root fs.FS) (Fleet, error) {
 	var fleet Fleet
 	data, err := fs.ReadFile(root, FleetFile)
@@ -64,7 +65,7 @@
 	return fleet, nil
 }
 
-// size returns the size of a pool with defaults for what is left out.
+// poolConfig returns the configuration of a pool, with defaults for omitted fields.
 func (f Fleet) poolConfig(pool string) PoolConfig {
 	config, ok := f.Pools[pool]
 	if !ok {
@@ -79,7 +80,7 @@
 	return config
 }
 
-// place is a failure domain with its region.
+// domainLocation is a failure domain with its region.
 type domainLocation struct {
 	region, failureDomain string
 }
@@ -94,14 +95,14 @@
 	return all
 }
 
-// planned is a backend server before it has an address.
+// plannedServer is a backend server that has no address yet.
 type plannedServer struct {
 	config BackendConfig
 	member platform.Member
 }
 
 // plan returns the backend servers of a deployment. The servers of a pool are
-// spread over the failure domains in turn.
+// distributed over the failure domains in turn.
 func (f Fleet) plan(deployment pipeline.Deployment, weights *WeightStore, speed float64) []plannedServer {
 	var all []plannedServer
 	domains := domainLocations(deployment)
@@ -121,7 +122,7 @@
 	return all
 }
 
-// config turns a size into the configuration of a server whose times are
+// backendConfig returns the configuration of one server of a pool, with all times
 // divided by speed.
 func (s PoolConfig) backendConfig(pool pipeline.Pool, weights *WeightStore, speed float64) BackendConfig {
 	duration := func(ms float64) time.Duration { return time.Duration(ms / speed * float64(time.Millisecond)) }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -11,15 +11,15 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/platform"
 )
 
-// PlatformFaults are the faults of the instance list.
+// PlatformFaults configures the faults of the instance list.
 type PlatformFaults struct {
-	// Outage answers every call with 503.
+	// Outage makes every call fail with status 503.
 	Outage bool `json:"outage"`
-	// LagMS is how old the list is, in milliseconds.
+	// LagMS is the delay after which the list shows a change, in milliseconds.
 	LagMS int64 `json:"lag_ms"`
 }
 
-// snapshot is the list of members from one change to the next.
+// snapshot is the list of members between two changes.
 type snapshot struct {
 	takenAt time.Time
 	members []platform.Member
@@ -32,7 +32,7 @@
 	snapshots []snapshot // oldest first
 }
 
-// Set replaces the members. The list shows them after the lag.
+// Set replaces all members. The list shows the change after the lag.
 func (p *Platform) Set(members []platform.Member) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -46,7 +46,7 @@
 	p.replace(append(withoutMember(p.latest(), member.ID), member))
 }
 
-// Remove takes a member off the list.
+// Remove removes a member from the list.
 func (p *Platform) Remove(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,8 +91,8 @@
 	return time.Duration(p.faults.LagMS) * time.Millisecond
 }
 
-// Members returns the list as it is shown now: the members of a lag ago, or the
-// first ones when there are none so old.
+// Members returns the list as it was one lag ago, or the oldest one that is known
+// when there was none yet.
 func (p *Platform) Members() []platform.Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -108,8 +108,8 @@
 	return slices.Clone(shown.members)
 }
 
-// Handler serves the list. Members register with PUT and leave with DELETE of
-// their own path below the list.
+// Handler serves the list and the faults. A member registers with PUT and leaves
+// with DELETE on its own path below the list.
 func (p *Platform) Handler() http.Handler {
 	router := mux.NewRouter()
 	member := platform.PathList + "/{id}"
--- a/internal/standin/runs.go
+++ b/internal/standin/runs.go
@@ -21,29 +21,29 @@
 	Type         pipeline.StageType `json:"type"`
 	// InputHash is the SHA-256 of the input in hexadecimal.
 	InputHash string `json:"input_hash"`
-	// RequestID is the "request_id" of the caller's body, empty when it has none.
+	// RequestID is the "request_id" in the caller's request body; empty when absent.
 	RequestID string `json:"request_id"`
-	// ResumeOffset is where a resumed stream started, in bytes.
+	// ResumeOffset is the offset at which a resumed stream started, in bytes.
 	ResumeOffset int64 `json:"resume_offset"`
 	// AnswerBytes is the length of the whole answer of a generate stage.
 	AnswerBytes int `json:"answer_bytes"`
-	// Finished is true when the server sent the whole answer, CutOff when it
-	// stopped before; both are false while the request runs.
+	// Finished is true when the server sent the whole answer, CutOff when it stopped
+	// before the end. Both are false while the request runs.
 	Finished bool `json:"finished"`
 	CutOff   bool `json:"cut_off"`
-	// Fault is what the stand-in did wrong on purpose.
+	// Fault is the injected fault, if any.
 	Fault Fault `json:"fault,omitempty"`
 }
 
-// callerBody is the part of a caller's body that the stand-ins understand.
+// callerBody holds the fields of a caller's request body that the stand-ins read.
 type callerBody struct {
 	RequestID string `json:"request_id"`
-	// AnswerBytes is the length of the generated answer; 0 leaves the server's.
+	// AnswerBytes is the length of the generated answer; 0 means the server's default.
 	AnswerBytes int `json:"answer_bytes"`
 }
 
-// readCallerBody finds the caller's body in the input of a stage: it is the input
-// of a first stage, and the member "request" of the others.
+// readCallerBody reads the caller's request body from the input of a stage. The input
+// of the first stage is the body; that of later stages has it in the field "request".
 func readCallerBody(input json.RawMessage) callerBody {
 	var later struct {
 		Request *callerBody `json:"request"`
@@ -56,7 +56,7 @@
 	return first
 }
 
-// runLog holds the runs of one backend server in the order of their start.
+// runLog records the runs of one backend server in the order in which they started.
 type runLog struct {
 	mu   sync.Mutex
 	runs []*Run
@@ -77,7 +77,7 @@
 	run.CutOff = !finished
 }
 
-// after returns copies of the runs from a position on.
+// after returns copies of the runs from an index on.
 func (l *runLog) after(position int) []Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -89,7 +89,7 @@
 	return runs
 }
 
-// newRun describes a stage request as a run.
+// newRun returns the record of a stage request that starts to run.
 func newRun(config BackendConfig, attempt string, stageType pipeline.StageType, body backend.Body) Run {
 	sum := sha256.Sum256(body.Input)
 	return Run{
--- a/internal/standin/settings.go
+++ b/internal/standin/settings.go
@@ -12,15 +12,16 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/settings"
 )
 
-// Ports of entry instances that have no base port are searched in a range below
-// the one from which systems usually take the ports of outgoing connections.
+// Range of ports for entry instances when there is no base port. It is below the
+// ephemeral port range, from which operating systems usually take the ports of
+// outgoing connections.
 const (
 	firstPort = 10000
 	lastPort  = 30000
 )
 
-// EntrySettings returns the settings of perDomain entry instances in each failure
-// domain. port returns the port of the next listener.
+// EntrySettings returns the settings of entry instances, perDomain of them in each
+// failure domain. nextPort returns the port of each listener.
 func (c *Cluster) EntrySettings(folder string, perDomain int, nextPort func() (int, error)) ([]settings.Entry, error) {
 	folder, err := filepath.Abs(folder)
 	if err != nil {
@@ -51,7 +52,7 @@
 	return entries, nil
 }
 
-// addPeers names the peer addresses of all others in each settings file.
+// addPeers adds the peer addresses of all other instances to each settings file.
 func addPeers(entries []settings.Entry) {
 	for i := range entries {
 		for j := range entries {
@@ -62,8 +63,9 @@
 	}
 }
 
-// PortAllocator returns ports that follow the ones of the cluster when it has a base
-// port, and free ports otherwise.
+// PortAllocator returns a function that returns a different port with each call:
+// the ports that follow those of the cluster when it has a base port, and free ports
+// otherwise.
 func (c *Cluster) PortAllocator() func() (int, error) {
 	if c.nextPort == 0 {
 		return FreePorts()
@@ -74,9 +76,9 @@
 	}
 }
 
-// FreePorts returns a function that returns a different port with each call, each
-// free for TCP and UDP a moment ago. Ports are drawn at random, so that processes
-// that search at the same time rarely meet.
+// FreePorts returns a function that returns a different port with each call. Each
+// port was free for TCP and UDP when it was checked. Ports are chosen at random, so
+// that processes that search at the same time rarely choose the same one.
 func FreePorts() func() (int, error) {
 	const attempts = 1000
 	taken := map[int]bool{}
@@ -105,8 +107,8 @@
 	return udp.Close() == nil
 }
 
-// WriteSettings writes one settings file per instance into a folder and returns
-// their paths.
+// WriteSettings writes one settings file for each instance into a folder, which it
+// creates when necessary, and returns the paths of the files.
 func WriteSettings(folder string, entries []settings.Entry) ([]string, error) {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return nil, fmt.Errorf("write settings: %w", err)
--- a/internal/standin/slots.go
+++ b/internal/standin/slots.go
@@ -13,7 +13,8 @@
 	position      int
 }
 
-// waiters is a heap: a higher rank first, then the order of arrival.
+// waiters is a priority queue for container/heap: higher ranks first, and equal ranks
+// in the order of arrival.
 type waiters []*waiter
 
 func (w waiters) Len() int { return len(w) }
@@ -39,7 +40,7 @@
 	return last
 }
 
-// slots runs a bounded number of requests at once and lets others wait by rank.
+// slots limits the number of concurrent requests and queues the others by rank.
 type slots struct {
 	mu          sync.Mutex
 	total       int
@@ -69,7 +70,8 @@
 	}
 }
 
-// abandon takes a waiter out, or gives back the slot that it was just granted.
+// abandon removes a waiter from the queue, or releases the slot that it was granted
+// in the meantime.
 func (s *slots) abandon(w *waiter) {
 	s.mu.Lock()
 	if w.position >= 0 {
@@ -81,7 +83,7 @@
 	s.release()
 }
 
-// release hands the slot to the first waiter.
+// release passes the slot to the first waiter, or frees it when there is none.
 func (s *slots) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,7 +94,7 @@
 	close(heap.Pop(&s.waiting).(*waiter).granted)
 }
 
-// load returns the numbers of running and waiting requests.
+// load returns the number of running requests and of waiting ones.
 func (s *slots) load() (running, waiting int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -10,29 +10,30 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/store"
 )
 
-// keepHistory is how long past values and tombstones are kept. Stale reads
-// can't go back further, and a watch that starts at an older version misses deletions.
+// historyRetention is how long past values and tombstones are kept. Stale reads cannot
+// go back further, and a watch that starts at an older version misses deletions.
 const historyRetention = 2 * time.Minute
 
-// revision is the state of a key from one write to the next.
+// revision is the state of a key between two writes.
 type revision struct {
 	writtenAt time.Time
 	entry     store.Entry
 	deleted   bool
 }
 
-// record is the history of a key, oldest revision first.
+// keyHistory holds the revisions of a key, oldest first.
 type keyHistory struct {
 	key       string
 	revisions []revision
 }
 
-// last returns the current revision.
+// latest returns the current revision.
 func (h *keyHistory) latest() *revision {
 	return &h.revisions[len(h.revisions)-1]
 }
 
-// at returns the revision that was current at a time, or nil.
+// revisionAt returns the revision that was current at a time, or nil when there was
+// none.
 func (h *keyHistory) revisionAt(t time.Time) *revision {
 	for _, past := range slices.Backward(h.revisions) {
 		if !past.writtenAt.After(t) {
@@ -42,20 +43,21 @@
 	return nil
 }
 
-// grant is a lease with its keys.
+// leaseState is a lease with the keys that are bound to it.
 type leaseState struct {
 	ttl   time.Duration
 	timer *time.Timer
 	keys  map[string]bool
 }
 
-// watcher is a long poll that waits for a key with the prefix.
+// watcher is a long poll that waits for a change of a key with a prefix. wake is
+// closed by the change.
 type watcher struct {
 	prefix string
 	wake   chan struct{}
 }
 
-// keyspace is the data of the key-value service: keys with versions, leases and
+// keyspace holds the data of the key-value service: versioned keys, leases and
 // watches.
 type keyspace struct {
 	mu        sync.Mutex
@@ -70,12 +72,13 @@
 	return &keyspace{leases: map[store.LeaseID]*leaseState{}, watchers: map[*watcher]bool{}}
 }
 
-// find returns the position of a key, or where it would be inserted.
+// find returns the index of a key, or the one at which it would be inserted, and
+// whether the key exists.
 func (k *keyspace) find(key string) (int, bool) {
 	return slices.BinarySearchFunc(k.histories, key, func(h *keyHistory, key string) int { return cmp.Compare(h.key, key) })
 }
 
-// current returns the live revision of a key, or nil.
+// current returns the current revision of a key, or nil when the key does not exist.
 func (k *keyspace) current(key string) *revision {
 	i, ok := k.find(key)
 	if !ok || k.histories[i].latest().deleted {
@@ -99,7 +102,8 @@
 	return found.entry, true
 }
 
-// list returns entries as they were at a time.
+// list returns up to limit entries with a prefix, as they were at a time. It starts
+// behind the key after.
 func (k *keyspace) list(prefix, after string, limit int, asOf time.Time) []store.Entry {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -117,7 +121,8 @@
 	return entries
 }
 
-// write sets a key when it has the expected version.
+// write sets the value of a key if the key has the expected version, 0 for a key that
+// does not exist.
 func (k *keyspace) write(entry store.Entry, expect store.Version) (store.Version, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -137,7 +142,7 @@
 	return entry.Version, nil
 }
 
-// remove deletes a key when it has the expected version.
+// remove deletes a key if it has the expected version.
 func (k *keyspace) remove(key string, expect store.Version) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -151,7 +156,7 @@
 	return nil
 }
 
-// expect returns a *store.ConflictError when the key has another version.
+// checkVersion returns a *store.ConflictError when the key has another version.
 func (k *keyspace) checkVersion(key string, version store.Version) error {
 	var has store.Version
 	if current := k.current(key); current != nil {
@@ -168,7 +173,8 @@
 	k.appendRevision(revision{entry: store.Entry{Key: key, Version: k.version}, deleted: true})
 }
 
-// append adds a revision, drops history that is too old and wakes watchers.
+// appendRevision adds a revision, drops history older than historyRetention and wakes
+// the watchers of the key.
 func (k *keyspace) appendRevision(next revision) {
 	next.writtenAt = time.Now()
 	key := next.entry.Key
@@ -186,7 +192,7 @@
 	}
 }
 
-// trim drops revisions that were no longer current at the horizon.
+// dropHistory drops the revisions that were no longer current at the horizon.
 func dropHistory(revisions []revision, horizon time.Time) []revision {
 	keep := 0
 	for keep+1 < len(revisions) && revisions[keep+1].writtenAt.Before(horizon) {
@@ -195,8 +201,8 @@
 	return slices.Delete(revisions, 0, keep)
 }
 
-// changes returns what changed under a prefix after a version. When nothing
-// did, it returns a channel that is closed at the next change.
+// changes returns the keys with a prefix that changed after a version. If there are
+// none, it registers a watcher and returns it.
 func (k *keyspace) changes(prefix string, after store.Version) (store.WatchResult, *watcher) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -223,14 +229,14 @@
 	return result, w
 }
 
-// forget ends a watch that no longer waits.
+// cancelWatch removes a watcher that no longer waits.
 func (k *keyspace) cancelWatch(w *watcher) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	delete(k.watchers, w)
 }
 
-// waiting returns the number of watches that wait.
+// waitingWatches returns the number of watches that wait.
 func (k *keyspace) waitingWatches() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -258,7 +264,7 @@
 	return nil
 }
 
-// endLease removes a lease and the keys that still carry it.
+// endLease removes a lease and deletes the keys that are still bound to it.
 func (k *keyspace) endLease(id store.LeaseID) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/standin/store_faults.go
+++ b/internal/standin/store_faults.go
@@ -23,24 +23,24 @@
 	callRevoke
 )
 
-// writes reports whether the call counts towards the write limit.
+// writes reports whether the call counts towards the rate limit of writes.
 func (c storeCall) writes() bool { return c >= callWrite }
 
-// StoreFaults are the faults of the key-value service.
+// StoreFaults configures the faults and the rate limits of the key-value service.
 type StoreFaults struct {
-	// Outage answers every call with 503 and ends waiting watches.
+	// Outage makes every call fail with status 503 and ends waiting watches.
 	Outage bool `json:"outage"`
 	// DelayMS is added to every call, in milliseconds.
 	DelayMS int64 `json:"delay_ms"`
-	// LoseShare is the share of writes that take effect without an answer, 0 to 1.
+	// LoseShare is the fraction of writes that take effect but get no answer, 0 to 1.
 	LoseShare float64 `json:"lose_share"`
-	// LoseNext is the number of next writes that take effect without an answer.
+	// LoseNext is the number of following writes that take effect but get no answer.
 	LoseNext int `json:"lose_next"`
-	// StaleShare is the share of reads that are answered from the past, 0 to 1.
+	// StaleShare is the fraction of reads that return past values, 0 to 1.
 	StaleShare float64 `json:"stale_share"`
-	// StaleMS is how old the answers of stale reads are, in milliseconds.
+	// StaleMS is the age of the values that stale reads return, in milliseconds.
 	StaleMS int64 `json:"stale_ms"`
-	// WritesPerSecond and ReadsPerSecond are the rate limits.
+	// WritesPerSecond and ReadsPerSecond are the rate limits of calls.
 	WritesPerSecond float64 `json:"writes_per_second"`
 	ReadsPerSecond  float64 `json:"reads_per_second"`
 }
@@ -49,16 +49,18 @@
 	return time.Duration(f.DelayMS) * time.Millisecond
 }
 
-// Rate limits of the platform's service, in calls per second.
+// Rate limits of the platform's key-value service, in calls per second.
 const (
 	DefaultWritesPerSecond = 300
 	DefaultReadsPerSecond  = 2000
 )
 
-// burstSeconds is how many seconds' worth of calls may come at once.
+// burstSeconds is the burst size of the rate limits, in seconds of calls at the full
+// rate.
 const burstSeconds = 0.5
 
-// StoreCounts holds the calls carried out by type, and those that weren't.
+// StoreCounts counts the calls that were carried out, by type, and those that were
+// not.
 type StoreCounts struct {
 	Gets       int64 `json:"gets"`
 	Lists      int64 `json:"lists"`
@@ -72,7 +74,7 @@
 	OverRate int64 `json:"over_rate"`
 	// Unavailable counts calls answered with 503.
 	Unavailable int64 `json:"unavailable"`
-	// Lost counts writes that took effect without an answer.
+	// Lost counts writes that took effect but got no answer.
 	Lost           int64 `json:"lost"`
 	WaitingWatches int   `json:"waiting_watches"`
 }
@@ -81,7 +83,7 @@
 	return [...]*int64{&c.Gets, &c.Lists, &c.Watches, &c.Writes, &c.Deletes, &c.Grants, &c.KeepAlives, &c.Revokes}[call]
 }
 
-// storeFaults decides the fate of each call.
+// storeFaultInjector applies the rate limits and chooses the fault of each call.
 type storeFaultInjector struct {
 	mu            sync.Mutex
 	faults        StoreFaults
@@ -137,8 +139,8 @@
 	return f.outage
 }
 
-// begin counts a call and returns 200 when it is to be carried out, or the status
-// of a call that isn't.
+// begin counts a call. It returns status 200 when the call is to be carried out, and
+// otherwise the status to answer with.
 func (f *storeFaultInjector) begin(call storeCall) (StoreFaults, int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -158,7 +160,7 @@
 	return f.faults, http.StatusOK
 }
 
-// losesAnswer decides whether the answer of a write is lost.
+// losesAnswer reports whether the answer of a write is to be dropped, and counts it.
 func (f *storeFaultInjector) losesAnswer() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -172,7 +174,7 @@
 	return true
 }
 
-// readTime returns the time as of which a read is answered.
+// readTime returns the time whose values a read returns: a past one for a stale read.
 func (f *storeFaultInjector) readTime() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/standin/store_http.go
+++ b/internal/standin/store_http.go
@@ -14,10 +14,10 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/store"
 )
 
-// defaultListLimit bounds a list that names no limit.
+// defaultListLimit is the maximum number of entries of a list without a limit.
 const defaultListLimit = 1000
 
-// defaultWatchWait bounds a watch that names no wait.
+// defaultWatchWait is the maximum wait of a watch without a wait time.
 const defaultWatchWait = 30 * time.Second
 
 // Store is a stand-in of the platform's key-value service.
@@ -37,14 +37,14 @@
 // SetFaults replaces the faults.
 func (s *Store) SetFaults(faults StoreFaults) { s.faults.set(faults) }
 
-// Counts returns the calls so far by type.
+// Counts returns the numbers of calls so far.
 func (s *Store) Counts() StoreCounts {
 	counts := s.faults.copyCounts()
 	counts.WaitingWatches = s.keys.waitingWatches()
 	return counts
 }
 
-// Handler serves the wire form and the admin paths.
+// Handler serves the protocol of the key-value service and the admin paths.
 func (s *Store) Handler() http.Handler {
 	router := mux.NewRouter().SkipClean(true)
 	router.HandleFunc(PathFaults, serveFaults(s.Faults, s.SetFaults)).Methods(http.MethodGet, http.MethodPut)
@@ -62,7 +62,7 @@
 	return router
 }
 
-// guard applies rate limits and faults around a call.
+// withFaults applies the rate limits and the faults to a call.
 func (s *Store) withFaults(call storeCall, serve http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		faults, status := s.faults.begin(call)
@@ -75,14 +75,14 @@
 		}
 		if call.writes() && s.faults.losesAnswer() {
 			serve(discardWriter{http.Header{}}, r)
-			// Closes the connection without an answer.
+			// The panic closes the connection without an answer.
 			panic(http.ErrAbortHandler)
 		}
 		serve(w, r)
 	}
 }
 
-// discardWriter drops an answer.
+// discardWriter is an http.ResponseWriter that discards the response.
 type discardWriter struct{ header http.Header }
 
 func (d discardWriter) Header() http.Header         { return d.header }
@@ -93,7 +93,7 @@
 	return strings.TrimPrefix(r.URL.Path, store.PathKeys)
 }
 
-// number reads a query parameter, 0 when it is absent or malformed.
+// intParam returns the value of a query parameter, 0 when it is absent or malformed.
 func intParam(r *http.Request, name string) int64 {
 	n, _ := strconv.ParseInt(r.URL.Query().Get(name), 10, 64)
 	return n
@@ -152,7 +152,7 @@
 	writeResult(w, err, store.WireWrite{})
 }
 
-// writeResult sends the answer of a write, or the status that its error stands for.
+// writeResult sends the answer of a successful write, or the status of its error.
 func writeResult(w http.ResponseWriter, err error, answer any) {
 	var conflict *store.ConflictError
 	switch {
@@ -165,8 +165,8 @@
 	}
 }
 
-// watch waits for a change under a prefix. An unchanged poll ends with the
-// version that it started from.
+// watch waits for a change of a key with a prefix. Without a change it returns the
+// version from which the poll started.
 func (s *Store) watch(w http.ResponseWriter, r *http.Request) {
 	prefix := r.URL.Query().Get(store.ParamPrefix)
 	after := store.Version(intParam(r, store.ParamAfter))
@@ -185,7 +185,7 @@
 	writeJSON(w, http.StatusOK, store.WireWatch{Changed: changed, Deleted: result.Deleted, Version: result.Version})
 }
 
-// waitFor returns true when the watcher was woken before its time ended.
+// waitForChange returns true when the watcher was woken before its wait time ended.
 func (s *Store) waitForChange(r *http.Request, waiting *watcher) bool {
 	wait := time.Duration(intParam(r, store.ParamWaitMS)) * time.Millisecond
 	if wait <= 0 {
@@ -200,7 +200,7 @@
 	case <-r.Context().Done():
 	case <-s.faults.outageStarted():
 		s.keys.cancelWatch(waiting)
-		panic(http.ErrAbortHandler) // an outage also ends waiting watches
+		panic(http.ErrAbortHandler) // an outage closes the connections of waiting watches
 	}
 	s.keys.cancelWatch(waiting)
 	return false
--- a/internal/standin/store_test.go
+++ b/internal/standin/store_test.go
@@ -14,7 +14,7 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/store"
 )
 
-// storeClient calls a stand-in over HTTP.
+// storeClient calls a stand-in store over HTTP.
 type storeClient struct {
 	*qt.C
 	*Store
@@ -29,7 +29,8 @@
 	return s
 }
 
-// call returns the status, 0 for a call without an answer, and decodes the answer.
+// call sends a request and decodes the answer. It returns the status, 0 when there is
+// no answer.
 func (s *storeClient) call(method, path, body string, into any) int {
 	request, err := http.NewRequest(method, s.url+path, strings.NewReader(body))
 	s.Assert(err, qt.IsNil)
@@ -72,7 +73,8 @@
 	s.Assert(s.call(http.MethodPut, "/v1/kv/large?expect=0", tooLarge, nil), qt.Equals, http.StatusRequestEntityTooLarge)
 }
 
-// Guards against pages that repeat or skip a key, or leave the prefix.
+// Guards against pages of a list that repeat or skip a key, or have keys without the
+// prefix.
 func TestListPages(t *testing.T) {
 	s := startStore(t)
 	for _, key := range []string{"p/1", "p/2", "p/3", "q/1", "o/9"} {
@@ -94,8 +96,8 @@
 	s.Assert(keys, qt.DeepEquals, []string{"p/1", "p/2", "p/3"})
 }
 
-// Guards against a lost answer whose write did not take effect, and against a
-// refused call that did.
+// Guards against a write with a lost answer that does not take effect, and against a
+// refused call that does.
 func TestStoreFaultsMatchTheirEffects(t *testing.T) {
 	s := startStore(t)
 	faults := s.Faults()
@@ -118,7 +120,7 @@
 	s.Assert([]int64{counts.Lost, counts.Unavailable, counts.OverRate}, qt.DeepEquals, []int64{1, 1, 1})
 }
 
-// Guards against a stale read that returns the present.
+// Guards against a stale read that returns the current value.
 func TestStaleRead(t *testing.T) {
 	s := startStore(t)
 	s.put("k", 0, "v")
@@ -128,8 +130,8 @@
 	s.Assert(status, qt.Equals, http.StatusConflict)
 }
 
-// Guards against a watch that misses the end of a lease or a change that came
-// before it waits.
+// Guards against a watch that misses the end of a lease, or a change that was made
+// before the watch started to wait.
 func TestWatchReportsLeaseEnd(t *testing.T) {
 	s := startStore(t)
 	var lease store.WireLease
@@ -160,8 +162,7 @@
 	s.Assert(s.call(http.MethodPost, path+store.KeepAliveSuffix, "", nil), qt.Equals, http.StatusNotFound)
 }
 
-// Guards against watches that an outage ended and that still count as waiting
-// calls afterwards.
+// Guards against watches that were ended by an outage but still count as waiting.
 func TestOutageEndsWaitingWatches(t *testing.T) {
 	s := startStore(t)
 	ended := make(chan int)
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -7,16 +7,17 @@
 	"golang.org/x/time/rate"
 )
 
-// PathWeights is where the weight store serves weights by name.
+// PathWeights is the path below which the weight store serves weights by name.
 const PathWeights = "/v1/weights/"
 
-// WeightStore is a stand-in of the rate-limited weight store. Loads over the
-// rate are refused.
+// WeightStore is a stand-in of the weight store, which limits the rate of loads and
+// refuses those above it.
 type WeightStore struct {
 	limiter *rate.Limiter
 }
 
-// NewWeightStore returns a weight store; 0 loads per minute means no limit.
+// NewWeightStore returns a weight store with a rate limit in loads per minute; 0 means
+// no limit.
 func NewWeightStore(loadsPerMinute float64) *WeightStore {
 	if loadsPerMinute == 0 {
 		return &WeightStore{limiter: rate.NewLimiter(rate.Inf, 0)}
@@ -31,7 +32,7 @@
 	return s == nil || s.limiter.Allow()
 }
 
-// Handler answers a load with 200, or 429 when it is over the rate.
+// Handler answers a load with status 200, or 429 when it exceeds the rate limit.
 func (s *WeightStore) Handler() http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc(PathWeights+"{name:.+}", func(w http.ResponseWriter, _ *http.Request) {
