--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,5 +1,6 @@
-// Package demo serves requests of the example deployments with stand-ins on
-// loopback and compares what callers got with what backend servers recorded.
+// Package demo runs the example deployments with stand-ins on loopback, sends them
+// requests while it injects faults, and compares the answers that callers got with
+// the runs that backend servers recorded.
 package demo
 
 import (
@@ -20,23 +21,25 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/traffic"
 )
 
-// The demo stays under 30 s: no request starts after sendLimit, none runs longer
-// than timeLimit, and the stop of the instances has a deadline of its own.
+// The demo takes less than 30 s: no request starts after sendPeriod, no request runs
+// after demoTimeout, and stopping the instances is limited by shutdownDeadline.
 const (
 	sendPeriod  = 10 * time.Second
 	demoTimeout = 23 * time.Second
 )
 
-// callersPerDeployment is the number of requests on their way at once.
+// callersPerDeployment is the maximum number of concurrent requests, not counting
+// repeats that are sent while the request runs.
 const callersPerDeployment = 24
 
-// slowdown is the factor by which one engine is slow for a while.
+// slowdownFactor multiplies the service time of one engine for a while.
 const slowdownFactor = 5
 
-// seed is that of the order of requests.
+// requestOrderSeed seeds the random order of the requests.
 const requestOrderSeed = 1
 
-// Run serves the requests of all example deployments.
+// Run runs all example deployments concurrently and returns the report. When
+// a deployment fails, it returns an error and the report of the others.
 func Run(ctx context.Context, logger *slog.Logger) (*Report, error) {
 	started := time.Now()
 	folder, err := os.MkdirTemp("", "coltsfootdrift-demo-")
@@ -69,8 +72,8 @@
 	return report, err
 }
 
-// serve starts one deployment, sends its requests and stops it. The records are
-// complete once the deployment has stopped.
+// runDeployment starts one deployment, sends its requests and stops it. The recorded
+// runs are complete once the deployment has stopped.
 func runDeployment(ctx context.Context, name, folder string, logger *slog.Logger) (*deployment, []traffic.Exchange, error) {
 	folder, err := unpack(name, folder)
 	if err != nil {
@@ -84,7 +87,7 @@
 	return d, results, d.stop()
 }
 
-// collect counts the requests of a deployment.
+// countRequests verifies the requests of a deployment and adds their counts.
 func (r *Report) countRequests(d *deployment, results []traffic.Exchange) {
 	v := traffic.NewVerifier(d.cluster.Set, d.cluster.Runs())
 	for _, s := range results {
@@ -96,7 +99,8 @@
 	}
 }
 
-// send sends all requests with a bounded number at once.
+// send sends the requests with limited concurrency. After sendPeriod it leaves out
+// the rest.
 func (d *deployment) send(ctx context.Context, requests []traffic.Request) []traffic.Exchange {
 	c := &traffic.Client{HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callersPerDeployment}}}
 	defer c.HTTP.CloseIdleConnections()
@@ -119,8 +123,8 @@
 	return results
 }
 
-// sendAll sends a request and its repeats. Every other traffic.Request is repeated while
-// it runs, the rest after its answer; each time at another instance.
+// sendWithRepeats sends a request and its repeats, each to another instance. Requests
+// at odd positions are repeated while they run, the others after their answer.
 func (d *deployment) sendWithRepeats(ctx context.Context, c *traffic.Client, position int, r traffic.Request) []traffic.Answer {
 	answers := make([]traffic.Answer, r.Repeats+1)
 	var group errgroup.Group
@@ -138,9 +142,10 @@
 	return answers
 }
 
-// disturb makes stand-ins misbehave while requests are sent: at a quarter of them
-// an engine becomes slow, a server leaves and single answers go wrong, at three
-// quarters the slow engine recovers.
+// injectFaults injects faults while requests are sent. After a quarter of them an
+// engine becomes slow, one server drains, another one gives single faulty answers,
+// and the store loses the answers of two writes. After three quarters the slow engine
+// recovers.
 func (d *deployment) injectFaults(position, total int) {
 	servers := d.cluster.Servers
 	switch position {
@@ -158,5 +163,5 @@
 	}
 }
 
-// ErrViolations reports a demo with a count that must be 0 and isn't.
+// ErrViolations reports that a count which must be 0 is not.
 var ErrViolations = errors.New("requests were lost, doubled, mixed up, or ran although the caller was told not_run")
--- a/internal/demo/deployment.go
+++ b/internal/demo/deployment.go
@@ -20,17 +20,17 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/standin"
 )
 
-// speed divides the times of the stand-ins, so that the demo is short.
+// speedFactor divides the service times of the stand-ins, so that the demo is short.
 const speedFactor = 80
 
-// startAttempts bounds the starts of an instance whose ports another process took
-// between the search and the start.
+// startAttempts limits how often the instances are started. A start fails when
+// another process takes a port after it was found free.
 const startAttempts = 3
 
-// pollInterval is the time between two questions about readiness.
+// pollInterval is the time between two polls for readiness.
 const pollInterval = 50 * time.Millisecond
 
-// shutdownDeadline bounds the stop of an instance.
+// shutdownDeadline is the time limit for stopping the instances.
 const shutdownDeadline = 5 * time.Second
 
 // deployment is a running example: stand-ins and one entry instance in each
@@ -39,9 +39,9 @@
 	name    string
 	cluster *standin.Cluster
 	apps    []*fx.App
-	// addresses serve callers, admins readiness.
+	// callerAddresses serve the callers' requests, adminAddresses the readiness check.
 	callerAddresses, adminAddresses []string
-	// instances is the number of entry instances that served.
+	// instanceCount is the number of entry instances that were started.
 	instanceCount int
 }
 
@@ -55,7 +55,7 @@
 	return target, os.CopyFS(target, files)
 }
 
-// start starts an example from a folder.
+// start starts an example deployment from a folder. It tries startAttempts times.
 func start(ctx context.Context, name, folder string, logger *slog.Logger) (*deployment, error) {
 	cluster, err := standin.StartCluster(standin.ClusterConfig{Folder: folder, Speed: speedFactor})
 	if err != nil {
@@ -103,14 +103,14 @@
 	return nil
 }
 
-// waitReady waits until every instance says that it is ready.
+// waitReady waits until every instance reports that it is ready.
 func (d *deployment) waitReady(ctx context.Context) error {
 	for _, address := range d.adminAddresses {
 		for !isReady(ctx, address) {
 			select {
 			case <-time.After(pollInterval):
 			case <-ctx.Done():
-				return fmt.Errorf("instance at %s isn't ready: %w", address, ctx.Err())
+				return fmt.Errorf("instance at %s did not become ready: %w", address, ctx.Err())
 			}
 		}
 	}
@@ -127,7 +127,7 @@
 		return false
 	}
 	defer response.Body.Close()
-	// An instance without the path has nothing to wait for.
+	// An instance that does not serve the path has no readiness check to wait for.
 	return response.StatusCode == http.StatusOK || response.StatusCode == http.StatusNotFound
 }
 
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -15,16 +15,18 @@
 	traffic.Counts
 	// Kinds holds the counts by deployment and request kind, as "tavares/dossier".
 	Kinds map[string]*traffic.Counts `json:"kinds"`
-	// Faults describes the first requests whose counts must be 0 and are not.
+	// ViolationDetails describes the first requests with a count that must be 0 and is
+	// not.
 	ViolationDetails []string `json:"faults,omitempty"`
 	Instances        int      `json:"instances"`
 	Seconds          float64  `json:"seconds"`
 }
 
-// maxFaults bounds the descriptions in a report.
+// maxViolations is the maximum number of requests in ViolationDetails.
 const maxViolations = 10
 
-// note adds the description of a request with a fault.
+// addViolation adds the description of a request with a count that must be 0 and is
+// not.
 func (r *Report) addViolation(deployment string, s traffic.Exchange) {
 	if len(r.ViolationDetails) == maxViolations {
 		return
@@ -44,7 +46,7 @@
 	return r.Kinds[name]
 }
 
-// total sums the kinds up.
+// sumKinds sets the totals to the sums over all kinds.
 func (r *Report) sumKinds() {
 	r.Counts = traffic.Counts{}
 	for _, counts := range r.Kinds {
--- a/internal/traffic/client.go
+++ b/internal/traffic/client.go
@@ -17,27 +17,27 @@
 	"github.com/coltsfootdrift/coltsfootdrift/job"
 )
 
-// maxEventBytes bounds one event of a streamed answer.
+// maxEventBytes is the size limit of one event of a streamed answer.
 const maxEventBytes = 4 << 20
 
-// pollInterval is the time between two questions about a durable request.
+// pollInterval is the time between two polls for the status of a durable request.
 const pollInterval = 50 * time.Millisecond
 
-// askTimeout bounds one question about a durable request.
+// statusTimeout is the timeout of one poll for the status of a durable request.
 const statusTimeout = 2 * time.Second
 
-// Answer is what a caller got.
+// Answer is the final answer that a caller got.
 type Answer struct {
 	// Outcome is empty when no final answer arrived.
 	Outcome entry.Outcome
-	// Body is the whole answer when the outcome is completed.
+	// Body is the whole answer body when the outcome is completed.
 	Body []byte
-	// Digest is set instead of the body for a repeat whose answer isn't kept: the
-	// SHA-256 in hexadecimal.
+	// Digest is the SHA-256 of the answer in hexadecimal. It is set instead of Body
+	// for a repeated request whose answer is no longer stored.
 	Digest string
-	// Location is the path of the status of an accepted durable request.
+	// Location is the status path of an accepted durable request.
 	Location string
-	// Detail says what went wrong.
+	// Detail describes the error, if any.
 	Detail string
 }
 
@@ -48,8 +48,8 @@
 // Client sends requests to entry instances.
 type Client struct {
 	HTTP *http.Client
-	// PollAddress returns an instance that is asked about a durable request; nil to ask
-	// only the instance that accepted it.
+	// PollAddress returns the address of an instance to poll for the status of a
+	// durable request. When it is nil, the instance that accepted the request is polled.
 	PollAddress func() string
 }
 
@@ -83,8 +83,8 @@
 	return readAnswer(response)
 }
 
-// poll asks for the answer of an accepted durable request until there is one. Any
-// other end than a completed one is a loss.
+// poll polls the status of an accepted durable request until the request has
+// finished. A request that finished with another outcome than completed is lost.
 func (c *Client) poll(ctx context.Context, address, location string) Answer {
 	for {
 		got, pending := c.fetchStatus(ctx, "http://"+address+location)
@@ -106,7 +106,7 @@
 	}
 }
 
-// ask returns the answer of a durable request, or true while there is none.
+// fetchStatus returns the answer of a durable request, or true while there is none.
 func (c *Client) fetchStatus(ctx context.Context, url string) (Answer, bool) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -128,8 +128,8 @@
 	return readAnswer(response), false
 }
 
-// readStatus returns the answer that the status of a durable request holds, or
-// true while it is not finished.
+// readStatus reads the answer from the status of a durable request. It returns true
+// while the request has not finished.
 func readStatus(body io.Reader) (Answer, bool) {
 	var status entry.JobStatus
 	if err := json.NewDecoder(body).Decode(&status); err != nil {
@@ -141,13 +141,13 @@
 	return Answer{Outcome: status.Outcome, Body: plainText(status.Answer), Detail: status.Detail}, false
 }
 
-// read returns the final answer that a response holds.
+// readAnswer reads the final answer from a response.
 func readAnswer(response *http.Response) Answer {
 	contentType := response.Header.Get("Content-Type")
 	if strings.HasPrefix(contentType, "text/event-stream") {
 		return readStream(response.Body)
 	}
-	// The answer has its length, so that a cut-off one is an error here.
+	// The response has a Content-Length, so a truncated body is an error here.
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		return lostAnswer(err)
@@ -162,7 +162,8 @@
 	return Answer{Outcome: outcome, Body: plainText(body)}
 }
 
-// plainText takes generated text out of its JSON string.
+// plainText returns generated text without its JSON encoding, and any other body
+// unchanged.
 func plainText(body []byte) []byte {
 	var text string
 	if json.Unmarshal(body, &text) == nil {
@@ -182,10 +183,10 @@
 	return Answer{Outcome: problem.Outcome, Digest: problem.SHA256, Detail: problem.Error()}
 }
 
-// errNoEnd reports a stream that stopped without its end mark.
-var errNoEndEvent = errors.New("stream has no end mark")
+// errNoEndEvent reports a stream that ended without an end event.
+var errNoEndEvent = errors.New("stream ended without an end event")
 
-// readStream reads a streamed answer up to its end mark.
+// readStream reads a streamed answer up to its end event.
 func readStream(body io.Reader) Answer {
 	var text bytes.Buffer
 	for event, err := range sse.Read(body, &sse.ReadConfig{MaxEventSize: maxEventBytes}) {
@@ -214,7 +215,7 @@
 		return lostAnswer(err)
 	}
 	if end.Bytes != int64(len(text)) {
-		return lostAnswer(fmt.Errorf("%d of %d bytes arrived", len(text), end.Bytes))
+		return lostAnswer(fmt.Errorf("stream has %d of %d bytes", len(text), end.Bytes))
 	}
 	return Answer{Outcome: end.Outcome, Body: text}
 }
--- a/internal/traffic/counts.go
+++ b/internal/traffic/counts.go
@@ -1,11 +1,12 @@
-// Package traffic sends callers' requests and compares what the callers got with
-// what backend servers recorded. The demo and the fault scenarios use it.
+// Package traffic generates requests of callers and verifies the answers against the
+// runs that the stand-in backend servers recorded. The demo and the fault scenarios
+// use it.
 package traffic
 
 import "github.com/coltsfootdrift/coltsfootdrift/internal/entry"
 
-// Counts says what became of requests. Each request has one of the four outcomes
-// or is lost.
+// Counts counts requests by result. Each request has one of the four outcomes or is
+// lost.
 type Counts struct {
 	Requests  int `json:"requests"`
 	Completed int `json:"completed"`
@@ -15,24 +16,25 @@
 	// Lost counts requests without a final answer or whose whole answer did not
 	// arrive.
 	Lost int `json:"lost"`
-	// Doubled counts runs of a once stage beyond the first one for a key.
+	// Doubled counts the runs of a non-idempotent stage after the first one for a key.
 	Doubled int `json:"doubled"`
 	// MixedUp counts answers that belong to another request.
 	MixedUp int `json:"mixed_up"`
-	// NotRunButRan counts requests that a backend server ran although the caller
-	// was told not_run.
+	// NotRunButRan counts requests that a backend server ran although the caller got
+	// the outcome not_run.
 	NotRunButRan int `json:"not_run_but_ran"`
-	// Streams and RepeatedKeys count requests of these sorts.
+	// Streams counts streamed requests, RepeatedKeys those sent again with their key.
 	Streams      int `json:"streams"`
 	RepeatedKeys int `json:"repeated_keys"`
 }
 
-// Violations returns the sum of the counts that must be 0.
+// Violations returns the sum of the counts that must be 0: lost, doubled and mixed-up
+// requests, and those that ran although their outcome is not_run.
 func (c Counts) Violations() int {
 	return c.Lost + c.Doubled + c.MixedUp + c.NotRunButRan
 }
 
-// Add adds other counts.
+// Add adds other counts to c.
 func (c *Counts) Add(other Counts) {
 	c.Requests += other.Requests
 	c.Completed += other.Completed
--- a/internal/traffic/plan.go
+++ b/internal/traffic/plan.go
@@ -8,15 +8,16 @@
 	"github.com/coltsfootdrift/coltsfootdrift/pipeline"
 )
 
-// Numbers of requests by class, and of at-most-once kinds.
+// Numbers of requests of each kind, by class, and of at-most-once kinds.
 const (
 	interactiveRequests = 120
 	normalRequests      = 40
 	longRequests        = 6
 	atMostOnceRequests  = 60
-	// repeatEvery is the distance of keys that are sent again.
+	// repeatInterval is the interval at which requests with a key are sent again:
+	// every third one.
 	repeatInterval = 3
-	// streamEvery is the distance of streamed requests.
+	// streamInterval is the interval at which requests are streamed: every second one.
 	streamInterval = 2
 )
 
@@ -24,7 +25,7 @@
 const (
 	shortAnswerBytes = 1000
 	longAnswerBytes  = 20000
-	// largeAnswerBytes is that of one stream of each long kind.
+	// largeAnswerBytes is the length of one stream of each durable kind.
 	largeAnswerBytes = 1 << 20
 )
 
@@ -34,26 +35,26 @@
 	Organisation string
 	Pipeline     string
 	Kind         pipeline.Kind
-	// LastStage is the type of the stage that gives the answer.
+	// LastStage is the type of the last stage, whose output is the answer.
 	LastStage pipeline.StageType
 	Key       string
 	Stream    bool
 	Async     bool
-	// Repeats is how many times the request is sent again with its key.
+	// Repeats is the number of times that the request is sent again with its key.
 	Repeats int
 	Body    []byte
 }
 
-// callerBody is the JSON document of a request. The stand-ins find their way to
-// the request by request_id.
+// callerBody is the JSON body of a request. The stand-ins record its request_id, by
+// which runs are matched with requests.
 type callerBody struct {
 	RequestID   string `json:"request_id"`
 	Text        string `json:"text"`
 	AnswerBytes int    `json:"answer_bytes"`
 }
 
-// Plan returns requests of all kinds of a deployment in random order. Plans with
-// different prefixes have no request ID or key in common.
+// Plan returns requests of all kinds of a deployment in random order. The prefix
+// makes request IDs and keys unique: plans with different prefixes share none.
 func Plan(set *pipeline.Set, random *rand.Rand, prefix string) []Request {
 	var requests []Request
 	for i := range set.Pipelines {
@@ -81,8 +82,9 @@
 	return normalRequests
 }
 
-// newRequest returns the n-th request of a kind. The first one of a long kind is
-// a large stream; the other durable ones are fetched later.
+// newRequest returns the n-th request of a kind. The first request of a durable kind
+// is a large stream; the others are asynchronous, and their answers are fetched
+// later.
 func newRequest(p *pipeline.Pipeline, kind pipeline.Kind, organisation, prefix string, n int) Request {
 	r := Request{
 		ID:           fmt.Sprintf("%s%s-%s-%d", prefix, p.Name, kind.Name, n),
--- a/internal/traffic/verify.go
+++ b/internal/traffic/verify.go
@@ -16,18 +16,20 @@
 type Exchange struct {
 	Request
 	Answers []Answer
-	// Interrupted counts attempts whose connection broke. They were sent again.
+	// Interrupted counts attempts that were sent again because the connection broke.
 	Interrupted int
 }
 
-// Verifier compares what callers got with what backend servers recorded.
+// Verifier compares the answers that callers got with the runs that the stand-in
+// backend servers recorded.
 type Verifier struct {
 	set *pipeline.Set
 	// byRequest and byInput hold the runs by request ID and by input hash.
 	byRequest, byInput map[string][]standin.Run
 }
 
-// NewVerifier takes the configuration and the record of all backend servers.
+// NewVerifier returns a verifier for a configuration and the recorded runs of all
+// backend servers.
 func NewVerifier(set *pipeline.Set, runs []standin.Run) *Verifier {
 	v := &Verifier{set: set, byRequest: map[string][]standin.Run{}, byInput: map[string][]standin.Run{}}
 	for _, run := range runs {
@@ -37,7 +39,7 @@
 	return v
 }
 
-// Count returns the counts of one request with its repeats.
+// Count verifies one request with its repeats and returns the counts.
 func (v *Verifier) Count(s Exchange) Counts {
 	var counts Counts
 	allNotRun := s.Interrupted == 0
@@ -59,7 +61,8 @@
 	return counts
 }
 
-// countAnswer counts a completed answer only when it is the whole answer to its request.
+// countAnswer counts an answer by its outcome. A completed one counts as completed
+// only if it is the whole answer to its own request.
 func (v *Verifier) countAnswer(counts *Counts, s Exchange, a Answer) {
 	switch {
 	case a.Outcome != entry.OutcomeCompleted:
@@ -82,7 +85,8 @@
 	}
 }
 
-// delivered reports whether the caller already got an answer with the digest.
+// delivered reports whether the caller got an answer with the digest to any of the
+// requests with this key.
 func (s Exchange) delivered(digest string) bool {
 	for _, a := range s.Answers {
 		sum := sha256.Sum256(a.Body)
@@ -93,7 +97,7 @@
 	return false
 }
 
-// verdict says what an answer is compared with the records.
+// answerCheck is the result of the comparison of an answer with the recorded runs.
 type answerCheck int
 
 const (
@@ -109,8 +113,8 @@
 	return v.checkDocument(r, body)
 }
 
-// checkText compares generated text with what the engine was to generate for the
-// input that the text names.
+// checkText compares generated text with the text that the engine generates for the
+// input whose hash is in the first line.
 func (v *Verifier) checkText(r Request, text string) answerCheck {
 	hash, _, _ := strings.Cut(text, "\n")
 	run, ok := v.findRun(r, hash)
@@ -125,8 +129,8 @@
 	return answerOfOtherRequest
 }
 
-// checkDocument compares the answer of a service with the input that the service
-// recorded for the request.
+// checkDocument compares the answer of a service, which repeats its input, with the
+// input that the service recorded for the request.
 func (v *Verifier) checkDocument(r Request, body []byte) answerCheck {
 	var document struct {
 		RequestID string          `json:"request_id"`
@@ -147,7 +151,7 @@
 	return answerComplete
 }
 
-// own returns the run of a request's last stage with the input hash.
+// findRun returns the run of the request's last stage that has the input hash.
 func (v *Verifier) findRun(r Request, hash string) (standin.Run, bool) {
 	for _, run := range v.byInput[hash] {
 		matches := run.RequestID == r.ID && run.Organisation == r.Organisation && run.Kind == r.Kind.Name
@@ -158,7 +162,7 @@
 	return standin.Run{}, false
 }
 
-// onceRuns returns how often the once stage of a request ran.
+// nonIdempotentRuns returns how often the non-idempotent stage of a request ran.
 func (v *Verifier) nonIdempotentRuns(r Request) int {
 	p, ok := v.set.Pipeline(r.Pipeline)
 	if !ok {
--- a/internal/traffic/verify_test.go
+++ b/internal/traffic/verify_test.go
@@ -22,8 +22,8 @@
 	return standin.Run{RequestID: id, InputHash: hashOf(id), Type: stage, Pool: string(stage), Organisation: "o", Kind: "k", AnswerBytes: 200}
 }
 
-// Guards against a demo that reports 0 although a request was lost, doubled or
-// mixed up, or ran after the caller was told not_run.
+// Guards against counts of 0 although a request was lost, doubled or mixed up, or ran
+// although the caller got the outcome not_run.
 func TestVerifierCounts(t *testing.T) {
 	c := qt.New(t)
 	set := &pipeline.Set{Pipelines: []pipeline.Pipeline{{Name: "p", Stages: []pipeline.Stage{
