--- a/internal/proof/backend_test.go
+++ b/internal/proof/backend_test.go
@@ -10,11 +10,13 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/standin"
 )
 
-// drainLimit is the time after which a leaving server may get no new work.
+// drainPropagationLimit is the time after which a draining server must get no new
+// requests.
 const drainPropagationLimit = 3 * time.Second
 
-// Guards against new work at a leaving server from an instance that was not
-// refused itself and sees no list.
+// Guards against new requests to a draining server from an instance that cannot reach
+// the instance list and was not refused by the server itself. It has to learn from
+// its peers that the server drains.
 func TestServerDrainsWithoutInstanceList(t *testing.T) {
 	f := startLongScenario(t, "server-leaves")
 	const serverDomain = "norte-adega" // has a second server of the pool
@@ -31,7 +33,7 @@
 	f.waitUntil("first refusal", func() bool { return slices.Contains(first.status().Peers.Draining, leaving.Member().ID) })
 	refusedAt := time.Now()
 	f.waitUntil("drain limit", func() bool { return time.Since(refusedAt) > drainPropagationLimit })
-	// From here on the stand-in would run new work, so that its record shows any.
+	// From here on the stand-in accepts requests, so that any are recorded as runs.
 	leaving.Backend().SetDraining(false)
 	before := len(leaving.Backend().Runs())
 	l.retarget(second)
@@ -40,7 +42,7 @@
 	l.verify("server leaves", "list cut off")
 }
 
-// server returns the first server of a pool in a failure domain.
+// serverIn returns the first server of a pool in a failure domain.
 func (f *fleet) serverIn(pool, domain string) *standin.Server {
 	for _, server := range f.cluster.Pool(pool) {
 		if server.Member().FailureDomain == domain {
--- a/internal/proof/burst_test.go
+++ b/internal/proof/burst_test.go
@@ -9,14 +9,15 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/traffic"
 )
 
-// burst is a number of requests whose instances a scenario chooses.
+// burst is a set of requests that a scenario sends to instances of its choice.
 type burst struct {
 	mu          sync.Mutex
 	sent        []traffic.Exchange
 	interrupted []atomic.Int32
 }
 
-// some returns n planned requests of some kinds that the callers won't send.
+// newBurst returns n of the selected planned requests. The prefix of their request IDs
+// keeps them apart from the requests that the callers send.
 func (l *load) newBurst(n int, prefix string, selects func(traffic.Request) bool) *burst {
 	b := &burst{}
 	l.mu.Lock()
@@ -32,10 +33,11 @@
 	return b
 }
 
-// keyed returns n planned at-most-once requests.
+// newKeyedBurst returns n at-most-once requests, which have idempotency keys.
 func (l *load) newKeyedBurst(n int) *burst { return l.newBurst(n, "burst-", atMostOnce) }
 
-// startAt sends the requests to one instance, and elsewhere when it breaks the connection.
+// sendTo sends the requests to one instance, and to random ready ones when that
+// instance breaks the connection. The returned group waits for the answers.
 func (l *load) sendTo(first *instance, b *burst) *sync.WaitGroup {
 	var group sync.WaitGroup
 	for n, s := range b.sent {
@@ -54,7 +56,7 @@
 	return &group
 }
 
-// repeatElsewhere sends the requests again to ready instances.
+// resend sends the requests again, to random ready instances.
 func (l *load) resend(b *burst) {
 	var group sync.WaitGroup
 	for n, s := range b.sent {
@@ -69,7 +71,7 @@
 	b.sent[n].Answers = append(b.sent[n].Answers, answer)
 }
 
-// join adds the answers of a finished burst to those of the load.
+// addBurst adds the requests and answers of a finished burst to those of the load.
 func (l *load) addBurst(b *burst) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -79,7 +81,7 @@
 	}
 }
 
-// ran returns the number of runs of the requests.
+// runsOf returns the number of recorded runs of the requests of a burst.
 func (f *fleet) runsOf(b *burst) int {
 	ids := map[string]bool{}
 	for _, s := range b.sent {
--- a/internal/proof/configuration_change_test.go
+++ b/internal/proof/configuration_change_test.go
@@ -14,8 +14,8 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/standin"
 )
 
-// Guards against commands that don't work together over a whole change of the
-// configuration with a running instance.
+// Guards against commands that do not work together when the configuration is changed
+// while an instance runs.
 func TestConfigurationChange(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir:   "testdata",
@@ -24,8 +24,8 @@
 	})
 }
 
-// prepareStory starts stand-ins and writes the settings of one instance and three
-// versions of the operators' files.
+// setUpConfigurationChange starts stand-ins and writes the settings of one instance
+// and three versions of the deployment folder, one for each operator's change.
 func setUpConfigurationChange(c *qt.C, env *testscript.Env) error {
 	cluster, err := standin.StartCluster(standin.ClusterConfig{Folder: exampleFolder, Speed: speedFactor})
 	if err != nil {
--- a/internal/proof/crash_test.go
+++ b/internal/proof/crash_test.go
@@ -9,12 +9,13 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/standin"
 )
 
-// losingStore makes a share of the writes take effect without an answer.
+// loseWriteAnswers makes a fraction of the store writes take effect without an answer.
 func (f *fleet) loseWriteAnswers(share float64) {
 	f.storeFaults(func(faults *standin.StoreFaults) { faults.LoseShare = share })
 }
 
-// restart kills an instance, lets others serve and starts it again.
+// restart kills an instance, waits until the others have served requests, and starts
+// it again.
 func (f *fleet) restart(l *load, victim *instance) {
 	f.Helper()
 	victim.kill()
@@ -23,7 +24,7 @@
 	f.waitReady(victim)
 }
 
-// Guards against requests that are lost, or run twice, when their instance dies.
+// Guards against requests that are lost or run twice when their instance is killed.
 func TestKillUnderLoad(t *testing.T) {
 	f := startScenario(t, "kill")
 	l := f.startLoad()
@@ -34,8 +35,9 @@
 	l.verify("4 SIGKILL and restart")
 }
 
-// Guards against an instance that goes on with work that is no longer its own
-// after a pause: keys that it had claimed are repeated elsewhere meanwhile.
+// Guards against an instance that continues with requests whose claims it no longer
+// holds. The instance is paused for longer than its leases, and meanwhile the keys that
+// it had claimed are sent to other instances again.
 func TestPauseLongerThanLease(t *testing.T) {
 	f := startLongScenario(t, "pause")
 	f.cluster.Servers[0].Backend().SetSlowdown(5)
@@ -48,7 +50,7 @@
 	victim.signal(syscall.SIGSTOP)
 	pausedAt := time.Now()
 	l.resend(keyed)
-	// The pause itself is the fault: it outlasts the grant and the leases of 10 s.
+	// The pause lasts longer than the grant and the leases of 10 s.
 	f.waitUntil("end of the pause", func() bool { return time.Since(pausedAt) > claims.GrantLife+time.Second })
 	victim.signal(syscall.SIGCONT)
 	running.Wait()
@@ -58,8 +60,8 @@
 	l.verify("SIGSTOP for 11 s", "40 keys repeated elsewhere")
 }
 
-// Guards against keys that run twice, or are told not_run although they ran, when
-// the store carries out a write and its answer is lost.
+// Guards against keyed requests that run twice, or get the outcome not_run although
+// they ran, when a write to the store takes effect but its answer is lost.
 func TestStoreAnswersLost(t *testing.T) {
 	f := startScenario(t, "answers-lost")
 	l := f.startLoad()
@@ -71,8 +73,8 @@
 	l.verify("30 % of write answers lost")
 }
 
-// Guards against the combination of a lost answer with the death of the instance
-// that would have read it back.
+// Guards against requests that are lost or run twice when the answer of a write is
+// lost and the instance is killed before it reads the written value back.
 func TestAnswersLostAndKill(t *testing.T) {
 	f := startLongScenario(t, "answers-lost+kill")
 	l := f.startLoad()
--- a/internal/proof/faulty_test.go
+++ b/internal/proof/faulty_test.go
@@ -6,8 +6,8 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/standin"
 )
 
-// Guards against answers of a faulty server that reach a caller, and against
-// calls that are sent again although they may have run.
+// Guards against faulty answers of a backend server that are passed on to a caller, and
+// against non-idempotent calls that are sent again although they may have run.
 func TestFaultyAnswers(t *testing.T) {
 	f := startScenario(t, "faulty-answers")
 	faults := []standin.Fault{standin.FaultGarbage, standin.FaultHalf, standin.FaultCrossed, standin.FaultError, standin.FaultRefuse}
@@ -26,7 +26,7 @@
 	l.verify("garbage, half, crossed, error, refused 2 % each", "too much 0.2 %")
 }
 
-// faulted returns the number of runs that a fault hit.
+// runsWithFault returns the number of runs with an injected fault.
 func (f *fleet) runsWithFault(fault standin.Fault) int {
 	n := 0
 	for _, run := range f.cluster.Runs() {
--- a/internal/proof/fleet_test.go
+++ b/internal/proof/fleet_test.go
@@ -22,36 +22,39 @@
 
 const (
 	exampleFolder = "../../examples/tavares"
-	// speed divides the times of backend servers.
+	// speedFactor divides the service times of backend servers.
 	speedFactor = 20
-	// perDomain is the number of entry instances of a failure domain.
+	// instancesPerDomain is the number of entry instances in each failure domain.
 	instancesPerDomain = 2
-	// conditionLimit bounds the wait for a condition. The longest stated target,
-	// 13 s for a configuration, and a start fit in with a wide margin.
+	// conditionTimeout limits the wait for a condition. The longest stated target,
+	// 13 s for a configuration, and the start of a process fit in with a wide margin.
 	conditionTimeout = 40 * time.Second
-	// drainGrace lets the load balancer of the load see the readiness withdrawn: it
-	// asks every balanceInterval and waits readinessTimeout at the most.
+	// drainGrace is long enough for the load balancer to notice that an instance is no
+	// longer ready: it checks every balanceInterval and waits at most readinessTimeout
+	// for an answer.
 	drainGrace = 1500 * time.Millisecond
-	// pollInterval is the time between two looks at a condition.
+	// pollInterval is the time between two checks of a condition.
 	pollInterval = 20 * time.Millisecond
 )
 
-// domain is the failure domain that partitions hit. It is the only one of its region.
+// isolatedDomain is the failure domain that scenarios isolate or restart. It is the
+// only one of its region.
 const isolatedDomain = "centro-arm"
 
-// fleet is one deployment: stand-ins in the test process and entry processes.
+// fleet is one deployment: stand-ins in the test process, and entry processes.
 type fleet struct {
 	*qt.C
 	name      string
 	cluster   *standin.Cluster
 	instances []*instance
-	// stores and lists hold the ways to the store and the instance list by failure domain.
+	// storeProxies and listProxies hold the proxies to the store and to the instance
+	// list, by failure domain.
 	storeProxies, listProxies map[string]*faultProxy
 	partition                 *partition
 	random                    *rand.Rand
 }
 
-// begin starts the fleet of a scenario. Scenarios run in parallel.
+// startScenario starts the fleet of a scenario. Scenarios run in parallel.
 func startScenario(t *testing.T, name string) *fleet {
 	t.Parallel()
 	scenarioSlots <- struct{}{}
@@ -59,8 +62,8 @@
 	return newFleet(qt.New(t), name)
 }
 
-// beginLong starts the fleet of a scenario that is left out of go test ./..., which
-// is to take less than a minute.
+// startLongScenario starts the fleet of a scenario that runs only with -all, because
+// go test ./... is to take less than a minute.
 func startLongScenario(t *testing.T, name string) *fleet {
 	if !*all {
 		t.Skip("runs with -all")
@@ -68,8 +71,8 @@
 	return startScenario(t, name)
 }
 
-// newFleet starts the deployment with a published configuration and waits until
-// every instance is ready.
+// newFleet starts a deployment, publishes its configuration and waits until every
+// instance is ready and knows its peers.
 func newFleet(c *qt.C, name string) *fleet {
 	cluster, err := standin.StartCluster(standin.ClusterConfig{Folder: exampleFolder, Speed: speedFactor})
 	c.Assert(err, qt.IsNil)
@@ -84,7 +87,7 @@
 	return f
 }
 
-// configure writes the settings of all instances.
+// writeSettings starts the proxies and writes the settings files of all instances.
 func (f *fleet) writeSettings() {
 	entries, err := f.cluster.EntrySettings(exampleFolder, instancesPerDomain, nextPort)
 	f.Assert(err, qt.IsNil)
@@ -109,7 +112,8 @@
 	f.Cleanup(func() { f.forEachInstance(func(i *instance) { i.killAndShowLog() }) })
 }
 
-// join makes the instances known to each other by the addresses of their relays.
+// registerInstances enters the addresses of the relays, by which the instances reach
+// each other, in the settings and in the instance list.
 func (f *fleet) registerInstances(entries []settings.Entry) {
 	for n := range entries {
 		entries[n].AdvertiseAddress = f.partition.startRelay(f.instances[n])
@@ -133,7 +137,7 @@
 	}
 }
 
-// in returns the instances of a failure domain.
+// inDomain returns the instances of a failure domain.
 func (f *fleet) inDomain(domain string) []*instance {
 	var instances []*instance
 	for _, i := range f.instances {
@@ -144,10 +148,11 @@
 	return instances
 }
 
-// any returns a random instance.
+// randomInstance returns a random instance.
 func (f *fleet) randomInstance() *instance { return f.instances[f.random.IntN(len(f.instances))] }
 
-// publish runs the publish command on a folder directly at the store.
+// publish runs the publish command for a folder. It accesses the store without a
+// proxy.
 func (f *fleet) publish(folder, author string, more ...string) error {
 	arguments := append([]string{"publish", "--store", f.cluster.StoreAddress, "--author", author, "--reason", "proof"}, more...)
 	command := exec.Command(binary, append(arguments, folder)...)
@@ -158,7 +163,7 @@
 	return nil
 }
 
-// variant copies the operators' files with another link capacity.
+// withLinkCapacity returns a copy of the example folder with another link capacity.
 func (f *fleet) withLinkCapacity(mbits int) string {
 	target := filepath.Join(f.TempDir(), fmt.Sprint(mbits))
 	f.Assert(os.CopyFS(target, os.DirFS(exampleFolder)), qt.IsNil)
@@ -170,7 +175,7 @@
 	return target
 }
 
-// wait waits until a condition holds.
+// waitUntil waits until a condition holds, and fails the test after conditionTimeout.
 func (f *fleet) waitUntil(what string, condition func() bool) {
 	f.Helper()
 	deadline := time.Now().Add(conditionTimeout)
@@ -189,7 +194,8 @@
 	}
 }
 
-// waitPeers waits until each instance knows the others of its failure domain.
+// waitPeers waits until the membership view of each instance has all instances of
+// its failure domain.
 func (f *fleet) waitPeers() {
 	f.Helper()
 	for _, i := range f.instances {
@@ -197,7 +203,7 @@
 	}
 }
 
-// waitRevision waits until instances have a configuration revision in force.
+// waitRevision waits until a configuration revision is in force on instances.
 func (f *fleet) waitRevision(revision int64, instances ...*instance) {
 	f.Helper()
 	for _, i := range instances {
@@ -207,7 +213,7 @@
 	}
 }
 
-// status is the part of an instance's status that scenarios read.
+// status holds the fields of an instance's status document that scenarios read.
 type status struct {
 	Configuration struct {
 		Revision int64 `json:"revision"`
@@ -220,7 +226,8 @@
 
 var adminClient = &http.Client{Timeout: time.Second}
 
-// status returns the zero value when the instance doesn't answer.
+// status returns the status of the instance, or the zero value when it does not
+// answer.
 func (i *instance) status() (s status) {
 	response, err := adminClient.Get("http://" + i.settings.AdminAddress + entry.PathStatus)
 	if err != nil {
@@ -231,7 +238,7 @@
 	return s
 }
 
-// ready reports whether the instance answers that it is ready.
+// ready reports whether the readiness check of the instance succeeds.
 func (i *instance) ready() bool {
 	ctx, cancel := context.WithTimeout(context.Background(), readinessTimeout)
 	defer cancel()
--- a/internal/proof/instance_test.go
+++ b/internal/proof/instance_test.go
@@ -14,7 +14,7 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/settings"
 )
 
-// readinessTimeout is how long the load balancer waits for a readiness answer.
+// readinessTimeout is the timeout of a readiness check by the load balancer.
 const readinessTimeout = 500 * time.Millisecond
 
 // instance is an entry process.
@@ -37,19 +37,19 @@
 	i.Assert(i.command.Start(), qt.IsNil)
 }
 
-// kill ends the process with SIGKILL, also when it is paused.
+// kill ends the process with SIGKILL, which works on a paused process too.
 func (i *instance) kill() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.command == nil {
 		return
 	}
-	_ = i.command.Process.Kill() // it may have ended
+	_ = i.command.Process.Kill() // the process may have ended already
 	_ = i.command.Wait()
 	i.command = nil
 }
 
-// stop ends the process with SIGTERM and returns its error.
+// stop ends the process with SIGTERM and returns an error if its exit code is not 0.
 func (i *instance) stop() error {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -59,17 +59,18 @@
 	return err
 }
 
-// signal sends SIGSTOP or SIGCONT.
+// signal sends a signal to the process: SIGSTOP to pause it, SIGCONT to resume it.
 func (i *instance) signal(signal os.Signal) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.Assert(i.command.Process.Signal(signal), qt.IsNil)
 }
 
-// logTail is how many bytes of its log an instance of a failed scenario shows.
+// logTailBytes is how much of each instance's log is shown when a scenario fails.
 const logTailBytes = 2000
 
-// end kills the process and shows what it logged last when the scenario failed.
+// killAndShowLog kills the process, and shows the end of its log if the scenario
+// failed.
 func (i *instance) killAndShowLog() {
 	i.kill()
 	if log := i.log.String(); i.Failed() {
@@ -77,7 +78,7 @@
 	}
 }
 
-// lockedBuffer is a buffer that is read while a process writes to it.
+// lockedBuffer is a buffer that can be read while a process writes to it.
 type lockedBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
--- a/internal/proof/jobs_test.go
+++ b/internal/proof/jobs_test.go
@@ -14,17 +14,18 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/traffic"
 )
 
-// leaseLife is how long the lease of a holder of jobs lasts.
+// leaseTTL is the duration of a job holder's lease.
 const leaseTTL = 10 * time.Second
 
-// Guards against dossiers that are lost, or start anew, when their holder dies.
+// Guards against jobs that are lost or start again from the first stage when their
+// holder is killed. The jobs are dossiers, the durable kind of the example.
 func TestJobHolderKilled(t *testing.T) {
 	f := startScenario(t, "job-holder-killed")
 	f.testJobHolderFault("SIGKILL of the holder of 15 dossiers", func(victim *instance) { victim.kill() })
 }
 
-// Guards against a holder that goes on with dossiers that were taken over while
-// it was paused.
+// Guards against a holder that continues with jobs that were taken over while it was
+// paused.
 func TestJobHolderPaused(t *testing.T) {
 	f := startLongScenario(t, "job-holder-paused")
 	f.testJobHolderFault("SIGSTOP of the holder of 15 dossiers for 13 s", func(victim *instance) {
@@ -37,7 +38,7 @@
 	})
 }
 
-// Guards against dossiers that a planned stop loses or cuts off.
+// Guards against jobs that are lost or aborted by a graceful stop of their holder.
 func TestJobHolderStopped(t *testing.T) {
 	f := startLongScenario(t, "job-holder-stopped")
 	f.testJobHolderFault("SIGTERM of the holder of 15 dossiers", func(victim *instance) {
@@ -45,8 +46,8 @@
 	})
 }
 
-// jobs makes one instance accept dossiers, brings a fault about while they run, and
-// checks that all arrive and that no recorded stage runs again.
+// testJobHolderFault sends dossiers to one instance, injects a fault into it while they
+// run, and checks that all are completed and that no recorded stage runs again.
 func (f *fleet) testJobHolderFault(fault string, injectFault func(victim *instance)) {
 	f.Helper()
 	for _, engine := range f.cluster.Pool("assistant") {
@@ -66,10 +67,10 @@
 	f.checkRunOnce(dossiers, recorded, before)
 }
 
-// jobStage is a stage of a job.
+// jobStage identifies a stage of a job.
 type jobStage struct{ job, stage string }
 
-// recordedStages returns the stages that the store's records of unfinished jobs hold.
+// recordedStages returns the stages in the records of unfinished jobs in the store.
 func (f *fleet) recordedStages() map[jobStage]bool {
 	stages := map[jobStage]bool{}
 	records, err := store.NewHTTP(f.cluster.StoreAddress).List(f.Context(), "job/", "", 1000)
@@ -89,7 +90,8 @@
 	return stages
 }
 
-// stageRun is what a run belongs to. No two stages of a dossier share a pool.
+// stageRun identifies the stage and the request of a run. The pool is enough for the
+// stage, because no two stages of a dossier share a pool.
 type stageRun struct{ request, pool string }
 
 func (f *fleet) stageRuns() map[stageRun]int {
--- a/internal/proof/load_test.go
+++ b/internal/proof/load_test.go
@@ -18,26 +18,28 @@
 )
 
 const (
-	// callers is the number of requests on their way at once, without repeats.
+	// callers is the number of concurrent callers. Each has one request in flight,
+	// not counting repeats.
 	callers = 10
-	// thinkTime is the pause of a caller between two requests.
+	// thinkTime is the time for which a caller pauses between two requests.
 	thinkTime = 20 * time.Millisecond
-	// maxRequests bounds the load of one scenario.
+	// maxRequests limits the number of requests of one scenario.
 	maxRequests = 6000
-	// attemptLimit is when a caller gives up a connection and asks elsewhere: the
-	// longest deadline of a kind that isn't durable is 10 s.
+	// attemptTimeout is the time after which a caller aborts an attempt and sends the
+	// request to another instance. The longest deadline of a kind that is not durable
+	// is 10 s.
 	attemptTimeout = 12 * time.Second
-	// finalLimit bounds the wait for the final answer to one request, from the first
-	// attempt on. A job whose holder died has to be taken over in it.
+	// finalAnswerTimeout limits the wait for the final answer to one request, from the
+	// first attempt on. It includes the takeover of a job whose holder was killed.
 	finalAnswerTimeout = 60 * time.Second
-	// balanceInterval is how often the load balancer asks for readiness.
+	// balanceInterval is the time between two readiness checks by the load balancer.
 	balanceInterval = 100 * time.Millisecond
 )
 
 // load sends requests of all kinds until it is stopped.
 type load struct {
 	f *fleet
-	// kinds tells which planned requests are sent.
+	// selects reports whether a planned request is sent.
 	selects      func(traffic.Request) bool
 	client       *traffic.Client
 	stopped      atomic.Bool
@@ -56,12 +58,13 @@
 	problems    map[string]int
 }
 
-// startLoad starts callers of some instances, or of all when none is named.
+// startLoad starts callers that send requests of all kinds to the target instances,
+// or to all instances when no target is given.
 func (f *fleet) startLoad(targets ...*instance) *load {
 	return f.startLoadOf(func(traffic.Request) bool { return true }, targets...)
 }
 
-// startLoadOf starts callers that send only some kinds.
+// startLoadOf starts callers that send only the selected requests.
 func (f *fleet) startLoadOf(selects func(traffic.Request) bool, targets ...*instance) *load {
 	if len(targets) == 0 {
 		targets = f.instances
@@ -78,7 +81,7 @@
 	return l
 }
 
-// end stops the callers after their running requests.
+// end waits for the running requests and stops the callers and the load balancer.
 func (l *load) end() {
 	l.stopped.Store(true)
 	l.workers.Wait()
@@ -86,7 +89,8 @@
 	l.client.HTTP.CloseIdleConnections()
 }
 
-// keepBalance does what the platform's load balancer does.
+// runBalancer does what the platform's load balancer does: it checks regularly which
+// targets are ready.
 func (l *load) runBalancer(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(balanceInterval)
@@ -117,7 +121,8 @@
 	}
 }
 
-// address returns a random ready instance, or any when none is.
+// pickAddress returns the address of a random ready target, or of any target when none
+// is ready.
 func (l *load) pickAddress() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -159,7 +164,7 @@
 	return request, true
 }
 
-// retarget sends the next requests to other instances.
+// retarget changes the instances to which further requests are sent.
 func (l *load) retarget(targets ...*instance) {
 	l.mu.Lock()
 	l.targets, l.ready = targets, nil
@@ -167,20 +172,20 @@
 	l.refreshReady()
 }
 
-// settle waits until the requests that were under way are finished.
+// waitForRunningRequests waits until the requests that are in flight have finished.
 func (l *load) waitForRunningRequests() {
 	l.mu.Lock()
 	target := l.started
 	l.mu.Unlock()
-	l.f.waitUntil("requests under way", func() bool {
+	l.f.waitUntil("end of running requests", func() bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		return len(l.sent) >= target
 	})
 }
 
-// sendAll sends a request and its repeats: half of them at the same time, the
-// others one after the other.
+// sendAll sends a request and its repeats. For half of the requests they are
+// concurrent, for the others sequential.
 func (l *load) sendAll(r traffic.Request) traffic.Exchange {
 	sent := traffic.Exchange{Request: r, Answers: make([]traffic.Answer, r.Repeats+1)}
 	var interrupted atomic.Int32
@@ -199,8 +204,9 @@
 	return sent
 }
 
-// send sends a request to random instances until there is a final answer. A request
-// without a key is idempotent, and one with a key runs once.
+// send sends a request to random instances until there is a final answer. Sending it
+// again is safe: a request without a key is idempotent, and one with a key runs at
+// most once.
 func (l *load) send(r traffic.Request, interrupted *atomic.Int32) traffic.Answer {
 	finalCtx, cancel := context.WithTimeout(context.Background(), finalAnswerTimeout)
 	defer cancel()
@@ -221,7 +227,8 @@
 	}
 }
 
-// note counts interrupted attempts and the details of other ends than completed.
+// recordProblem counts interrupted attempts, and the details of answers that are not
+// completed.
 func (l *load) recordProblem(r traffic.Request, answer traffic.Answer) {
 	if answer.Outcome == entry.OutcomeCompleted {
 		return
@@ -234,7 +241,7 @@
 	l.problems[fmt.Sprintf("%s %s: %s", r.Kind.Name, answer.Outcome, answer.Detail)]++
 }
 
-// completed returns the number of requests that were completed so far.
+// completed returns the number of selected requests that were completed so far.
 func (l *load) completed(selects func(traffic.Request) bool) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -251,14 +258,15 @@
 func atMostOnce(r traffic.Request) bool { return r.Kind.AtMostOnce() }
 func durable(r traffic.Request) bool    { return r.Async }
 
-// waitMore waits until n more requests of some kinds are completed.
+// waitMore waits until n more of the selected requests are completed.
 func (l *load) waitMore(n int, selects func(traffic.Request) bool) {
 	l.f.Helper()
 	target := l.completed(selects) + n
 	l.f.waitUntil(fmt.Sprintf("%d more requests", n), func() bool { return l.completed(selects) >= target })
 }
 
-// verify ends the load, reports the scenario and checks the four counts.
+// verify ends the load, adds the scenario to the table and checks that the counts of
+// lost, doubled and mixed-up requests and of those that ran despite not_run are 0.
 func (l *load) verify(faults ...string) traffic.Counts {
 	l.f.Helper()
 	l.end()
--- a/internal/proof/main_test.go
+++ b/internal/proof/main_test.go
@@ -1,6 +1,6 @@
-// Package proof brings faults about in deployments of real entry processes and
-// compares what callers were told with what the stand-ins recorded. It holds tests
-// only, because the binary starts no process.
+// Package proof injects faults into deployments of real entry processes and compares
+// the answers that callers got with the runs that the stand-ins recorded. It contains
+// only tests, because the coltsfootdrift binary itself starts no processes.
 package proof
 
 import (
@@ -26,14 +26,14 @@
 	all  = flag.Bool("all", false, "run all scenarios; without it those that are part of go test ./...")
 )
 
-// atOnce is the number of scenarios that run at the same time. Each has six entry
-// processes, which share the processors with the load and the stand-ins.
+// maxConcurrentScenarios limits the scenarios that run at the same time. Each has six
+// entry processes, which share the processors with the load and the stand-ins.
 const maxConcurrentScenarios = 4
 
 var scenarioSlots = make(chan struct{}, maxConcurrentScenarios)
 
-// nextPort returns a port that no scenario has. Scenarios that search on their own
-// choose the same ports before either binds them.
+// nextPort returns a port that no other scenario uses. If each scenario searched for
+// free ports by itself, two could choose the same port before either binds it.
 func nextPort() (int, error) {
 	portsMu.Lock()
 	defer portsMu.Unlock()
@@ -45,7 +45,7 @@
 	freePorts = standin.FreePorts()
 )
 
-// binary is the built command.
+// binary is the path of the coltsfootdrift binary that TestMain builds.
 var binary string
 
 func TestMain(m *testing.M) {
@@ -71,14 +71,14 @@
 	return code
 }
 
-// reported is a row of the table of scenarios.
+// scenarioRow is the row of a scenario in the printed table.
 type scenarioRow struct {
 	scenario string
 	faults   []string
 	counts   traffic.Counts
 }
 
-// reports collects rows while scenarios run in parallel.
+// scenarioTable collects rows while scenarios run in parallel.
 type scenarioTable struct {
 	mu   sync.Mutex
 	rows []scenarioRow
@@ -110,7 +110,8 @@
 	_ = writer.Flush()
 }
 
-// randomOf returns the random source of one purpose of a scenario.
+// randomOf returns a random source that depends on the seed, the scenario and the
+// purpose only.
 func randomOf(scenario, purpose string) *rand.Rand {
 	hash := fnv.New64a()
 	fmt.Fprint(hash, scenario, "/", purpose)
--- a/internal/proof/operators_test.go
+++ b/internal/proof/operators_test.go
@@ -9,7 +9,8 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/standin"
 )
 
-// Guards against a race of operators in which both win, or one change is taken back.
+// Guards against two concurrent publications that both succeed, and against a later
+// revert of the one that succeeded.
 func TestConcurrentPublish(t *testing.T) {
 	f := startScenario(t, "operators-race")
 	watch := f.watchRevisions()
--- a/internal/proof/proxy_test.go
+++ b/internal/proof/proxy_test.go
@@ -13,7 +13,7 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/standin"
 )
 
-// route is a fault-injecting proxy to one address.
+// faultProxy is a proxy to one address that injects network faults.
 type faultProxy struct {
 	c     *qt.C
 	proxy *toxiproxy.Proxy
@@ -36,15 +36,15 @@
 
 func (p *faultProxy) address() string { return p.proxy.Listen }
 
-// cut lets no byte through in either direction until mend, as a partition does:
-// connections stay open and nothing answers.
+// blackhole drops all bytes in both directions until heal, as a network partition
+// does: connections stay open, and there are no answers.
 func (p *faultProxy) blackhole() {
 	for _, stream := range []string{"upstream", "downstream"} {
 		p.addToxic("cut-"+stream, "timeout", stream, `"timeout": 0`)
 	}
 }
 
-// slow delays each answer.
+// delayAnswers delays each answer.
 func (p *faultProxy) delayAnswers(milliseconds int) {
 	p.addToxic("slow", "latency", "downstream", fmt.Sprintf(`"latency": %d`, milliseconds))
 }
@@ -55,7 +55,7 @@
 	p.c.Assert(err, qt.IsNil)
 }
 
-// mend removes all faults. Connections that were cut are broken.
+// heal removes all faults. Connections that were open during a blackhole are broken.
 func (p *faultProxy) heal() {
 	p.proxy.Toxics.ResetToxics(context.Background())
 }
--- a/internal/proof/relay_test.go
+++ b/internal/proof/relay_test.go
@@ -16,20 +16,21 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/standin"
 )
 
-// maxHeartbeatBytes is more than a heartbeat has.
+// maxHeartbeatBytes is larger than any heartbeat.
 const maxHeartbeatBytes = 2000
 
-// partition cuts failure domains off from all others. It passes on what instances
-// send to each other: each instance is known by the address of its relay.
+// partition isolates failure domains from all others. Each instance advertises the
+// address of a relay, so that all traffic between instances passes through partition.
 type partition struct {
 	f *fleet
 
 	mu sync.Mutex
-	// off holds the failure domains that are cut off.
+	// isolated holds the failure domains that are isolated.
 	isolated map[string]bool
-	// open holds TCP connections by the failure domains at their ends.
+	// connections holds the failure domains at the two ends of each open TCP
+	// connection.
 	connections map[net.Conn][2]string
-	// dropped counts heartbeats and connections that the cut hit.
+	// dropped counts the heartbeats and connections that were dropped.
 	dropped int
 }
 
@@ -37,8 +38,8 @@
 	return &partition{f: f, isolated: map[string]bool{}, connections: map[net.Conn][2]string{}}
 }
 
-// relay passes on TCP connections and datagrams to an instance and returns the
-// address that others use.
+// startRelay starts forwarding of TCP connections and datagrams to an instance and
+// returns the address that other instances use.
 func (p *partition) startRelay(target *instance) string {
 	listener, socket := p.listen()
 	p.f.Cleanup(func() {
@@ -51,8 +52,9 @@
 	return listener.Addr().String()
 }
 
-// listen binds a port for TCP and UDP. A port that was just found free may still be
-// held by a process of another scenario between its fork and its exec.
+// listen binds a port for TCP and UDP. It tries again when binding fails: a process
+// of another scenario may still have the port open between its fork and its exec,
+// although the port was just found free.
 func (p *partition) listen() (net.Listener, net.PacketConn) {
 	for {
 		port, err := nextPort()
@@ -70,7 +72,7 @@
 	}
 }
 
-// cut cuts failure domains off, or joins them again.
+// setIsolated isolates failure domains, or ends their isolation.
 func (p *partition) setIsolated(isolated bool, domains ...string) {
 	p.mu.Lock()
 	for _, domain := range domains {
@@ -80,8 +82,8 @@
 	p.closeConnections(func(ends [2]string) bool { return p.isSeparated(ends[0], ends[1]) })
 }
 
-// separated reports whether the cut lies between two failure domains. An unknown
-// end is separated from one that is cut off.
+// isSeparated reports whether traffic between two failure domains is dropped, and
+// counts it. An unknown failure domain is separated from isolated ones.
 func (p *partition) isSeparated(a, b string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -92,7 +94,7 @@
 	return separated
 }
 
-// hit returns the number of heartbeats and connections that the cut hit.
+// droppedCount returns the number of dropped heartbeats and connections.
 func (p *partition) droppedCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -127,7 +129,8 @@
 	}
 }
 
-// senderOf returns the failure domain of the instance that sends from an address.
+// senderDomain returns the failure domain of the instance that sends datagrams from
+// an address, or "" when it is unknown.
 func (p *partition) senderDomain(address string) string {
 	for _, i := range p.f.instances {
 		if i.settings.PeerAddress == address {
@@ -171,8 +174,8 @@
 	p.mu.Unlock()
 }
 
-// callerOf returns the failure domain of the process that holds the other end of a
-// connection.
+// callerDomain returns the failure domain of the process that has the other end of a
+// connection open, or "" when it is unknown.
 func (p *partition) callerDomain(connection net.Conn) string {
 	socket := socketName(connection.RemoteAddr().(*net.TCPAddr))
 	for _, i := range p.f.instances {
@@ -183,7 +186,7 @@
 	return ""
 }
 
-// socketOf returns the name of the socket bound to a loopback port, as in /proc.
+// socketName returns the name in /proc of the socket that is bound to a loopback port.
 func socketName(address *net.TCPAddr) string {
 	table, err := os.ReadFile("/proc/self/net/tcp")
 	if err != nil {
@@ -199,7 +202,7 @@
 	return ""
 }
 
-// holds reports whether the process has the socket open.
+// hasSocket reports whether the process has the socket open.
 func (i *instance) hasSocket(socket string) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/proof/revision_test.go
+++ b/internal/proof/revision_test.go
@@ -7,13 +7,14 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// revisionWatch looks for an instance whose revision falls.
+// revisionWatch polls all instances and records those whose configuration revision
+// decreases.
 type revisionWatch struct {
 	f       *fleet
 	stopped chan struct{}
 	once    sync.Once
 	running sync.WaitGroup
-	// falls holds the instances whose revision fell while their process went on.
+	// regressions holds the instances whose revision decreased.
 	regressions []string
 }
 
@@ -29,7 +30,7 @@
 	for {
 		for _, i := range w.f.instances {
 			now := i.status().Configuration.Revision
-			// A process that starts, or doesn't answer, has none.
+			// The revision is 0 while a process starts or does not answer.
 			if now != 0 && now < highest[i] {
 				w.regressions = append(w.regressions, i.settings.Instance)
 			}
@@ -48,7 +49,7 @@
 	w.running.Wait()
 }
 
-// check ends the watch and fails when a revision fell.
+// check ends the watch and fails the test if a revision decreased.
 func (w *revisionWatch) check() {
 	w.f.Helper()
 	w.stop()
--- a/internal/proof/stale_test.go
+++ b/internal/proof/stale_test.go
@@ -10,8 +10,8 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/standin"
 )
 
-// Guards against an old configuration that a restarted instance takes from a
-// store that answers from the past.
+// Guards against a restarted instance that takes an old configuration from a store
+// whose reads are stale.
 func TestStaleStoreAfterRestart(t *testing.T) {
 	f := startLongScenario(t, "stale-store")
 	f.Assert(f.publish(f.withLinkCapacity(31), "second"), qt.IsNil)
@@ -36,11 +36,12 @@
 	watch.check()
 }
 
-// staleMargin is how long before the last publish the stale answers are from.
+// staleMargin is the time between the state that stale reads return and the last
+// publish.
 const staleMargin = 100 * time.Millisecond
 
-// holdStoreAt answers all reads of the store as of one time until the returned
-// function is called.
+// freezeStoreReads makes all reads of the store return its state at one time, until
+// the returned function is called.
 func (f *fleet) freezeStoreReads(at time.Time) (unfreeze func()) {
 	applyStaleness := func() {
 		f.storeFaults(func(faults *standin.StoreFaults) {
--- a/internal/proof/stop_test.go
+++ b/internal/proof/stop_test.go
@@ -6,7 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Guards against a planned stop that cuts off a request or fails.
+// Guards against a graceful stop that aborts a request or ends with an error.
 func TestRollingGracefulStop(t *testing.T) {
 	f := startLongScenario(t, "graceful-stop")
 	l := f.startLoad()
--- a/internal/proof/store_test.go
+++ b/internal/proof/store_test.go
@@ -12,8 +12,8 @@
 	f.storeFaults(func(faults *standin.StoreFaults) { faults.Outage = on })
 }
 
-// Guards against idempotent kinds that stop with the store, and keyed requests
-// that run without a claim.
+// Guards against idempotent requests that fail during a store outage, and against
+// keyed requests that run without a claim.
 func TestStoreOutage(t *testing.T) {
 	f := startScenario(t, "store-outage")
 	l := f.startLoad()
@@ -26,7 +26,8 @@
 	f.Check(counts.NotRun > 0, qt.IsTrue, qt.Commentf("keyed requests during the outage"))
 }
 
-// Guards against a failure domain that doesn't come back while the store is down.
+// Guards against instances of a failure domain that do not become ready when they are
+// restarted during a store outage.
 func TestDomainRestartDuringStoreOutage(t *testing.T) {
 	f := startScenario(t, "outage+domain-restart")
 	f.Assert(f.publish(f.withLinkCapacity(31), "second"), qt.IsNil)
@@ -48,7 +49,8 @@
 	l.verify("store outage", "SIGKILL and restart of a failure domain")
 }
 
-// Guards against a slow store that makes claims unsafe or stops other kinds.
+// Guards against a slow store that breaks the at-most-once guarantee of claims or stops
+// other kinds.
 func TestStoreSlow(t *testing.T) {
 	f := startLongScenario(t, "store-slow")
 	l := f.startLoad()
@@ -64,8 +66,8 @@
 	l.verify("300 ms added to each store answer")
 }
 
-// Guards against a failure domain that stops serving idempotent kinds when it is
-// cut off, or runs keyed requests without a claim.
+// Guards against an isolated failure domain that stops serving idempotent requests, or
+// runs keyed requests without a claim.
 func TestDomainIsolated(t *testing.T) {
 	f := startLongScenario(t, "domain-cut-off")
 	l := f.startLoad(f.inDomain(isolatedDomain)...)
@@ -77,7 +79,7 @@
 	l.waitMore(50, idempotent)
 	l.retarget(f.instances...)
 	l.waitMore(50, atMostOnce)
-	f.waitUntil("traffic that the cut hit", func() bool { return f.partition.droppedCount() > 0 })
+	f.waitUntil("dropped traffic between failure domains", func() bool { return f.partition.droppedCount() > 0 })
 	f.storeProxies[isolatedDomain].heal()
 	f.listProxies[isolatedDomain].heal()
 	f.partition.setIsolated(false, isolatedDomain)
@@ -86,8 +88,8 @@
 	l.verify("store cut", "then list and peers cut")
 }
 
-// Guards against an instance that doesn't come back behind a partition although
-// its peer holds the configuration.
+// Guards against an instance that does not become ready when it is restarted during a
+// partition, although its peer in the same failure domain has the configuration.
 func TestPartitionAndRestart(t *testing.T) {
 	f := startScenario(t, "partition+restart")
 	l := f.startLoad()
