--- a/internal/standin/answer.go
+++ b/internal/standin/answer.go
@@ -30,7 +30,7 @@
 	body    backend.Body
 }
 
-// serve sends the answer, or what the fault makes of it. It returns true when the
+// serve sends the answer, or applies the fault of the run. It returns true when the
 // whole answer was sent.
 func (a *stageResponse) serve() bool {
 	switch a.run.Fault {
