--- a/internal/capacity/orders.go
+++ b/internal/capacity/orders.go
@@ -54,7 +54,7 @@
 
 // Leadership implements orders.Leader.
 func (leading) Leadership(now time.Time) order.Leadership {
-	return order.Leadership{Held: true, Fencing: 1, Since: now.Add(-time.Minute), Until: now.Add(time.Minute)}
+	return order.Leadership{Held: true, FencingToken: 1, Since: now.Add(-time.Minute), Until: now.Add(time.Minute)}
 }
 
 // prepareOrders starts one stand-in engine that stands for all engines.
@@ -73,10 +73,10 @@
 	return measure, end, nil
 }
 
-func wantedEngines(n int, address string) []order.Wanted {
-	wanted := make([]order.Wanted, n)
+func wantedEngines(n int, address string) []order.Desired {
+	wanted := make([]order.Desired, n)
 	for i := range wanted {
-		wanted[i] = order.Wanted{
+		wanted[i] = order.Desired{
 			Server: fmt.Sprintf("engine-%04d", i), Address: address, Pool: "engines", Models: []string{"model-01"}, Role: "decode",
 		}
 	}
@@ -90,7 +90,7 @@
 	wanted := wantedEngines(engines, address)
 	loop := &orders.Loop{
 		Leader: leading{}, Engines: &backend.HTTPEngines{Client: client}, Now: time.Now, Logger: slog.New(slog.DiscardHandler),
-		Wanted:   func() []order.Wanted { return wanted },
+		Wanted:   func() []order.Desired { return wanted },
 		LoadRate: func() float64 { return 1 },
 	}
 	loop.Step(context.Background())
--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -58,7 +58,7 @@
 	}
 	s.Status.Add("orders", func() any {
 		leadership := election.Leadership(clock.Boot{}.Now())
-		return ordersStatus{leadership.Held, leadership.Fencing}
+		return ordersStatus{leadership.Held, leadership.FencingToken}
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -88,19 +88,19 @@
 }
 
 // wanted returns the wanted states of the failure domain's model engines.
-func (s orderService) wanted() []order.Wanted {
+func (s orderService) wanted() []order.Desired {
 	set := s.Configuration.Current()
 	if set == nil {
 		return nil
 	}
-	var wanted []order.Wanted
+	var wanted []order.Desired
 	for _, server := range s.Servers.InDomain(s.Entry.FailureDomain) {
 		pool, ok := set.Pool(server.Pool)
 		// Engines of a pool that names no models keep what they have.
 		if !ok || pool.Type != pipeline.StageGenerate || len(pool.Models) == 0 {
 			continue
 		}
-		wanted = append(wanted, order.Wanted{
+		wanted = append(wanted, order.Desired{
 			Server: server.ID, Address: server.Address, Pool: pool.Name, Models: pool.Models, FencesOrders: pool.FencesOrders,
 		})
 	}
--- a/internal/orders/leader.go
+++ b/internal/orders/leader.go
@@ -47,6 +47,6 @@
 func (e *Election) Leadership(time.Time) order.Leadership {
 	holding := e.keeper.Holding()
 	return order.Leadership{
-		Held: holding.Fence != 0, Fencing: holding.Fence, Since: holding.Since, Until: holding.Expires,
+		Held: holding.Fence != 0, FencingToken: holding.Fence, Since: holding.Since, Until: holding.Expires,
 	}
 }
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -40,7 +40,7 @@
 	Leader  Leader
 	Engines backend.Engines
 	// Wanted returns the wanted states of the failure domain's engines.
-	Wanted func() []order.Wanted
+	Wanted func() []order.Desired
 	// LoadRate returns this failure domain's part of the weight store's rate, in
 	// loads per minute.
 	LoadRate func() float64
@@ -74,7 +74,7 @@
 		return
 	}
 	wanted := l.Wanted()
-	l.reconciler.Want(wanted)
+	l.reconciler.SetDesired(wanted)
 	l.reconciler.SetLoadRate(l.Now(), l.LoadRate())
 	for _, observed := range l.observe(ctx, l.due(wanted)) {
 		l.reconciler.Observe(observed)
@@ -100,11 +100,11 @@
 
 // due returns the engines to read in this period: those that are not settled, and
 // a part of the others in turn.
-func (l *Loop) due(wanted []order.Wanted) []order.Wanted {
+func (l *Loop) due(wanted []order.Desired) []order.Desired {
 	l.period++
-	var due []order.Wanted
+	var due []order.Desired
 	for i, w := range wanted {
-		if (i+l.period)%SettledPeriods == 0 || !l.reconciler.Settled(w.Server) {
+		if (i+l.period)%SettledPeriods == 0 || !l.reconciler.Converged(w.Server) {
 			due = append(due, w)
 		}
 	}
@@ -112,7 +112,7 @@
 }
 
 // observe reads the states of engines. One that can't be read is left out.
-func (l *Loop) observe(ctx context.Context, wanted []order.Wanted) []order.Observed {
+func (l *Loop) observe(ctx context.Context, wanted []order.Desired) []order.Observed {
 	states := make([]*order.Observed, len(wanted))
 	var group errgroup.Group
 	group.SetLimit(maxCalls)
@@ -153,7 +153,7 @@
 	_ = group.Wait() // the functions return no error
 	for i, o := range orders {
 		if refused[i] {
-			l.reconciler.Refused(o)
+			l.reconciler.MarkRefused(o)
 		}
 	}
 }
@@ -161,7 +161,7 @@
 func (l *Loop) sendOne(ctx context.Context, o order.Order) error {
 	now := l.Now()
 	leadership := l.Leader.Leadership(now)
-	if leadership.Fencing != o.Fencing || !leadership.MayOrder(now, true) {
+	if leadership.FencingToken != o.FencingToken || !leadership.MaySendOrder(now, true) {
 		return backend.ErrOrderRefused
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -33,10 +33,10 @@
 	return server.Listener.Addr().String()
 }
 
-func newLoop(leader Leader, engines backend.Engines, now *time.Time, wanted ...order.Wanted) *Loop {
+func newLoop(leader Leader, engines backend.Engines, now *time.Time, wanted ...order.Desired) *Loop {
 	return &Loop{
 		Leader: leader, Engines: engines, Logger: slog.New(slog.DiscardHandler),
-		Wanted:   func() []order.Wanted { return wanted },
+		Wanted:   func() []order.Desired { return wanted },
 		LoadRate: func() float64 { return 0 },
 		Now:      func() time.Time { return *now },
 	}
@@ -48,9 +48,9 @@
 	c := qt.New(t)
 	now := start
 	engines := &countingEngines{Engines: &backend.HTTPEngines{Client: http.DefaultClient}}
-	leader := &fakeLeader{order.Leadership{Held: true, Fencing: 3, Since: start, Until: start.Add(time.Hour)}}
+	leader := &fakeLeader{order.Leadership{Held: true, FencingToken: 3, Since: start, Until: start.Add(time.Hour)}}
 	address := engine(c, true)
-	loop := newLoop(leader, engines, &now, order.Wanted{Server: "e", Address: address, Models: []string{"m@2"}, FencesOrders: true})
+	loop := newLoop(leader, engines, &now, order.Desired{Server: "e", Address: address, Models: []string{"m@2"}, FencesOrders: true})
 	for range 200 {
 		loop.Step(c.Context())
 		now = now.Add(Period)
@@ -68,9 +68,9 @@
 	c := qt.New(t)
 	engines := &backend.HTTPEngines{Client: http.DefaultClient}
 	address := engine(c, true)
-	role := order.Order{ID: "2-1", Address: address, Action: order.ActionRole, Target: "decode", Fencing: 2, Life: order.OrderLife}
+	role := order.Order{ID: "2-1", Address: address, Action: order.ActionRole, Target: "decode", FencingToken: 2, TTL: order.OrderTTL}
 	c.Assert(engines.Send(c.Context(), role), qt.IsNil)
-	role.ID, role.Fencing, role.Target = "1-1", 1, "prefill"
+	role.ID, role.FencingToken, role.Target = "1-1", 1, "prefill"
 	err := engines.Send(c.Context(), role)
 	c.Assert(errors.Is(err, backend.ErrOrderRefused), qt.IsTrue)
 	observed, err := engines.State(c.Context(), "e", address)
@@ -83,10 +83,10 @@
 func TestNoOrderAfterTheLeaseEnded(t *testing.T) {
 	c := qt.New(t)
 	now := start
-	leader := &fakeLeader{order.Leadership{Held: true, Fencing: 1, Since: start.Add(-time.Hour), Until: start.Add(10 * time.Second)}}
+	leader := &fakeLeader{order.Leadership{Held: true, FencingToken: 1, Since: start.Add(-time.Hour), Until: start.Add(10 * time.Second)}}
 	engines := &countingEngines{Engines: &backend.HTTPEngines{Client: http.DefaultClient}}
 	engines.onState = func() { now = now.Add(8 * time.Second) }
-	loop := newLoop(leader, engines, &now, order.Wanted{Server: "e", Address: engine(c, false), Models: []string{"m@2"}})
+	loop := newLoop(leader, engines, &now, order.Desired{Server: "e", Address: engine(c, false), Models: []string{"m@2"}})
 	loop.Step(c.Context())
 	c.Assert(engines.sent.Load(), qt.Equals, int64(0))
 }
@@ -96,12 +96,12 @@
 func TestSettledEnginesAreReadInTurn(t *testing.T) {
 	c := qt.New(t)
 	now := start
-	leader := &fakeLeader{order.Leadership{Held: true, Fencing: 1, Since: start.Add(-time.Hour), Until: start.Add(time.Hour)}}
+	leader := &fakeLeader{order.Leadership{Held: true, FencingToken: 1, Since: start.Add(-time.Hour), Until: start.Add(time.Hour)}}
 	engines := &countingEngines{Engines: &backend.HTTPEngines{Client: http.DefaultClient}}
 	address := engine(c, true)
-	var wanted []order.Wanted
+	var wanted []order.Desired
 	for i := range 20 {
-		wanted = append(wanted, order.Wanted{Server: string(rune('a' + i)), Address: address, Models: []string{"m@1"}, FencesOrders: true})
+		wanted = append(wanted, order.Desired{Server: string(rune('a' + i)), Address: address, Models: []string{"m@1"}, FencesOrders: true})
 	}
 	loop := newLoop(leader, engines, &now, wanted...)
 	loop.Step(c.Context())
@@ -111,7 +111,7 @@
 	}
 	c.Assert(engines.reads.Load(), qt.Equals, int64(40))
 
-	unload := order.Order{ID: "drift", Address: address, Action: order.ActionUnload, Target: "m@1", Fencing: 1, Life: order.OrderLife}
+	unload := order.Order{ID: "drift", Address: address, Action: order.ActionUnload, Target: "m@1", FencingToken: 1, TTL: order.OrderTTL}
 	c.Assert(engines.Engines.Send(c.Context(), unload), qt.IsNil)
 	for range SettledPeriods {
 		loop.Step(c.Context())
--- a/order/order.go
+++ b/order/order.go
@@ -21,13 +21,13 @@
 // StopMargin before its lease lapses, its last order lives OrderLife, and the
 // next leader waits TakeoverWait.
 const (
-	// OrderLife is how long an engine may start to carry out an order.
-	OrderLife = 4 * time.Second
+	// OrderTTL is how long an engine may start to carry out an order.
+	OrderTTL = 4 * time.Second
 	// StopMargin is how long before the end of its lease a leader sends its last order.
 	StopMargin = 3 * time.Second
 	// TakeoverWait is how long a new leader waits before it orders anything of an
 	// engine that ignores fencing numbers.
-	TakeoverWait = OrderLife + time.Second
+	TakeoverWait = OrderTTL + time.Second
 )
 
 // Order is one control command to one engine.
@@ -40,14 +40,14 @@
 	// Target is a model, adapter or version for loads and unloads, and a role
 	// for ActionRole.
 	Target string
-	// Fencing is the fencing number of the leader.
-	Fencing int64
-	// Life is how long the engine may wait before it starts, from its arrival.
-	Life time.Duration
+	// FencingToken is the fencing number of the leader.
+	FencingToken int64
+	// TTL is how long the engine may wait before it starts, from its arrival.
+	TTL time.Duration
 }
 
-// Wanted is the state that the configuration asks of one engine.
-type Wanted struct {
+// Desired is the state that the configuration asks of one engine.
+type Desired struct {
 	Server  string
 	Address string
 	Pool    string
@@ -73,16 +73,16 @@
 // Leadership is the lease under which orders are sent.
 type Leadership struct {
 	Held bool
-	// Fencing rises with each new leader.
-	Fencing int64
+	// FencingToken rises with each new leader.
+	FencingToken int64
 	// Since is when this instance became the leader.
 	Since time.Time
 	// Until is when the lease lapses.
 	Until time.Time
 }
 
-// MayOrder reports whether an order may be sent to an engine now.
-func (l Leadership) MayOrder(now time.Time, fencesOrders bool) bool {
+// MaySendOrder reports whether an order may be sent to an engine now.
+func (l Leadership) MaySendOrder(now time.Time, fencesOrders bool) bool {
 	if !l.Held || !now.Before(l.Until.Add(-StopMargin)) {
 		return false
 	}
--- a/order/reconciler.go
+++ b/order/reconciler.go
@@ -33,7 +33,7 @@
 // concurrent use.
 type Reconciler struct {
 	loads    *rate.Limiter
-	wanted   map[string]Wanted
+	wanted   map[string]Desired
 	observed map[string]Observed
 	pending  map[string]pending
 	// sequence numbers the orders of one leadership.
@@ -45,7 +45,7 @@
 func NewReconciler(config Config) *Reconciler {
 	return &Reconciler{
 		loads:    rate.NewLimiter(loadLimit(config.LoadsPerMinute), max(1, config.LoadBurst)),
-		wanted:   map[string]Wanted{},
+		wanted:   map[string]Desired{},
 		observed: map[string]Observed{},
 		pending:  map[string]pending{},
 	}
@@ -65,9 +65,9 @@
 	return rate.Limit(perMinute / time.Minute.Seconds())
 }
 
-// Want replaces the wanted states.
-func (r *Reconciler) Want(wanted []Wanted) {
-	r.wanted = make(map[string]Wanted, len(wanted))
+// SetDesired replaces the wanted states.
+func (r *Reconciler) SetDesired(wanted []Desired) {
+	r.wanted = make(map[string]Desired, len(wanted))
 	for _, w := range wanted {
 		r.wanted[w.Server] = w
 	}
@@ -92,9 +92,9 @@
 	}
 }
 
-// Settled reports whether an engine was seen in its wanted state with no order
+// Converged reports whether an engine was seen in its wanted state with no order
 // under way.
-func (r *Reconciler) Settled(server string) bool {
+func (r *Reconciler) Converged(server string) bool {
 	w, wanted := r.wanted[server]
 	o, observed := r.observed[server]
 	if !wanted || !observed || o.Loading {
@@ -105,8 +105,8 @@
 	return !busy && !differs
 }
 
-// Refused settles an order that the engine refused to carry out.
-func (r *Reconciler) Refused(order Order) {
+// MarkRefused settles an order that the engine refused to carry out.
+func (r *Reconciler) MarkRefused(order Order) {
 	if sent, ok := r.pending[order.Server]; ok && sent.order.ID == order.ID {
 		delete(r.pending, order.Server)
 	}
@@ -132,7 +132,7 @@
 	var orders []Order
 	for _, server := range r.servers() {
 		w := r.wanted[server]
-		if !leadership.MayOrder(now, w.FencesOrders) {
+		if !leadership.MaySendOrder(now, w.FencesOrders) {
 			continue
 		}
 		if order, ok := r.next(now, w); ok {
@@ -144,10 +144,10 @@
 
 // newLeadership forgets the orders of an earlier leadership.
 func (r *Reconciler) newLeadership(leadership Leadership) {
-	if leadership.Fencing == r.fencing {
+	if leadership.FencingToken == r.fencing {
 		return
 	}
-	r.fencing = leadership.Fencing
+	r.fencing = leadership.FencingToken
 	r.sequence = 0
 	clear(r.pending)
 }
@@ -171,7 +171,7 @@
 }
 
 // next returns the order that an engine needs, if it may be sent now.
-func (r *Reconciler) next(now time.Time, w Wanted) (Order, bool) {
+func (r *Reconciler) next(now time.Time, w Desired) (Order, bool) {
 	o, known := r.observed[w.Server]
 	_, busy := r.pending[w.Server]
 	if !known || busy || o.Loading {
@@ -189,7 +189,7 @@
 
 // difference returns the first correction an engine needs. Loads come before
 // unloads, so that a change of version leaves no time without either.
-func difference(w Wanted, o Observed) (Action, string, bool) {
+func difference(w Desired, o Observed) (Action, string, bool) {
 	if w.Role != "" && w.Role != o.Role {
 		return ActionRole, w.Role, true
 	}
@@ -230,17 +230,17 @@
 	return size, loading
 }
 
-func (r *Reconciler) send(now time.Time, w Wanted, o Observed, action Action, target string) Order {
+func (r *Reconciler) send(now time.Time, w Desired, o Observed, action Action, target string) Order {
 	r.sequence++
 	order := Order{
-		ID:      fmt.Sprintf("%d-%d", r.fencing, r.sequence),
-		Server:  w.Server,
-		Address: w.Address,
-		Action:  action,
-		Target:  target,
-		Fencing: r.fencing,
-		Life:    OrderLife,
-	}
-	r.pending[w.Server] = pending{order: order, incarnation: o.Incarnation, until: now.Add(OrderLife)}
+		ID:           fmt.Sprintf("%d-%d", r.fencing, r.sequence),
+		Server:       w.Server,
+		Address:      w.Address,
+		Action:       action,
+		Target:       target,
+		FencingToken: r.fencing,
+		TTL:          OrderTTL,
+	}
+	r.pending[w.Server] = pending{order: order, incarnation: o.Incarnation, until: now.Add(OrderTTL)}
 	return order
 }
--- a/order/reconciler_test.go
+++ b/order/reconciler_test.go
@@ -14,7 +14,7 @@
 var start = time.Unix(1000, 0)
 
 func leaderAt(since time.Time) Leadership {
-	return Leadership{Held: true, Fencing: 7, Since: since, Until: since.Add(time.Hour)}
+	return Leadership{Held: true, FencingToken: 7, Since: since, Until: since.Add(time.Hour)}
 }
 
 // Guards against an order of a new leader that meets a live order of the old one
@@ -22,7 +22,7 @@
 func TestNewLeaderWaitsForEnginesThatIgnoreFencing(t *testing.T) {
 	c := qt.New(t)
 	r := NewReconciler(Config{LoadsPerMinute: 600, LoadBurst: 10})
-	r.Want([]Wanted{
+	r.SetDesired([]Desired{
 		{Server: "fenced", Pool: "a", Models: []string{"m"}, FencesOrders: true},
 		{Server: "unfenced", Pool: "b", Models: []string{"m"}},
 	})
@@ -42,11 +42,11 @@
 // Guards against orders of a leader whose lease is about to lapse.
 func TestLeaderStopsBeforeItsLeaseLapses(t *testing.T) {
 	c := qt.New(t)
-	leadership := Leadership{Held: true, Fencing: 1, Since: start.Add(-time.Minute), Until: start.Add(StopMargin)}
-	c.Assert(leadership.MayOrder(start.Add(-time.Millisecond), true), qt.IsTrue)
-	c.Assert(leadership.MayOrder(start, true), qt.IsFalse)
+	leadership := Leadership{Held: true, FencingToken: 1, Since: start.Add(-time.Minute), Until: start.Add(StopMargin)}
+	c.Assert(leadership.MaySendOrder(start.Add(-time.Millisecond), true), qt.IsTrue)
+	c.Assert(leadership.MaySendOrder(start, true), qt.IsFalse)
 	leadership.Held = false
-	c.Assert(leadership.MayOrder(start.Add(-time.Minute), true), qt.IsFalse)
+	c.Assert(leadership.MaySendOrder(start.Add(-time.Minute), true), qt.IsFalse)
 }
 
 // Guards against a change of version that unloads the old one first, which
@@ -54,7 +54,7 @@
 func TestNewVersionIsLoadedBeforeTheOldOneGoes(t *testing.T) {
 	c := qt.New(t)
 	r := NewReconciler(Config{LoadsPerMinute: 600, LoadBurst: 10})
-	r.Want([]Wanted{{Server: "e", Models: []string{"m@2"}, FencesOrders: true}})
+	r.SetDesired([]Desired{{Server: "e", Models: []string{"m@2"}, FencesOrders: true}})
 	r.Observe(Observed{Server: "e", Models: []string{"m@1"}})
 	orders := r.Step(start, leaderAt(start))
 	c.Assert(orders, qt.HasLen, 1)
@@ -71,12 +71,12 @@
 func TestLostOrderIsRepeatedAfterItsLife(t *testing.T) {
 	c := qt.New(t)
 	r := NewReconciler(Config{LoadsPerMinute: 600, LoadBurst: 10})
-	r.Want([]Wanted{{Server: "e", Models: []string{"m"}, FencesOrders: true}})
+	r.SetDesired([]Desired{{Server: "e", Models: []string{"m"}, FencesOrders: true}})
 	r.Observe(Observed{Server: "e"})
 	first := r.Step(start, leaderAt(start))
 	c.Assert(first, qt.HasLen, 1)
-	c.Assert(r.Step(start.Add(OrderLife), leaderAt(start)), qt.HasLen, 0)
-	again := r.Step(start.Add(OrderLife+time.Millisecond), leaderAt(start))
+	c.Assert(r.Step(start.Add(OrderTTL), leaderAt(start)), qt.HasLen, 0)
+	again := r.Step(start.Add(OrderTTL+time.Millisecond), leaderAt(start))
 	c.Assert(again, qt.HasLen, 1)
 	c.Assert(again[0].ID, qt.Not(qt.Equals), first[0].ID)
 }
@@ -130,13 +130,13 @@
 
 func newEngines(r *Reconciler, size int) map[string]*engine {
 	engines := map[string]*engine{}
-	var wanted []Wanted
+	var wanted []Desired
 	for i := range size {
 		name := string(rune('a' + i))
 		engines[name] = &engine{state: Observed{Server: name, Incarnation: 1}}
-		wanted = append(wanted, Wanted{Server: name, Pool: "p", Models: []string{"m"}, FencesOrders: true})
+		wanted = append(wanted, Desired{Server: name, Pool: "p", Models: []string{"m"}, FencesOrders: true})
 	}
-	r.Want(wanted)
+	r.SetDesired(wanted)
 	for _, e := range engines {
 		r.Observe(e.state)
 	}
