--- a/config/config_test.go
+++ b/config/config_test.go
@@ -117,7 +117,7 @@
 	t.Logf("largest part %d bytes, head without audit trail %d bytes", largest, len(head))
 	c.Assert(largest < MaxPartBytes, qt.IsTrue)
 	var current Current
-	changed, err := current.Offer(w.head, w.parts)
+	changed, err := current.Update(w.head, w.parts)
 	c.Assert(err, qt.IsNil)
 	c.Assert(changed, qt.IsTrue)
 	c.Assert(Compare(set, current.Set()), qt.HasLen, 0)
@@ -207,16 +207,16 @@
 	old := w.head
 	c.Assert(w.publish("b", largeSet(4)).Err, qt.IsNil)
 	var current Current
-	_, err := current.Offer(w.head, w.parts)
+	_, err := current.Update(w.head, w.parts)
 	c.Assert(err, qt.IsNil)
-	_, err = current.Offer(old, w.parts)
+	_, err = current.Update(old, w.parts)
 	var lower *LowerRevisionError
 	c.Assert(errors.As(err, &lower), qt.IsTrue)
 	c.Assert(current.Revision(), qt.Equals, int64(2))
 	other := *w.head
 	other.PublishID = "z"
 	var divergent *DivergentError
-	_, err = current.Offer(&other, w.parts)
+	_, err = current.Update(&other, w.parts)
 	c.Assert(errors.As(err, &divergent), qt.IsTrue)
 }
 
@@ -257,7 +257,7 @@
 	digest := w.head.Parts[0].Digest
 	w.parts[digest] = append(w.parts[digest], ' ')
 	var current Current
-	_, err := current.Offer(w.head, w.parts)
+	_, err := current.Update(w.head, w.parts)
 	c.Assert(err, qt.ErrorMatches, ".*differs from its digest.*")
 }
 
@@ -275,7 +275,7 @@
 	c.Assert(text, qt.Contains, "added organisation organisation-00003\n")
 	c.Assert(text, qt.Contains, "unknown part "+string(ref.Name)+", which is lost from the store\n")
 	var current Current
-	_, err := current.Offer(w.head, w.parts)
+	_, err := current.Update(w.head, w.parts)
 	c.Assert(err, qt.IsNil)
 	c.Assert(Compare(largeSet(4), current.Set()), qt.HasLen, 0)
 }
--- a/config/current.go
+++ b/config/current.go
@@ -8,22 +8,22 @@
 
 // LowerRevisionError reports a head that is older than the one in force.
 type LowerRevisionError struct {
-	InForce, Offered int64
+	InForce, Received int64
 }
 
 func (e *LowerRevisionError) Error() string {
-	return fmt.Sprintf("configuration revision %d was offered, revision %d is in force", e.Offered, e.InForce)
+	return fmt.Sprintf("configuration revision %d was offered, revision %d is in force", e.Received, e.InForce)
 }
 
 // DivergentError reports two heads with the same revision, which compare-and-swap
 // rules out unless the store lost a write.
 type DivergentError struct {
-	Revision         int64
-	InForce, Offered string
+	Revision          int64
+	InForce, Received string
 }
 
 func (e *DivergentError) Error() string {
-	return fmt.Sprintf("configuration revision %d has publish ID %q, %q was offered", e.Revision, e.InForce, e.Offered)
+	return fmt.Sprintf("configuration revision %d has publish ID %q, %q was offered", e.Revision, e.InForce, e.Received)
 }
 
 // Current is the configuration in force. The zero value holds none.
@@ -64,10 +64,10 @@
 	return missing
 }
 
-// Offer puts a head in force when its revision is higher than the one in force.
+// Update puts a head in force when its revision is higher than the one in force.
 // The parts need only be those that Missing returned. A lower revision is
 // refused with a *LowerRevisionError.
-func (c *Current) Offer(h *Head, parts Parts) (changed bool, err error) {
+func (c *Current) Update(h *Head, parts Parts) (changed bool, err error) {
 	if c.head != nil {
 		switch {
 		case h.Revision < c.head.Revision:
--- a/config/diff.go
+++ b/config/diff.go
@@ -163,9 +163,9 @@
 	return text.String()
 }
 
-// Bounded returns the text in at most MaxDifferenceBytes, with the number of
+// BoundedText returns the text in at most MaxDifferenceBytes, with the number of
 // changes when it doesn't fit.
-func (d Difference) Bounded() string {
+func (d Difference) BoundedText() string {
 	text := d.Text()
 	if len(text) <= MaxDifferenceBytes {
 		return text
--- a/config/diff_test.go
+++ b/config/diff_test.go
@@ -12,7 +12,7 @@
 func TestBoundedDifferenceEndsItsLine(t *testing.T) {
 	c := qt.New(t)
 	long := make(Difference, MaxDifferenceBytes)
-	text := long.Bounded()
+	text := long.BoundedText()
 	c.Assert(len(text) <= MaxDifferenceBytes, qt.IsTrue)
 	c.Assert(strings.HasSuffix(text, "...\n"), qt.IsTrue)
 }
--- a/config/head.go
+++ b/config/head.go
@@ -45,9 +45,9 @@
 type Ref struct {
 	Name   PartName `json:"name"`
 	Digest Digest   `json:"digest"`
-	// Content is the digest of the part without the ID of the publish that wrote
+	// ContentDigest is the digest of the part without the ID of the publish that wrote
 	// it; equal content keeps its part.
-	Content Digest `json:"content"`
+	ContentDigest Digest `json:"content"`
 }
 
 // Retired is a part that heads from a revision on no longer use.
@@ -100,12 +100,12 @@
 
 // SizeError reports a value over its bound.
 type SizeError struct {
-	What        string
-	Bytes, Most int
+	What       string
+	Bytes, Max int
 }
 
 func (e *SizeError) Error() string {
-	return fmt.Sprintf("configuration %s has %d bytes, expected at most %d", e.What, e.Bytes, e.Most)
+	return fmt.Sprintf("configuration %s has %d bytes, expected at most %d", e.What, e.Bytes, e.Max)
 }
 
 // Encode returns the value of the head in the store.
@@ -138,9 +138,9 @@
 	return &Head{Revision: h.Revision, PublishID: h.PublishID, Parts: h.Parts}
 }
 
-// Accepted reports whether the publish with the ID led to this head or to one
+// FindPublish reports whether the publish with the ID led to this head or to one
 // before it. It returns the audit entry.
-func (h *Head) Accepted(publishID string) (AuditEntry, bool) {
+func (h *Head) FindPublish(publishID string) (AuditEntry, bool) {
 	for _, entry := range h.Audit {
 		if entry.PublishID == publishID {
 			return entry, true
--- a/config/parts.go
+++ b/config/parts.go
@@ -91,8 +91,8 @@
 	if err != nil {
 		return Ref{}, nil, &FormatError{string(n.name), err}
 	}
-	ref := Ref{Name: n.name, Content: DigestOf(content)}
-	if old, ok := base.ref(n.name); ok && old.Content == ref.Content {
+	ref := Ref{Name: n.name, ContentDigest: DigestOf(content)}
+	if old, ok := base.ref(n.name); ok && old.ContentDigest == ref.ContentDigest {
 		return old, nil, nil
 	}
 	n.part.Publish = publishID
--- a/config/publish.go
+++ b/config/publish.go
@@ -144,7 +144,7 @@
 	p.next = &Head{Revision: p.base.Revision + 1, PublishID: p.request.PublishID, Parts: refs}
 	p.next.Audit = append(p.base.Audit[max(0, len(p.base.Audit)+1-MaxAuditEntries):len(p.base.Audit):len(p.base.Audit)], AuditEntry{
 		PublishID: p.request.PublishID, Author: p.request.Author, Reason: p.request.Reason, Time: now.UTC(),
-		FromRevision: p.base.Revision, ToRevision: p.next.Revision, Difference: p.result.Difference.Bounded(),
+		FromRevision: p.base.Revision, ToRevision: p.next.Revision, Difference: p.result.Difference.BoundedText(),
 	})
 	p.next.Retired = retire(p.base, p.next)
 	return nil
@@ -214,7 +214,7 @@
 	if in.Err != nil || in.Head == nil {
 		return p.undecided(in.Err)
 	}
-	if entry, ok := in.Head.Accepted(p.request.PublishID); ok {
+	if entry, ok := in.Head.FindPublish(p.request.PublishID); ok {
 		return p.accepted(entry.ToRevision)
 	}
 	// A read can be stale: only a version after the base proves that another
--- a/internal/capacity/configuration.go
+++ b/internal/capacity/configuration.go
@@ -100,14 +100,14 @@
 	}
 	state, current, err := retained(func() (*config.Current, error) {
 		current := &config.Current{}
-		_, err := current.Offer(p.first, p.firstParts)
+		_, err := current.Update(p.first, p.firstParts)
 		return current, err
 	})
 	if err != nil {
 		return nil, err
 	}
 	take, err := processorTime(func() error {
-		_, err := current.Offer(p.second, p.changedParts)
+		_, err := current.Update(p.second, p.changedParts)
 		return err
 	})
 	if err != nil {
--- a/internal/configuration/cluster_test.go
+++ b/internal/configuration/cluster_test.go
@@ -22,8 +22,8 @@
 )
 
 // testTimes shorten the waits, so that the tests are quick.
-var testTimes = Times{Read: 2 * time.Second, BackoffMin: 5 * time.Millisecond, BackoffMax: 50 * time.Millisecond,
-	PullSpread: 5 * time.Millisecond, Check: 10 * time.Millisecond}
+var testTimes = Times{ReadTimeout: 2 * time.Second, BackoffMin: 5 * time.Millisecond, BackoffMax: 50 * time.Millisecond,
+	PullSpread: 5 * time.Millisecond, CheckInterval: 10 * time.Millisecond}
 
 // cluster joins loaders in memory: all know each other's revision at once.
 type cluster struct {
@@ -167,7 +167,7 @@
 	return n.others(func(other *node) bool { return other != n && other.revision >= revision })
 }
 
-func (n *node) Highest() int64 {
+func (n *node) HighestRevision() int64 {
 	highest := int64(0)
 	n.others(func(other *node) bool {
 		highest = max(highest, other.revision)
--- a/internal/configuration/loader.go
+++ b/internal/configuration/loader.go
@@ -39,8 +39,8 @@
 	Live() []string
 	// Seeds returns addresses to ask at the start.
 	Seeds() []string
-	// Highest returns the highest revision in force that was heard of.
-	Highest() int64
+	// HighestRevision returns the highest revision in force that was heard of.
+	HighestRevision() int64
 	// Holders returns addresses of instances that have at least a revision.
 	Holders(revision int64) []string
 	// SetRevision reports the revision in force here.
@@ -49,16 +49,16 @@
 
 // Times of the loader.
 type Times struct {
-	// Read bounds one read of the store or of a peer at the start.
-	Read time.Duration
+	// ReadTimeout bounds one read of the store or of a peer at the start.
+	ReadTimeout time.Duration
 	// BackoffMin and BackoffMax bound the jittered backoff.
 	BackoffMin, BackoffMax time.Duration
 	// PullSpread is the time over which the members of a failure domain spread
 	// their pulls of a new revision. Members that have it take part in serving it
 	// as soon as their next heartbeats tell so.
 	PullSpread time.Duration
-	// Check is how often the role of the watcher and gaps are looked at.
-	Check time.Duration
+	// CheckInterval is how often the role of the watcher and gaps are looked at.
+	CheckInterval time.Duration
 }
 
 // partsTimeout bounds the reading of all parts of a head.
@@ -66,11 +66,11 @@
 
 // DefaultTimes puts a revision in force well within the 13 s of the design page.
 var DefaultTimes = Times{
-	Read:       2 * time.Second,
-	BackoffMin: 100 * time.Millisecond,
-	BackoffMax: 5 * time.Second,
-	PullSpread: 3 * time.Second,
-	Check:      time.Second,
+	ReadTimeout:   2 * time.Second,
+	BackoffMin:    100 * time.Millisecond,
+	BackoffMax:    5 * time.Second,
+	PullSpread:    3 * time.Second,
+	CheckInterval: time.Second,
 }
 
 // Options of a loader.
@@ -201,7 +201,7 @@
 func (l *Loader) offer(head *config.Head, parts config.Parts) (changed bool, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if changed, err = l.current.Offer(head, parts); changed {
+	if changed, err = l.current.Update(head, parts); changed {
 		l.recent = append(l.recent, head)
 		l.recent = l.recent[max(0, len(l.recent)-maxRecent):]
 		l.set.Store(l.current.Set())
--- a/internal/configuration/publisher.go
+++ b/internal/configuration/publisher.go
@@ -19,8 +19,8 @@
 
 // Errors of the package.
 var (
-	// ErrNone reports that there is no configuration.
-	ErrNone = errors.New("no configuration is in force")
+	// ErrNoConfiguration reports that there is no configuration.
+	ErrNoConfiguration = errors.New("no configuration is in force")
 	// ErrUnavailable reports that the configuration couldn't be read.
 	ErrUnavailable = errors.New("configuration is unavailable")
 )
@@ -184,7 +184,7 @@
 		return nil, err
 	}
 	if head == nil {
-		return nil, ErrNone
+		return nil, ErrNoConfiguration
 	}
 	return head.Audit, nil
 }
--- a/internal/configuration/pull.go
+++ b/internal/configuration/pull.go
@@ -22,7 +22,7 @@
 // pullAll pulls revisions that were heard of. The check repairs gaps that are
 // left by lost heartbeats or failed pulls.
 func (l *Loader) pullAll(ctx context.Context) {
-	ticker := time.NewTicker(l.Times.Check)
+	ticker := time.NewTicker(l.Times.CheckInterval)
 	defer ticker.Stop()
 	wait := backoff{times: l.Times}
 	failed := 0
@@ -50,7 +50,7 @@
 	}
 }
 
-func (l *Loader) behind() bool { return l.Members.Highest() > l.Revision() }
+func (l *Loader) behind() bool { return l.Members.HighestRevision() > l.Revision() }
 
 // pull asks a few instances that have the revision. After storeAfter rounds
 // without success, it reads the store.
@@ -71,7 +71,7 @@
 }
 
 func (l *Loader) pullSources(failed int) []source {
-	holders := l.Members.Holders(l.Members.Highest())
+	holders := l.Members.Holders(l.Members.HighestRevision())
 	rand.Shuffle(len(holders), func(i, j int) { holders[i], holders[j] = holders[j], holders[i] })
 	var sources []source
 	for _, address := range holders[:min(pullAttempts, len(holders))] {
--- a/internal/configuration/start.go
+++ b/internal/configuration/start.go
@@ -93,7 +93,7 @@
 
 // ask reads all sources at once and waits for all answers.
 func (l *Loader) ask(ctx context.Context, sources []source) []offered {
-	ctx, cancel := context.WithTimeout(ctx, l.Times.Read)
+	ctx, cancel := context.WithTimeout(ctx, l.Times.ReadTimeout)
 	defer cancel()
 	answers := make([]offered, len(sources))
 	var all sync.WaitGroup
--- a/internal/configuration/watch.go
+++ b/internal/configuration/watch.go
@@ -50,7 +50,7 @@
 	for ctx.Err() == nil {
 		if !l.isWatcher() {
 			l.setWatching(ctx, false)
-			if !clock.Sleep(ctx, l.Times.Check) {
+			if !clock.Sleep(ctx, l.Times.CheckInterval) {
 				return
 			}
 			continue
@@ -104,7 +104,7 @@
 }
 
 func (l *Loader) readHead(ctx context.Context) (*config.Head, store.Version, error) {
-	ctx, cancel := context.WithTimeout(ctx, l.Times.Read)
+	ctx, cancel := context.WithTimeout(ctx, l.Times.ReadTimeout)
 	defer cancel()
 	return readHead(ctx, l.Store)
 }
@@ -126,7 +126,7 @@
 
 // endWhenReplaced ends a session when this instance is no watcher any more.
 func (l *Loader) endWhenReplaced(ctx context.Context, cancel context.CancelFunc) {
-	for clock.Sleep(ctx, l.Times.Check) {
+	for clock.Sleep(ctx, l.Times.CheckInterval) {
 		if !l.isWatcher() {
 			cancel()
 		}
--- a/internal/entry/decisions.go
+++ b/internal/entry/decisions.go
@@ -70,7 +70,7 @@
 
 func newServers(entry settings.Entry, logger *slog.Logger) *Servers {
 	location := routing.Location{Region: entry.Region, FailureDomain: entry.FailureDomain}
-	return NewServers(entry.Instance, location, entry.LinkSharers(), logger, time.Now)
+	return NewServers(entry.Instance, location, entry.MinLinkInstances(), logger, time.Now)
 }
 
 func newAdmissionControl(servers *Servers, m *DecisionMetrics, logger *slog.Logger) *AdmissionControl {
--- a/internal/entry/execute.go
+++ b/internal/entry/execute.go
@@ -92,7 +92,7 @@
 // Execute runs all stages until the deadline. The end of parent cancels the
 // execution unless a once call was sent: its outcome must be recorded.
 func (e *Executor) Execute(parent context.Context, request *Request, options Options) Result {
-	order, err := request.Pipeline.Order()
+	order, err := request.Pipeline.TopologicalOrder()
 	if err != nil {
 		return failedResult(notRun(500, ProblemInvalid, "invalid pipeline", err.Error()))
 	}
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -31,7 +31,7 @@
 	if entry.PeerAddress == "" {
 		return members, nil
 	}
-	identity := membership.Identity{ID: entry.Instance, FailureDomain: entry.FailureDomain, Address: entry.PeersReach(),
+	identity := membership.Identity{ID: entry.Instance, FailureDomain: entry.FailureDomain, Address: entry.AdvertisedPeerAddress(),
 		Incarnation: uint64(time.Now().Unix())}
 	node, err := peer.ListenAt(entry.PeerAddress, identity, logger, m.Scope)
 	members.Node = node
@@ -94,8 +94,8 @@
 	return slices.Compact(seeds)
 }
 
-// Highest returns the highest revision that was heard of.
-func (m *Members) Highest() (highest int64) {
+// HighestRevision returns the highest revision that was heard of.
+func (m *Members) HighestRevision() (highest int64) {
 	m.View(func(s *membership.State) { highest = s.HighestRevision() })
 	return highest
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -43,8 +43,8 @@
 	ShutdownDeadlineMS int64 `json:"shutdown_deadline_ms,omitempty"`
 }
 
-// PeersReach returns the address that other instances are told.
-func (e Entry) PeersReach() string {
+// AdvertisedPeerAddress returns the address that other instances are told.
+func (e Entry) AdvertisedPeerAddress() string {
 	if e.AdvertiseAddress != "" {
 		return e.AdvertiseAddress
 	}
@@ -81,8 +81,8 @@
 // DefaultLinkInstances is enough for regions of the current size.
 const DefaultLinkInstances = 8
 
-// LinkSharers returns the least number of instances that share the link.
-func (e Entry) LinkSharers() int {
+// MinLinkInstances returns the least number of instances that share the link.
+func (e Entry) MinLinkInstances() int {
 	if e.LinkInstances <= 0 {
 		return DefaultLinkInstances
 	}
--- a/internal/standin/cluster.go
+++ b/internal/standin/cluster.go
@@ -54,7 +54,7 @@
 // StartCluster reads a folder and starts its stand-ins.
 func StartCluster(config ClusterConfig) (*Cluster, error) {
 	root := os.DirFS(config.Folder)
-	set, err := pipeline.Collect(root)
+	set, err := pipeline.Load(root)
 	if err != nil {
 		return nil, err
 	}
--- a/pipeline/files.go
+++ b/pipeline/files.go
@@ -11,10 +11,10 @@
 	PipelineSuffix = ".pipeline.jsonc"
 )
 
-// Collect reads the deployment file and all pipeline files below the root of a
+// Load reads the deployment file and all pipeline files below the root of a
 // file system, in path order. It refuses files that can't be decoded and leaves
 // the rules of the set to Check.
-func Collect(root fs.FS) (*Set, error) {
+func Load(root fs.FS) (*Set, error) {
 	v, err := readFiles(root)
 	if err != nil {
 		return nil, fmt.Errorf("collect operators' files: %w", err)
--- a/pipeline/order.go
+++ b/pipeline/order.go
@@ -24,9 +24,9 @@
 	return []string{p.Stages[i-1].Name}
 }
 
-// Order returns indices of the stages so that each stage follows its
+// TopologicalOrder returns indices of the stages so that each stage follows its
 // predecessors. It returns a *CycleError when there is no such order.
-func (p *Pipeline) Order() ([]int, error) {
+func (p *Pipeline) TopologicalOrder() ([]int, error) {
 	done := make(map[string]bool, len(p.Stages))
 	order := make([]int, 0, len(p.Stages))
 	for len(order) < len(p.Stages) {
--- a/pipeline/order_test.go
+++ b/pipeline/order_test.go
@@ -18,7 +18,7 @@
 	}}
 	p.Stages[3].After = nil
 	// The last stage of the file reads its neighbour unless it says otherwise.
-	_, err := p.Order()
+	_, err := p.TopologicalOrder()
 	var cycle *CycleError
 	c.Assert(errors.As(err, &cycle), qt.IsTrue)
 
@@ -28,7 +28,7 @@
 		{Name: "rank", After: []string{"fetch"}},
 		{Name: "fetch", After: []string{"encode"}},
 	}
-	order, err := p.Order()
+	order, err := p.TopologicalOrder()
 	c.Assert(err, qt.IsNil)
 	c.Assert(order, qt.DeepEquals, []int{0, 3, 2, 1})
 }
--- a/pipeline/rules.go
+++ b/pipeline/rules.go
@@ -154,7 +154,7 @@
 		return
 	}
 	var cycle *CycleError
-	if _, err := p.Order(); errors.As(err, &cycle) {
+	if _, err := p.TopologicalOrder(); errors.As(err, &cycle) {
 		at := slices.IndexFunc(p.Stages, func(s Stage) bool { return s.Name == cycle.Stages[0] })
 		v.report(file, path{"stages", at, "after"}, "stages %q wait for each other, expected an order without a cycle", cycle.Stages)
 	}
