--- a/order/order.go
+++ b/order/order.go
@@ -1,12 +1,13 @@
-// Package order decides which control commands the leader of a failure domain
-// sends to model engines: it compares what each engine has loaded with what the
-// configuration wants and corrects the difference. It does no I/O and reads no
-// clock; the adapter passes the time and carries out the orders.
+// Package order reconciles model engines with the configuration: it compares the
+// state that each engine reports with its desired state and returns the orders
+// (control commands) that the leader of a failure domain sends to correct the
+// difference. It does no I/O and reads no clock; the caller passes the time and
+// sends the orders.
 package order
 
 import "time"
 
-// Action is what an order asks of an engine.
+// Action is the command of an order.
 type Action string
 
 // Actions.
@@ -16,23 +17,24 @@
 	ActionRole   Action = "role"
 )
 
-// Bounds on orders. Together they keep an order of an earlier leader from
-// running at an engine that ignores fencing numbers: the earlier leader stops
-// StopMargin before its lease lapses, its last order lives OrderLife, and the
-// next leader waits TakeoverWait.
+// Time limits of orders. Together they keep an order of an earlier leader from
+// running at an engine that ignores fencing tokens: the earlier leader sends no
+// order in the last StopMargin of its lease, its last order expires after
+// OrderTTL, and the next leader waits for TakeoverWait.
 const (
-	// OrderTTL is how long an engine may start to carry out an order.
+	// OrderTTL is the time within which an engine must start an order.
 	OrderTTL = 4 * time.Second
-	// StopMargin is how long before the end of its lease a leader sends its last order.
+	// StopMargin is the time before the end of its lease in which a leader sends
+	// no more orders.
 	StopMargin = 3 * time.Second
-	// TakeoverWait is how long a new leader waits before it orders anything of an
-	// engine that ignores fencing numbers.
+	// TakeoverWait is the time that a new leader waits before its first order to
+	// an engine that ignores fencing tokens.
 	TakeoverWait = OrderTTL + time.Second
 )
 
 // Order is one control command to one engine.
 type Order struct {
-	// ID names the order; an engine carries out one ID once.
+	// ID identifies the order; an engine carries out each ID at most once.
 	ID      string
 	Server  string
 	Address string
@@ -40,29 +42,29 @@
 	// Target is a model, adapter or version for loads and unloads, and a role
 	// for ActionRole.
 	Target string
-	// FencingToken is the fencing number of the leader.
+	// FencingToken is the fencing token of the leader.
 	FencingToken int64
-	// TTL is how long the engine may wait before it starts, from its arrival.
+	// TTL is the time after its arrival within which the engine must start the order.
 	TTL time.Duration
 }
 
-// Desired is the state that the configuration asks of one engine.
+// Desired is the state that one engine should have according to the configuration.
 type Desired struct {
 	Server  string
 	Address string
 	Pool    string
-	// Models lists what must be loaded; anything else is unloaded.
+	// Models lists the models, adapters and versions to load; all others are unloaded.
 	Models []string
-	// Role is the wanted role; empty leaves the role as it is.
+	// Role is the desired role; empty leaves the role unchanged.
 	Role string
-	// FencesOrders is true when the engine refuses an old fencing number.
+	// FencesOrders is true when the engine refuses orders with an old fencing token.
 	FencesOrders bool
 }
 
-// Observed is what an engine reported of itself.
+// Observed is the state that an engine reported.
 type Observed struct {
 	Server string
-	// Incarnation rises with each restart of the engine.
+	// Incarnation increases with each restart of the engine.
 	Incarnation int64
 	Models      []string
 	Role        string
@@ -73,15 +75,16 @@
 // Leadership is the lease under which orders are sent.
 type Leadership struct {
 	Held bool
-	// FencingToken rises with each new leader.
+	// FencingToken increases with each new leader.
 	FencingToken int64
-	// Since is when this instance became the leader.
+	// Since is the time at which this instance became the leader.
 	Since time.Time
-	// Until is when the lease lapses.
+	// Until is the time at which the lease expires.
 	Until time.Time
 }
 
-// MaySendOrder reports whether an order may be sent to an engine now.
+// MaySendOrder reports whether an order may be sent now to an engine that does or
+// does not check fencing tokens.
 func (l Leadership) MaySendOrder(now time.Time, fencesOrders bool) bool {
 	if !l.Held || !now.Before(l.Until.Add(-StopMargin)) {
 		return false
--- a/order/reconciler.go
+++ b/order/reconciler.go
@@ -8,56 +8,56 @@
 	"golang.org/x/time/rate"
 )
 
-// maxPoolShare is the largest part of a pool that loads at the same time, so
-// that a change of models leaves most of the pool serving at full speed.
+// maxPoolShare is the largest share of a pool's engines that load at the same
+// time, so that a change of models leaves most of the pool serving at full speed.
 const maxPoolShare = 0.25
 
-// Config bounds a reconciler.
+// Config limits the loads that a reconciler starts.
 type Config struct {
-	// LoadsPerMinute is the failure domain's part of the weight store's rate; 0
-	// means no limit.
+	// LoadsPerMinute is the failure domain's share of the weight store's rate
+	// limit; 0 means no limit.
 	LoadsPerMinute float64
-	// LoadBurst is how many loads may start at once; at least 1.
+	// LoadBurst is the number of loads that may start at once; at least 1.
 	LoadBurst int
 }
 
-// pending is an order that was sent and whose effect has not been seen.
-type pending struct {
+// pendingOrder is an order that was sent and has not yet taken visible effect.
+type pendingOrder struct {
 	order       Order
 	incarnation int64
-	// until is when the order can no longer start.
-	until time.Time
+	// expires is the time after which the engine no longer starts the order.
+	expires time.Time
 }
 
-// Reconciler compares wanted and observed engine states. It is not safe for
+// Reconciler compares desired and observed engine states. It is not safe for
 // concurrent use.
 type Reconciler struct {
-	loads    *rate.Limiter
-	wanted   map[string]Desired
-	observed map[string]Observed
-	pending  map[string]pending
-	// sequence numbers the orders of one leadership.
-	sequence int64
-	fencing  int64
+	loadLimiter *rate.Limiter
+	desired     map[string]Desired
+	observed    map[string]Observed
+	pending     map[string]pendingOrder
+	// sequence counts the orders of one leadership and is part of their IDs.
+	sequence     int64
+	fencingToken int64
 }
 
-// NewReconciler returns a reconciler that wants nothing.
+// NewReconciler returns a reconciler without desired states.
 func NewReconciler(config Config) *Reconciler {
 	return &Reconciler{
-		loads:    rate.NewLimiter(loadLimit(config.LoadsPerMinute), max(1, config.LoadBurst)),
-		wanted:   map[string]Desired{},
-		observed: map[string]Observed{},
-		pending:  map[string]pending{},
+		loadLimiter: rate.NewLimiter(loadLimit(config.LoadsPerMinute), max(1, config.LoadBurst)),
+		desired:     map[string]Desired{},
+		observed:    map[string]Observed{},
+		pending:     map[string]pendingOrder{},
 	}
 }
 
-// SetLoadRate changes the rate of loads, for example when the number of failure
-// domains that share the weight store changes.
+// SetLoadRate sets the rate limit of loads in loads per minute. It changes, for
+// example, with the number of failure domains that share the weight store.
 func (r *Reconciler) SetLoadRate(now time.Time, perMinute float64) {
-	r.loads.SetLimitAt(now, loadLimit(perMinute))
+	r.loadLimiter.SetLimitAt(now, loadLimit(perMinute))
 }
 
-// loadLimit converts loads per minute to the limiter's unit.
+// loadLimit converts loads per minute to loads per second.
 func loadLimit(perMinute float64) rate.Limit {
 	if perMinute == 0 {
 		return rate.Inf
@@ -65,55 +65,55 @@
 	return rate.Limit(perMinute / time.Minute.Seconds())
 }
 
-// SetDesired replaces the wanted states.
-func (r *Reconciler) SetDesired(wanted []Desired) {
-	r.wanted = make(map[string]Desired, len(wanted))
-	for _, w := range wanted {
-		r.wanted[w.Server] = w
+// SetDesired replaces the desired states.
+func (r *Reconciler) SetDesired(desired []Desired) {
+	r.desired = make(map[string]Desired, len(desired))
+	for _, d := range desired {
+		r.desired[d.Server] = d
 	}
 	for server := range r.observed {
-		if _, ok := r.wanted[server]; !ok {
+		if _, ok := r.desired[server]; !ok {
 			delete(r.observed, server)
 			delete(r.pending, server)
 		}
 	}
 }
 
-// Observe takes an engine's report. An order is settled when its effect is
-// visible, or when the engine restarted and forgot it.
+// Observe records an engine's report. It removes the engine's pending order when
+// the order has taken effect, or when the engine restarted and thus lost it.
 func (r *Reconciler) Observe(o Observed) {
-	if _, ok := r.wanted[o.Server]; !ok {
+	if _, ok := r.desired[o.Server]; !ok {
 		return
 	}
 	r.observed[o.Server] = o
 	sent, ok := r.pending[o.Server]
-	if ok && (o.Incarnation != sent.incarnation || inEffect(sent.order, o)) {
+	if ok && (o.Incarnation != sent.incarnation || hasTakenEffect(sent.order, o)) {
 		delete(r.pending, o.Server)
 	}
 }
 
-// Converged reports whether an engine was seen in its wanted state with no order
-// under way.
+// Converged reports whether an engine was observed in its desired state and has no
+// pending order.
 func (r *Reconciler) Converged(server string) bool {
-	w, wanted := r.wanted[server]
-	o, observed := r.observed[server]
-	if !wanted || !observed || o.Loading {
+	d, isDesired := r.desired[server]
+	o, isObserved := r.observed[server]
+	if !isDesired || !isObserved || o.Loading {
 		return false
 	}
 	_, busy := r.pending[server]
-	_, _, differs := difference(w, o)
-	return !busy && !differs
+	_, _, needsCorrection := firstCorrection(d, o)
+	return !busy && !needsCorrection
 }
 
-// MarkRefused settles an order that the engine refused to carry out.
+// MarkRefused removes a pending order that the engine refused to carry out.
 func (r *Reconciler) MarkRefused(order Order) {
 	if sent, ok := r.pending[order.Server]; ok && sent.order.ID == order.ID {
 		delete(r.pending, order.Server)
 	}
 }
 
-// inEffect reports whether the engine's state shows the order's effect.
-func inEffect(order Order, o Observed) bool {
+// hasTakenEffect reports whether the observed state shows the effect of an order.
+func hasTakenEffect(order Order, o Observed) bool {
 	switch order.Action {
 	case ActionLoad:
 		return slices.Contains(o.Models, order.Target)
@@ -124,101 +124,105 @@
 	}
 }
 
-// Step returns the orders to send now, at most one per engine, in the order of
-// the servers' names.
+// Step returns the orders to send now, at most one per engine, sorted by server
+// name.
 func (r *Reconciler) Step(now time.Time, leadership Leadership) []Order {
-	r.newLeadership(leadership)
-	r.expire(now)
+	r.resetOnNewLeader(leadership)
+	r.dropExpired(now)
 	var orders []Order
-	for _, server := range r.servers() {
-		w := r.wanted[server]
-		if !leadership.MaySendOrder(now, w.FencesOrders) {
+	for _, server := range r.sortedServers() {
+		d := r.desired[server]
+		if !leadership.MaySendOrder(now, d.FencesOrders) {
 			continue
 		}
-		if order, ok := r.next(now, w); ok {
+		if order, ok := r.nextOrder(now, d); ok {
 			orders = append(orders, order)
 		}
 	}
 	return orders
 }
 
-// newLeadership forgets the orders of an earlier leadership.
-func (r *Reconciler) newLeadership(leadership Leadership) {
-	if leadership.FencingToken == r.fencing {
+// resetOnNewLeader drops the pending orders of an earlier leadership.
+func (r *Reconciler) resetOnNewLeader(leadership Leadership) {
+	if leadership.FencingToken == r.fencingToken {
 		return
 	}
-	r.fencing = leadership.FencingToken
+	r.fencingToken = leadership.FencingToken
 	r.sequence = 0
 	clear(r.pending)
 }
 
-// expire forgets orders that can no longer start, unless the engine still loads.
-func (r *Reconciler) expire(now time.Time) {
+// dropExpired drops pending orders that can no longer start, unless the engine is
+// still loading.
+func (r *Reconciler) dropExpired(now time.Time) {
 	for server, sent := range r.pending {
-		if now.After(sent.until) && !r.observed[server].Loading {
+		if now.After(sent.expires) && !r.observed[server].Loading {
 			delete(r.pending, server)
 		}
 	}
 }
 
-func (r *Reconciler) servers() []string {
-	servers := make([]string, 0, len(r.wanted))
-	for server := range r.wanted {
+func (r *Reconciler) sortedServers() []string {
+	servers := make([]string, 0, len(r.desired))
+	for server := range r.desired {
 		servers = append(servers, server)
 	}
 	slices.Sort(servers)
 	return servers
 }
 
-// next returns the order that an engine needs, if it may be sent now.
-func (r *Reconciler) next(now time.Time, w Desired) (Order, bool) {
-	o, known := r.observed[w.Server]
-	_, busy := r.pending[w.Server]
+// nextOrder returns the order that an engine needs, if one may be sent now.
+func (r *Reconciler) nextOrder(now time.Time, d Desired) (Order, bool) {
+	o, known := r.observed[d.Server]
+	_, busy := r.pending[d.Server]
 	if !known || busy || o.Loading {
 		return Order{}, false
 	}
-	action, target, ok := difference(w, o)
+	action, target, ok := firstCorrection(d, o)
 	if !ok {
 		return Order{}, false
 	}
-	if action == ActionLoad && !r.mayLoad(now, w.Pool) {
+	if action == ActionLoad && !r.admitLoad(now, d.Pool) {
 		return Order{}, false
 	}
-	return r.send(now, w, o, action, target), true
+	return r.issue(now, d, o, action, target), true
 }
 
-// difference returns the first correction an engine needs. Loads come before
-// unloads, so that a change of version leaves no time without either.
-func difference(w Desired, o Observed) (Action, string, bool) {
-	if w.Role != "" && w.Role != o.Role {
-		return ActionRole, w.Role, true
+// firstCorrection returns the first action, and its target, that an engine needs.
+// Loads come before unloads, so that during a change of version the engine always
+// has one of the two loaded.
+func firstCorrection(d Desired, o Observed) (Action, string, bool) {
+	if d.Role != "" && d.Role != o.Role {
+		return ActionRole, d.Role, true
 	}
-	for _, model := range w.Models {
+	for _, model := range d.Models {
 		if !slices.Contains(o.Models, model) {
 			return ActionLoad, model, true
 		}
 	}
 	for _, model := range o.Models {
-		if !slices.Contains(w.Models, model) {
+		if !slices.Contains(d.Models, model) {
 			return ActionUnload, model, true
 		}
 	}
 	return "", "", false
 }
 
-// mayLoad takes a token of the weight store's rate when the pool may have one
-// more engine that loads.
-func (r *Reconciler) mayLoad(now time.Time, pool string) bool {
-	size, loading := r.poolLoad(pool)
+// admitLoad reports whether one more engine of the pool may load now, and if so
+// takes a token from the rate limit of the weight store.
+func (r *Reconciler) admitLoad(now time.Time, pool string) bool {
+	size, loading := r.countLoading(pool)
 	if float64(loading+1) > max(1, maxPoolShare*float64(size)) {
 		return false
 	}
-	return r.loads.AllowN(now, 1)
+	return r.loadLimiter.AllowN(now, 1)
 }
 
-func (r *Reconciler) poolLoad(pool string) (size, loading int) {
-	for server, w := range r.wanted {
-		if w.Pool != pool {
+// countLoading returns the number of engines in a pool, and how many of them are
+// loading or have a pending load.
+func (r *Reconciler) countLoading(pool string) (size, loading int) {
+	for server, d := range r.desired {
+		if d.Pool != pool {
 			continue
 		}
 		size++
@@ -230,17 +234,18 @@
 	return size, loading
 }
 
-func (r *Reconciler) send(now time.Time, w Desired, o Observed, action Action, target string) Order {
+// issue creates an order and records it as pending.
+func (r *Reconciler) issue(now time.Time, d Desired, o Observed, action Action, target string) Order {
 	r.sequence++
 	order := Order{
-		ID:           fmt.Sprintf("%d-%d", r.fencing, r.sequence),
-		Server:       w.Server,
-		Address:      w.Address,
+		ID:           fmt.Sprintf("%d-%d", r.fencingToken, r.sequence),
+		Server:       d.Server,
+		Address:      d.Address,
 		Action:       action,
 		Target:       target,
-		FencingToken: r.fencing,
+		FencingToken: r.fencingToken,
 		TTL:          OrderTTL,
 	}
-	r.pending[w.Server] = pending{order: order, incarnation: o.Incarnation, until: now.Add(OrderTTL)}
+	r.pending[d.Server] = pendingOrder{order: order, incarnation: o.Incarnation, expires: now.Add(OrderTTL)}
 	return order
 }
--- a/order/reconciler_test.go
+++ b/order/reconciler_test.go
@@ -17,9 +17,9 @@
 	return Leadership{Held: true, FencingToken: 7, Since: since, Until: since.Add(time.Hour)}
 }
 
-// Guards against an order of a new leader that meets a live order of the old one
-// at an engine that ignores fencing numbers.
-func TestNewLeaderWaitsForEnginesThatIgnoreFencing(t *testing.T) {
+// Guards against a new leader that sends an order to an engine that ignores
+// fencing tokens while an order of the earlier leader has not expired.
+func TestNewLeaderDelaysOrdersToEnginesThatIgnoreFencingTokens(t *testing.T) {
 	c := qt.New(t)
 	r := NewReconciler(Config{LoadsPerMinute: 600, LoadBurst: 10})
 	r.SetDesired([]Desired{
@@ -39,8 +39,8 @@
 	c.Assert(orders[0].Server, qt.Equals, "unfenced")
 }
 
-// Guards against orders of a leader whose lease is about to lapse.
-func TestLeaderStopsBeforeItsLeaseLapses(t *testing.T) {
+// Guards against orders of a leader whose lease is about to expire.
+func TestLeaderSendsNoOrderNearTheEndOfItsLease(t *testing.T) {
 	c := qt.New(t)
 	leadership := Leadership{Held: true, FencingToken: 1, Since: start.Add(-time.Minute), Until: start.Add(StopMargin)}
 	c.Assert(leadership.MaySendOrder(start.Add(-time.Millisecond), true), qt.IsTrue)
@@ -49,9 +49,9 @@
 	c.Assert(leadership.MaySendOrder(start.Add(-time.Minute), true), qt.IsFalse)
 }
 
-// Guards against a change of version that unloads the old one first, which
-// leaves the engine without any.
-func TestNewVersionIsLoadedBeforeTheOldOneGoes(t *testing.T) {
+// Guards against a change of version that unloads the old version first, which
+// leaves the engine without a model.
+func TestNewVersionIsLoadedBeforeTheOldOneIsUnloaded(t *testing.T) {
 	c := qt.New(t)
 	r := NewReconciler(Config{LoadsPerMinute: 600, LoadBurst: 10})
 	r.SetDesired([]Desired{{Server: "e", Models: []string{"m@2"}, FencesOrders: true}})
@@ -67,8 +67,8 @@
 	c.Assert(orders[0].Target, qt.Equals, "m@1")
 }
 
-// Guards against an order that was lost on the way and is never repeated.
-func TestLostOrderIsRepeatedAfterItsLife(t *testing.T) {
+// Guards against an order that was lost in transit and is never sent again.
+func TestLostOrderIsRepeatedAfterItsTTL(t *testing.T) {
 	c := qt.New(t)
 	r := NewReconciler(Config{LoadsPerMinute: 600, LoadBurst: 10})
 	r.SetDesired([]Desired{{Server: "e", Models: []string{"m"}, FencesOrders: true}})
@@ -81,10 +81,10 @@
 	c.Assert(again[0].ID, qt.Not(qt.Equals), first[0].ID)
 }
 
-// Guards against loads that pass the weight store's rate or take too much of a
-// pool, and against engines that never reach the wanted state. The engines of
-// the model carry orders out late, lose some of them and restart.
-func TestLoadsKeepTheirBoundsAndConverge(t *testing.T) {
+// Guards against loads that exceed the weight store's rate limit or occupy too
+// much of a pool, and against engines that never reach the desired state. The
+// simulated engines carry orders out late, lose some of them and restart.
+func TestLoadsStayWithinLimitsAndConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const loadsPerMinute, burst = 120, 2
 		size := rapid.IntRange(1, 12).Draw(t, "size")
@@ -105,8 +105,8 @@
 			if sent > limit {
 				t.Fatalf("%d loads after %d steps, limit %d", sent, step, limit)
 			}
-			if loading := countLoading(engines); float64(loading) > max(1, maxPoolShare*float64(size)) {
-				t.Fatalf("%d of %d engines load at once", loading, size)
+			if loading := countLoadingEngines(engines); float64(loading) > max(1, maxPoolShare*float64(size)) {
+				t.Fatalf("%d of %d engines are loading at once", loading, size)
 			}
 			for _, e := range engines {
 				e.advance(lossy && rapid.IntRange(0, 30).Draw(t, "restart") == 0)
@@ -115,28 +115,28 @@
 		}
 		for name, e := range engines {
 			if !slices.Equal(e.state.Models, []string{"m"}) {
-				t.Fatalf("engine %s has %v at the end", name, e.state.Models)
+				t.Fatalf("engine %s has loaded %v at the end", name, e.state.Models)
 			}
 		}
 	})
 }
 
-// engine carries out an accepted order after a few steps.
+// engine simulates an engine that carries out an accepted order after a few steps.
 type engine struct {
-	state Observed
-	left  int
-	order Order
+	state     Observed
+	stepsLeft int
+	order     Order
 }
 
 func newEngines(r *Reconciler, size int) map[string]*engine {
 	engines := map[string]*engine{}
-	var wanted []Desired
+	var desired []Desired
 	for i := range size {
 		name := string(rune('a' + i))
 		engines[name] = &engine{state: Observed{Server: name, Incarnation: 1}}
-		wanted = append(wanted, Desired{Server: name, Pool: "p", Models: []string{"m"}, FencesOrders: true})
+		desired = append(desired, Desired{Server: name, Pool: "p", Models: []string{"m"}, FencesOrders: true})
 	}
-	r.SetDesired(wanted)
+	r.SetDesired(desired)
 	for _, e := range engines {
 		r.Observe(e.state)
 	}
@@ -144,25 +144,25 @@
 }
 
 func (e *engine) accept(order Order) {
-	e.order, e.left, e.state.Loading = order, 3, true
+	e.order, e.stepsLeft, e.state.Loading = order, 3, true
 }
 
 func (e *engine) advance(restart bool) {
 	if restart {
 		e.state = Observed{Server: e.state.Server, Incarnation: e.state.Incarnation + 1}
-		e.left = 0
+		e.stepsLeft = 0
 		return
 	}
-	if e.left == 0 {
+	if e.stepsLeft == 0 {
 		return
 	}
-	if e.left--; e.left == 0 {
+	if e.stepsLeft--; e.stepsLeft == 0 {
 		e.state.Loading = false
 		e.state.Models = append(e.state.Models, e.order.Target)
 	}
 }
 
-func countLoading(engines map[string]*engine) int {
+func countLoadingEngines(engines map[string]*engine) int {
 	loading := 0
 	for _, e := range engines {
 		if e.state.Loading {
