--- a/config/current.go
+++ b/config/current.go
@@ -6,24 +6,25 @@
 	"github.com/coltsfootdrift/coltsfootdrift/pipeline"
 )
 
-// LowerRevisionError reports a head that is older than the one in force.
+// LowerRevisionError reports that a received head has a lower revision than the
+// head in force.
 type LowerRevisionError struct {
 	InForce, Received int64
 }
 
 func (e *LowerRevisionError) Error() string {
-	return fmt.Sprintf("configuration revision %d was offered, revision %d is in force", e.Received, e.InForce)
+	return fmt.Sprintf("configuration revision %d was received, but the higher revision %d is in force", e.Received, e.InForce)
 }
 
-// DivergentError reports two heads with the same revision, which compare-and-swap
-// rules out unless the store lost a write.
+// DivergentError reports two heads with the same revision and different publish
+// IDs. Compare-and-swap prevents this unless the store lost a write.
 type DivergentError struct {
 	Revision          int64
 	InForce, Received string
 }
 
 func (e *DivergentError) Error() string {
-	return fmt.Sprintf("configuration revision %d has publish ID %q, %q was offered", e.Revision, e.InForce, e.Received)
+	return fmt.Sprintf("configuration revision %d has publish ID %q in force, but publish ID %q was received", e.Revision, e.InForce, e.Received)
 }
 
 // Current is the configuration in force. The zero value holds none.
@@ -53,20 +54,21 @@
 	return data, ok
 }
 
-// Missing returns the parts of a head that are not held.
+// Missing returns the digests of the parts of h that are not in force.
 func (c *Current) Missing(h *Head) []Digest {
 	var missing []Digest
 	for _, digest := range h.Digests() {
-		if _, held := c.parts[digest]; !held {
+		if _, ok := c.parts[digest]; !ok {
 			missing = append(missing, digest)
 		}
 	}
 	return missing
 }
 
-// Update puts a head in force when its revision is higher than the one in force.
-// The parts need only be those that Missing returned. A lower revision is
-// refused with a *LowerRevisionError.
+// Update puts a head in force if its revision is higher than the one in force. It
+// needs only the parts whose digests Missing returned. A lower revision gives a
+// *LowerRevisionError; an equal one with another publish ID gives a
+// *DivergentError.
 func (c *Current) Update(h *Head, parts Parts) (changed bool, err error) {
 	if c.head != nil {
 		switch {
@@ -78,18 +80,18 @@
 			return false, nil
 		}
 	}
-	held := make(Parts, len(h.Parts))
+	available := make(Parts, len(h.Parts))
 	for _, digest := range h.Digests() {
 		if data, ok := c.parts[digest]; ok {
-			held[digest] = data
+			available[digest] = data
 		} else if data, ok := parts[digest]; ok {
-			held[digest] = data
+			available[digest] = data
 		}
 	}
-	set, err := Assemble(h, held)
+	set, err := Assemble(h, available)
 	if err != nil {
 		return false, err
 	}
-	c.head, c.parts, c.set = h, held, set
+	c.head, c.parts, c.set = h, available, set
 	return true, nil
 }
--- a/config/diff.go
+++ b/config/diff.go
@@ -11,7 +11,7 @@
 	"github.com/coltsfootdrift/coltsfootdrift/pipeline"
 )
 
-// Action says what happened to an object.
+// Action is the kind of change of an object.
 type Action string
 
 // Actions.
@@ -19,35 +19,36 @@
 	ActionAdded   Action = "added"
 	ActionRemoved Action = "removed"
 	ActionChanged Action = "changed"
-	// ActionUnknown is a change that can't be told, because the old state is lost.
+	// ActionUnknown marks an object whose change can't be determined, because its
+	// old state is missing from the store.
 	ActionUnknown Action = "unknown"
 )
 
-// Change is one object that differs between two sets.
+// Change describes one object that differs between two sets.
 type Change struct {
 	Action Action `json:"action"`
 	// Object is the kind and name of the object, for example "pool engines" or
 	// "pipeline notes, stage draft".
 	Object string `json:"object"`
-	// Fields holds the fields that differ; empty for an added or removed object.
+	// Fields lists the fields that differ; empty for an added or removed object.
 	Fields []FieldChange `json:"fields,omitempty"`
 }
 
-// FieldChange is one field that differs, with values as JSON. An absent field
-// is empty.
+// FieldChange describes one field that differs. The values are JSON; an absent
+// field has an empty value.
 type FieldChange struct {
 	Name string `json:"name"`
 	Old  string `json:"old,omitempty"`
 	New  string `json:"new,omitempty"`
 }
 
-// Difference lists what changed between two sets, by object.
+// Difference lists the changes between two sets, one for each object.
 type Difference []Change
 
-// Compare returns the difference between two sets. The order of definitions in
-// the files doesn't matter, apart from the order of stages.
+// Compare returns the difference between two sets, sorted by object. It ignores
+// the order of definitions in the files, apart from the order of stages.
 func Compare(from, to *pipeline.Set) Difference {
-	before, after := objects(from), objects(to)
+	before, after := objectsByName(from), objectsByName(to)
 	names := map[string]bool{}
 	for name := range before {
 		names[name] = true
@@ -94,13 +95,14 @@
 // fieldsOf returns the JSON fields of an object.
 func fieldsOf(object any) map[string]json.RawMessage {
 	fields := map[string]json.RawMessage{}
-	// The objects hold only strings, numbers and lists, so that encoding can't fail.
+	// Encoding can't fail, because the objects hold only strings, numbers and lists.
 	data, _ := json.Marshal(object)
 	_ = json.Unmarshal(data, &fields)
 	return fields
 }
 
-// deploymentFields are the fields of a deployment that are no objects.
+// deploymentFields holds the fields of a deployment that are not objects of their
+// own.
 type deploymentFields struct {
 	Name                 string  `json:"deployment"`
 	LinkMbits            float64 `json:"link_mbits"`
@@ -112,39 +114,39 @@
 	StageOrder []string `json:"stage_order"`
 }
 
-// objects returns the objects of a set by kind and name.
-func objects(set *pipeline.Set) map[string]any {
-	found := map[string]any{}
+// objectsByName returns the objects of a set, keyed as in Change.Object.
+func objectsByName(set *pipeline.Set) map[string]any {
+	objects := map[string]any{}
 	if set == nil {
-		return found
+		return objects
 	}
 	d := set.Deployment
-	found["deployment"] = deploymentFields{d.Name, d.LinkMbits, d.WeightLoadsPerMinute}
+	objects["deployment"] = deploymentFields{d.Name, d.LinkMbits, d.WeightLoadsPerMinute}
 	for _, region := range d.Regions {
-		found["region "+region.Name] = region
+		objects["region "+region.Name] = region
 	}
 	for _, pool := range d.Pools {
-		found["pool "+pool.Name] = pool
+		objects["pool "+pool.Name] = pool
 	}
 	for _, organisation := range d.Organisations {
-		found["organisation "+organisation.Name] = organisation
+		objects["organisation "+organisation.Name] = organisation
 	}
 	for _, p := range set.Pipelines {
-		addPipeline(found, p)
+		addPipeline(objects, p)
 	}
-	return found
+	return objects
 }
 
-func addPipeline(found map[string]any, p pipeline.Pipeline) {
+func addPipeline(objects map[string]any, p pipeline.Pipeline) {
 	name := "pipeline " + p.Name
 	var order pipelineFields
 	for _, stage := range p.Stages {
 		order.StageOrder = append(order.StageOrder, stage.Name)
-		found[name+", stage "+stage.Name] = stage
+		objects[name+", stage "+stage.Name] = stage
 	}
-	found[name] = order
+	objects[name] = order
 	for _, kind := range p.Kinds {
-		found[name+", kind "+kind.Name] = kind
+		objects[name+", kind "+kind.Name] = kind
 	}
 }
 
@@ -163,15 +165,15 @@
 	return text.String()
 }
 
-// BoundedText returns the text in at most MaxDifferenceBytes, with the number of
-// changes when it doesn't fit.
+// BoundedText returns the result of Text if it fits MaxDifferenceBytes, otherwise
+// the number of changes and the text cut to that size.
 func (d Difference) BoundedText() string {
 	text := d.Text()
 	if len(text) <= MaxDifferenceBytes {
 		return text
 	}
-	const end = "\n" // readers print entry after entry
-	return truncate(fmt.Sprintf("%d changes\n%s", len(d), text), MaxDifferenceBytes-len(end)) + end
+	const newline = "\n" // the audit command prints one entry after the other
+	return truncate(fmt.Sprintf("%d changes\n%s", len(d), text), MaxDifferenceBytes-len(newline)) + newline
 }
 
 func orAbsent(value string) string {
--- a/config/diff_test.go
+++ b/config/diff_test.go
@@ -7,9 +7,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Guards against an audit trail in which the entry after a long difference
-// doesn't start on a line of its own.
-func TestBoundedDifferenceEndsItsLine(t *testing.T) {
+// Guards against an audit trail in which the entry after a truncated difference
+// doesn't start on a new line.
+func TestBoundedTextEndsWithANewline(t *testing.T) {
 	c := qt.New(t)
 	long := make(Difference, MaxDifferenceBytes)
 	text := long.BoundedText()
--- a/config/head.go
+++ b/config/head.go
@@ -1,6 +1,6 @@
-// Package config holds versioned configuration: the head and its
-// content-addressed parts, the order of revisions, differences, the steps of
-// publishing and the audit trail. It does no I/O.
+// Package config implements versioned configuration: a head that refers to
+// content-addressed parts, the rules for replacing one revision by another,
+// differences, the state machine of a publish and the audit trail. It does no I/O.
 package config
 
 import (
@@ -18,7 +18,7 @@
 	PartPrefix = "config/part/"
 )
 
-// Bounds of the values in the store.
+// Size limits of the values in the store.
 const (
 	MaxPartBytes = 512 << 10
 	MaxHeadBytes = 512 << 10
@@ -38,19 +38,19 @@
 	return Digest(hex.EncodeToString(sum[:]))
 }
 
-// PartName says what a part holds.
+// PartName names the content of a part, for example "pipeline/notes".
 type PartName string
 
-// Ref names a part of a head.
+// Ref is the reference of a head to one of its parts.
 type Ref struct {
 	Name   PartName `json:"name"`
 	Digest Digest   `json:"digest"`
-	// ContentDigest is the digest of the part without the ID of the publish that wrote
-	// it; equal content keeps its part.
+	// ContentDigest is the digest of the part without the ID of the publish that
+	// wrote it. A publish reuses the part if its content has the same digest.
 	ContentDigest Digest `json:"content"`
 }
 
-// Retired is a part that heads from a revision on no longer use.
+// Retired is a part that is no longer referred to since Revision.
 type Retired struct {
 	Digest   Digest `json:"digest"`
 	Revision int64  `json:"revision"`
@@ -62,8 +62,8 @@
 	PublishID string    `json:"publish_id"`
 	Parts     []Ref     `json:"parts"`
 	Retired   []Retired `json:"retired,omitempty"`
-	// Audit holds the last changes, the newest last. Heads sent between instances
-	// have none.
+	// Audit holds the last changes, oldest first. Heads sent between instances have
+	// none.
 	Audit []AuditEntry `json:"audit,omitempty"`
 }
 
@@ -79,7 +79,7 @@
 	Difference string `json:"difference"`
 }
 
-// Bounds of the audit trail. They keep it under 200 KB, so that a head fits
+// Size limits of the audit trail. They keep it under 200 KB, so that a head fits
 // MaxHeadBytes.
 const (
 	MaxAuditEntries    = 200
@@ -88,7 +88,7 @@
 	MaxReasonBytes     = 300
 )
 
-// FormatError reports a head or part that can't be read.
+// FormatError reports a head or part that can't be encoded, decoded or verified.
 type FormatError struct {
 	What string
 	Err  error
@@ -98,7 +98,7 @@
 
 func (e *FormatError) Unwrap() error { return e.Err }
 
-// SizeError reports a value over its bound.
+// SizeError reports a value that is larger than its size limit.
 type SizeError struct {
 	What       string
 	Bytes, Max int
@@ -108,7 +108,8 @@
 	return fmt.Sprintf("configuration %s has %d bytes, expected at most %d", e.What, e.Bytes, e.Max)
 }
 
-// Encode returns the value of the head in the store.
+// Encode returns the value of the head in the store. It returns a *SizeError for a
+// head of more than MaxHeadBytes.
 func (h *Head) Encode() ([]byte, error) {
 	data, err := json.Marshal(h)
 	if err != nil {
@@ -120,7 +121,7 @@
 	return data, nil
 }
 
-// DecodeHead reads the value of the head.
+// DecodeHead decodes the value of the head in the store.
 func DecodeHead(data []byte) (*Head, error) {
 	var h Head
 	if err := json.Unmarshal(data, &h); err != nil {
@@ -132,14 +133,14 @@
 	return &h, nil
 }
 
-// WithoutAudit returns the head as instances send it to each other: the audit
-// trail and the retired parts matter only to publish and audit.
+// WithoutAudit returns the head as instances send it to each other, without the
+// audit trail and the retired parts, which only publishing and auditing use.
 func (h *Head) WithoutAudit() *Head {
 	return &Head{Revision: h.Revision, PublishID: h.PublishID, Parts: h.Parts}
 }
 
-// FindPublish reports whether the publish with the ID led to this head or to one
-// before it. It returns the audit entry.
+// FindPublish returns the audit entry of the publish that led to this head or to
+// an earlier one, and false if the audit trail has no such entry.
 func (h *Head) FindPublish(publishID string) (AuditEntry, bool) {
 	for _, entry := range h.Audit {
 		if entry.PublishID == publishID {
@@ -158,7 +159,7 @@
 	return digests
 }
 
-// ref returns the reference with a name.
+// ref returns the reference to the part with the given name. A nil head has none.
 func (h *Head) ref(name PartName) (Ref, bool) {
 	if h == nil {
 		return Ref{}, false
@@ -171,11 +172,11 @@
 	return Ref{}, false
 }
 
-// truncate shortens text to a number of bytes without splitting a character.
-func truncate(text string, most int) string {
-	if len(text) <= most {
+// truncate shortens text to at most maxBytes without splitting a character.
+func truncate(text string, maxBytes int) string {
+	if len(text) <= maxBytes {
 		return text
 	}
 	const mark = "..."
-	return string(bytes.ToValidUTF8([]byte(text[:most-len(mark)]), nil)) + mark
+	return string(bytes.ToValidUTF8([]byte(text[:maxBytes-len(mark)]), nil)) + mark
 }
--- a/config/headchange.go
+++ b/config/headchange.go
@@ -7,26 +7,27 @@
 	"strings"
 )
 
-// HeadChange is a head as one instance sends it to another that has an earlier
-// one: most changes concern one part, and a whole head has some hundred.
+// HeadChange is the difference between two heads, sent by one instance to another
+// that has the earlier one. Most changes concern one part, whereas a whole head
+// refers to more than a hundred.
 type HeadChange struct {
-	// From is the revision that the change starts from; 0 for a whole head.
+	// From is the revision of the earlier head; 0 for a whole head.
 	From int64 `json:"from,omitempty"`
-	// Head holds only the references that differ from those of From.
+	// Head is the new head with only those references that differ from From.
 	Head *Head `json:"head"`
-	// Removed names the references that the head lacks.
+	// Removed names the parts of From that the new head no longer refers to.
 	Removed []PartName `json:"removed,omitempty"`
-	// Sum is the digest of the whole head without audit trail.
+	// Sum is the digest of the complete new head without its audit trail.
 	Sum Digest `json:"sum"`
 }
 
-// ChangeSince returns the change from a base to h, or the whole head without a base.
+// ChangeSince returns the change from base to h, or the whole head if base is nil.
 func (h *Head) ChangeSince(base *Head) (HeadChange, error) {
-	whole, err := h.WithoutAudit().Encode()
+	encoded, err := h.WithoutAudit().Encode()
 	if err != nil {
 		return HeadChange{}, err
 	}
-	change := HeadChange{Head: h.WithoutAudit(), Sum: DigestOf(whole)}
+	change := HeadChange{Head: h.WithoutAudit(), Sum: DigestOf(encoded)}
 	if base == nil {
 		return change, nil
 	}
@@ -43,7 +44,8 @@
 	return change, nil
 }
 
-// Apply returns the whole head. The base must have the revision From.
+// Apply returns the complete new head and verifies it against Sum. The base must have
+// the revision From, unless From is 0.
 func (c HeadChange) Apply(base *Head) (*Head, error) {
 	if c.Head == nil {
 		return nil, &FormatError{"head", fmt.Errorf("change has no head")}
@@ -55,17 +57,17 @@
 		}
 		head.Parts = c.merge(base)
 	}
-	whole, err := head.Encode()
+	encoded, err := head.Encode()
 	if err != nil {
 		return nil, err
 	}
-	if DigestOf(whole) != c.Sum {
+	if DigestOf(encoded) != c.Sum {
 		return nil, &FormatError{"head", fmt.Errorf("revision %d differs from its digest", head.Revision)}
 	}
 	return head, nil
 }
 
-// merge returns the references of the base with the change, in the order of split.
+// merge returns the references of the new head, sorted by name as in every head.
 func (c HeadChange) merge(base *Head) []Ref {
 	var refs []Ref
 	for _, ref := range base.Parts {
@@ -78,12 +80,12 @@
 	return refs
 }
 
-// sortRefs orders references by name, so that equal heads have equal bytes.
+// sortRefs sorts references by name, so that equal heads have the same encoding.
 func sortRefs(refs []Ref) {
 	slices.SortFunc(refs, func(a, b Ref) int { return strings.Compare(string(a.Name), string(b.Name)) })
 }
 
-// EncodeChange returns the bytes of a change.
+// EncodeChange returns the JSON encoding of a change.
 func EncodeChange(c HeadChange) ([]byte, error) {
 	data, err := json.Marshal(c)
 	if err != nil {
@@ -92,7 +94,7 @@
 	return data, nil
 }
 
-// DecodeChange reads the bytes of a change.
+// DecodeChange decodes the result of EncodeChange.
 func DecodeChange(data []byte) (HeadChange, error) {
 	var c HeadChange
 	if err := json.Unmarshal(data, &c); err != nil {
--- a/config/parts.go
+++ b/config/parts.go
@@ -11,9 +11,9 @@
 	"github.com/coltsfootdrift/coltsfootdrift/pipeline"
 )
 
-// organisationBuckets is the number of parts that hold organisations. With
-// 19,000 of them a changed organisation rewrites one part of about 8 KB, and
-// the references in the head stay about as small.
+// organisationBuckets is the number of parts among which organisations are
+// distributed by hash. With 19,000 organisations, a change of one rewrites a part
+// of about 8 KB, and the references in the head take about as much.
 const organisationBuckets = 128
 
 // Names of parts.
@@ -23,23 +23,24 @@
 	bucketPartPrefix   PartName = "organisations/"
 )
 
-// part is the value of a part. Exactly one of the contents is set.
+// part is the value of a part in the store. Exactly one of Deployment, Pipeline and
+// Organisations is set.
 type part struct {
-	// Publish is the ID of the publish that wrote the part. A part that no head
-	// uses any more therefore never returns under the same digest, and collecting
-	// it cannot race with a publish.
+	// Publish is the ID of the publish that wrote the part. It makes the digest
+	// unique to that publish: a later publish never refers again to a part that has
+	// become unused, so that deleting the part cannot race with a publish.
 	Publish       string                  `json:"publish,omitempty"`
 	Deployment    *pipeline.Deployment    `json:"deployment,omitempty"`
 	Pipeline      *pipeline.Pipeline      `json:"pipeline,omitempty"`
 	Organisations []pipeline.Organisation `json:"organisations,omitempty"`
 }
 
-// Parts holds the bytes of parts by digest.
+// Parts maps digests to the encoded parts.
 type Parts map[Digest][]byte
 
-// split returns the references and the new parts of a set. Content that the
-// base has keeps its part.
-func split(set *pipeline.Set, base *Head, publishID string) ([]Ref, Parts, error) {
+// splitParts returns the references of a set and those of its parts that are new.
+// Content that base already has is referred to by its existing part.
+func splitParts(set *pipeline.Set, base *Head, publishID string) ([]Ref, Parts, error) {
 	refs, parts := []Ref{}, Parts{}
 	for _, named := range namedParts(set) {
 		ref, data, err := named.encode(base, publishID)
@@ -60,7 +61,7 @@
 	part part
 }
 
-// namedParts returns the parts of a set without a publish ID, in a fixed order.
+// namedParts returns the parts of a set without publish IDs, in a fixed order.
 func namedParts(set *pipeline.Set) []namedPart {
 	deployment := set.Deployment
 	deployment.Organisations = nil
@@ -85,7 +86,8 @@
 	return named
 }
 
-// encode returns the reference of a part, and its bytes unless the base has it.
+// encode returns the reference of a part, and its bytes unless base already has
+// its content.
 func (n namedPart) encode(base *Head, publishID string) (Ref, []byte, error) {
 	content, err := json.Marshal(n.part)
 	if err != nil {
@@ -107,7 +109,8 @@
 	return ref, data, nil
 }
 
-// Assemble returns the set of a head. Each part is checked against its digest.
+// Assemble returns the set that a head describes. It checks each part against its
+// digest and returns a *FormatError if one is missing or damaged.
 func Assemble(h *Head, parts Parts) (*pipeline.Set, error) {
 	set := &pipeline.Set{}
 	for _, ref := range h.Parts {
@@ -122,42 +125,44 @@
 		if err := json.Unmarshal(data, &p); err != nil {
 			return nil, &FormatError{string(ref.Name), err}
 		}
-		add(set, p)
+		addPart(set, p)
 	}
 	set.Index()
 	return set, nil
 }
 
-// lost returns the names of the parts that are missing or damaged.
-func (h *Head) lost(parts Parts) map[PartName]bool {
-	lost := map[PartName]bool{}
+// missingOrDamaged returns the names of those parts of the head that parts lacks
+// or holds with another digest.
+func (h *Head) missingOrDamaged(parts Parts) map[PartName]bool {
+	missing := map[PartName]bool{}
 	for _, ref := range h.Parts {
 		if data, ok := parts[ref.Digest]; !ok || DigestOf(data) != ref.Digest {
-			lost[ref.Name] = true
+			missing[ref.Name] = true
 		}
 	}
-	return lost
+	return missing
 }
 
-// without returns a copy of a head that lacks the named parts.
-func (h *Head) without(names map[PartName]bool) *Head {
+// withoutParts returns a copy of the head without the references to the named parts.
+func (h *Head) withoutParts(excluded map[PartName]bool) *Head {
 	rest := *h
-	rest.Parts = slices.DeleteFunc(slices.Clone(h.Parts), func(ref Ref) bool { return names[ref.Name] })
+	rest.Parts = slices.DeleteFunc(slices.Clone(h.Parts), func(ref Ref) bool { return excluded[ref.Name] })
 	return &rest
 }
 
-// setWithout returns the objects of a set that don't belong to the named parts.
-func setWithout(set *pipeline.Set, names map[PartName]bool) *pipeline.Set {
+// setWithoutParts returns a set without the objects that belong to the named parts.
+func setWithoutParts(set *pipeline.Set, excluded map[PartName]bool) *pipeline.Set {
 	rest := &pipeline.Set{}
 	for _, named := range namedParts(set) {
-		if !names[named.name] {
-			add(rest, named.part)
+		if !excluded[named.name] {
+			addPart(rest, named.part)
 		}
 	}
 	return rest
 }
 
-func add(set *pipeline.Set, p part) {
+// addPart adds the content of a part to a set.
+func addPart(set *pipeline.Set, p part) {
 	if p.Deployment != nil {
 		organisations := set.Deployment.Organisations
 		set.Deployment = *p.Deployment
--- a/config/publish.go
+++ b/config/publish.go
@@ -7,34 +7,36 @@
 	"time"
 )
 
-// keptRevisions is the number of heads whose parts stay in the store, so that an
-// instance that reads an older head still finds them.
-const keptRevisions = 10
+// retainedRevisions is the number of last heads whose parts stay in the store, so
+// that an instance that is loading an older head still finds its parts.
+const retainedRevisions = 10
 
-// maxHeadWrites bounds the attempts to write the head after lost answers.
+// maxHeadWrites limits the attempts to write the head when responses are lost.
 const maxHeadWrites = 3
 
-// Publish puts one change in force. It is driven by Start and Step.
+// Publish is the state machine that puts one requested set in force. The caller
+// carries out the outputs of Start and Step and passes each result to Step.
 type Publish struct {
 	request Request
 	dryRun  bool
 
+	// base is the head before the publish, with its store version.
 	base    *Head
 	version int64
-	// kept is the base without the parts that are lost from the store.
-	kept   *Head
+	// intact is base without the parts that are missing from the store or damaged.
+	intact *Head
 	next   *Head
 	parts  Parts
 	result Result
-	// writes counts attempts to write the head; once positive, a read of the head
-	// is a read back.
-	writes int
-	// uncertain is true once the answer of a head write was lost.
+	// headWrites counts the attempts to write the head. Once it is positive, reading
+	// the head serves to find out whether the write took effect.
+	headWrites int
+	// uncertain is true once the response to a head write was lost.
 	uncertain bool
 }
 
-// NewPublish returns a publish of the request. A dry run ends after the
-// difference is known.
+// NewPublish returns a publish of the request. A dry run ends once the difference
+// is known and writes nothing.
 func NewPublish(request Request, dryRun bool) *Publish {
 	request.Author = truncate(request.Author, MaxAuthorBytes)
 	request.Reason = truncate(request.Reason, MaxReasonBytes)
@@ -44,23 +46,23 @@
 // Start returns the first output.
 func (p *Publish) Start() []Output { return []Output{ReadHead{}} }
 
-// Step takes the input to the last output and returns the next outputs.
+// Step processes the result of the last output and returns the next outputs.
 func (p *Publish) Step(now time.Time, input Input) []Output {
 	switch in := input.(type) {
 	case HeadRead:
-		if p.writes > 0 {
-			return p.readBack(in)
+		if p.headWrites > 0 {
+			return p.onHeadReadBack(in)
 		}
-		return p.headRead(in)
+		return p.onHeadRead(in)
 	case PartsRead:
-		return p.partsRead(now, in)
+		return p.onPartsRead(now, in)
 	case PartsWritten:
 		if in.Err != nil {
 			return p.fail("write parts", in.Err)
 		}
 		return p.writeHead()
 	case HeadWritten:
-		return p.headWritten(in)
+		return p.onHeadWritten(in)
 	}
 	return p.fail("step", fmt.Errorf("unexpected input %T", input))
 }
@@ -69,7 +71,7 @@
 	return []Output{Done{Err: &StepError{step, err}}}
 }
 
-func (p *Publish) headRead(in HeadRead) []Output {
+func (p *Publish) onHeadRead(in HeadRead) []Output {
 	if in.Err != nil {
 		return p.fail("read head", in.Err)
 	}
@@ -83,7 +85,7 @@
 	return []Output{ReadParts{p.base.Digests()}}
 }
 
-// conflict reports the change that led to a head.
+// conflict returns a *ConflictError that names the change that led to h.
 func (p *Publish) conflict(h *Head) error {
 	winner := AuditEntry{PublishID: h.PublishID, ToRevision: h.Revision}
 	if len(h.Audit) > 0 {
@@ -92,8 +94,9 @@
 	return &ConflictError{winner}
 }
 
-// partsRead compares the sets and writes what is missing.
-func (p *Publish) partsRead(now time.Time, in PartsRead) []Output {
+// onPartsRead compares the requested set with the one in force, and writes the new
+// parts if they differ.
+func (p *Publish) onPartsRead(now time.Time, in PartsRead) []Output {
 	if in.Err != nil {
 		return p.fail("read parts", in.Err)
 	}
@@ -113,30 +116,31 @@
 	return []Output{WriteParts{p.parts}}
 }
 
-// compare returns the difference to the set in force. Parts that are lost from the
-// store are written again, and the difference says that it doesn't cover them.
+// compare returns the difference between the set in force and the requested one.
+// Parts that are missing from the store or damaged are written again; the
+// difference lists each of them as an unknown change.
 func (p *Publish) compare(parts Parts) (Difference, error) {
-	p.kept = p.base
+	p.intact = p.base
 	if p.base.Revision == 0 {
 		return Compare(nil, p.request.Set), nil
 	}
-	lost := p.base.lost(parts)
-	if len(lost) == 0 {
+	missing := p.base.missingOrDamaged(parts)
+	if len(missing) == 0 {
 		inForce, err := Assemble(p.base, parts)
 		return Compare(inForce, p.request.Set), err
 	}
-	p.kept = p.base.without(lost)
-	inForce, err := Assemble(p.kept, parts)
-	difference := Compare(inForce, setWithout(p.request.Set, lost))
-	for _, name := range slices.Sorted(maps.Keys(lost)) {
+	p.intact = p.base.withoutParts(missing)
+	inForce, err := Assemble(p.intact, parts)
+	difference := Compare(inForce, setWithoutParts(p.request.Set, missing))
+	for _, name := range slices.Sorted(maps.Keys(missing)) {
 		difference = append(difference, Change{Action: ActionUnknown, Object: fmt.Sprintf("part %s, which is lost from the store", name)})
 	}
 	return difference, err
 }
 
-// buildNext builds the head that follows the base.
+// buildNext builds the next head and the parts to write for it.
 func (p *Publish) buildNext(now time.Time) error {
-	refs, parts, err := split(p.request.Set, p.kept, p.request.PublishID)
+	refs, parts, err := splitParts(p.request.Set, p.intact, p.request.PublishID)
 	if err != nil {
 		return err
 	}
@@ -146,13 +150,14 @@
 		PublishID: p.request.PublishID, Author: p.request.Author, Reason: p.request.Reason, Time: now.UTC(),
 		FromRevision: p.base.Revision, ToRevision: p.next.Revision, Difference: p.result.Difference.BoundedText(),
 	})
-	p.next.Retired = retire(p.base, p.next)
+	p.next.Retired = retiredParts(p.base, p.next)
 	return nil
 }
 
-// retire returns the parts that neither the next head nor the last keptRevisions
-// heads need any more, or that will become so.
-func retire(base, next *Head) []Retired {
+// retiredParts returns the parts that next doesn't use but that stay in the store
+// for older heads: those that base had retired, except the collectable ones, and
+// those that base uses and next doesn't.
+func retiredParts(base, next *Head) []Retired {
 	var retired []Retired
 	for _, r := range base.Retired {
 		if !collectable(next.Revision, r) {
@@ -171,14 +176,15 @@
 	return retired
 }
 
-// collectable reports whether none of the last keptRevisions heads uses a retired
-// part once a revision is in force.
-func collectable(inForce int64, r Retired) bool {
-	return r.Revision <= inForce-keptRevisions+1
+// collectable reports whether a retired part may be deleted once the given revision
+// is in force, because none of the last retainedRevisions heads uses it.
+func collectable(revision int64, r Retired) bool {
+	return r.Revision <= revision-retainedRevisions+1
 }
 
-// collect returns the parts that may be deleted once the next head is in force.
-func (p *Publish) collect() []Digest {
+// collectableParts returns the retired parts that may be deleted once the next head
+// is in force.
+func (p *Publish) collectableParts() []Digest {
 	var digests []Digest
 	for _, r := range p.base.Retired {
 		if collectable(p.next.Revision, r) {
@@ -193,62 +199,64 @@
 	if err != nil {
 		return p.fail("build head", err)
 	}
-	p.writes++
+	p.headWrites++
 	return []Output{WriteHead{p.version, value}}
 }
 
-func (p *Publish) headWritten(in HeadWritten) []Output {
+func (p *Publish) onHeadWritten(in HeadWritten) []Output {
 	switch {
 	case in.Outcome == WriteDone:
-		return p.accepted(p.next.Revision)
+		return p.succeed(p.next.Revision)
 	case in.Outcome == WriteNotSent && !p.uncertain:
-		return append(p.withdraw(), p.fail("write head", in.Err)...)
+		return append(p.deleteWrittenParts(), p.fail("write head", in.Err)...)
 	}
 	p.uncertain = p.uncertain || in.Outcome == WriteUnknown
-	// A conflict may be with an own write whose answer was lost.
+	// The conflict may be with an earlier write of this publish whose response was
+	// lost.
 	return []Output{ReadHead{}}
 }
 
-// readBack decides with the publish ID whether the write took effect.
-func (p *Publish) readBack(in HeadRead) []Output {
+// onHeadReadBack determines from the publish ID whether the write took effect.
+func (p *Publish) onHeadReadBack(in HeadRead) []Output {
 	if in.Err != nil || in.Head == nil {
-		return p.undecided(in.Err)
+		return p.failUnconfirmed(in.Err)
 	}
 	if entry, ok := in.Head.FindPublish(p.request.PublishID); ok {
-		return p.accepted(entry.ToRevision)
+		return p.succeed(entry.ToRevision)
 	}
-	// A read can be stale: only a version after the base proves that another
-	// change took the place of this one.
+	// A read may return stale data: only a higher store version than that of base
+	// proves that another change was published instead of this one.
 	switch {
 	case in.Version > p.version:
-		return append(p.withdraw(), Done{Err: p.conflict(in.Head)})
-	case p.writes >= maxHeadWrites:
-		return p.undecided(fmt.Errorf("%d writes were not decided", p.writes))
+		return append(p.deleteWrittenParts(), Done{Err: p.conflict(in.Head)})
+	case p.headWrites >= maxHeadWrites:
+		return p.failUnconfirmed(fmt.Errorf("%d writes of the head had an unknown outcome", p.headWrites))
 	}
 	return p.writeHead()
 }
 
-// undecided ends a publish whose head can't be read back.
-func (p *Publish) undecided(err error) []Output {
+// failUnconfirmed ends a publish when reading the head back didn't show whether the
+// write took effect.
+func (p *Publish) failUnconfirmed(err error) []Output {
 	if !p.uncertain {
-		return append(p.withdraw(), p.fail("read head after a conflict", err)...)
+		return append(p.deleteWrittenParts(), p.fail("read head after a conflict", err)...)
 	}
 	return []Output{Done{Err: &UnknownOutcomeError{p.request.PublishID, err}}}
 }
 
-// accepted ends the publish and deletes old parts.
-func (p *Publish) accepted(revision int64) []Output {
+// succeed ends a publish that took effect and deletes the collectable parts.
+func (p *Publish) succeed(revision int64) []Output {
 	p.result.Revision, p.result.Changed, p.result.Written = revision, true, len(p.parts)
 	done := Done{Result: p.result}
-	if old := p.collect(); len(old) > 0 {
-		return []Output{DeleteParts{old}, done}
+	if unused := p.collectableParts(); len(unused) > 0 {
+		return []Output{DeleteParts{unused}, done}
 	}
 	return []Output{done}
 }
 
-// withdraw deletes the parts of a publish that certainly didn't take effect. No
-// head refers to them, because their bytes hold the publish ID.
-func (p *Publish) withdraw() []Output {
+// deleteWrittenParts deletes the parts of a publish that certainly didn't take
+// effect. No head refers to them, because their content includes the publish ID.
+func (p *Publish) deleteWrittenParts() []Output {
 	digests := make([]Digest, 0, len(p.parts))
 	for digest := range p.parts {
 		digests = append(digests, digest)
