--- a/pipeline/document.go
+++ b/pipeline/document.go
@@ -15,10 +15,11 @@
 	"github.com/tailscale/hujson"
 )
 
-// path leads to a value of a document: names of fields and indices of elements.
+// path locates a value in a document by field names (string) and element indices
+// (int), from the outermost value inwards.
 type path []any
 
-// document is one file with its syntax tree, which gives positions.
+// document is one file with its syntax tree, from which positions are computed.
 type document struct {
 	file     string
 	data     []byte
@@ -28,8 +29,8 @@
 
 var syntaxPosition = regexp.MustCompile(`line (\d+), column (\d+): (.*)$`)
 
-// parseDocument reads a file, JSON with comments. A file that can't be parsed
-// has its mistake in the document.
+// parseDocument reads and parses a file (JSON with comments). A syntax error is
+// recorded in the mistakes of the document; the returned error is one of reading.
 func parseDocument(root fs.FS, file string) (*document, error) {
 	data, err := fs.ReadFile(root, file)
 	if err != nil {
@@ -52,15 +53,16 @@
 	d.mistakes = append(d.mistakes, m)
 }
 
-func (d *document) found() Mistakes {
+// mistakesFound returns the mistakes of the document; d may be nil.
+func (d *document) mistakesFound() Mistakes {
 	if d == nil {
 		return nil
 	}
 	return d.mistakes
 }
 
-// decode checks the shape of the document and fills into, which points to a
-// struct, as far as the shape allows.
+// decode checks that the document has the fields and types of the struct that into
+// points to, records the mistakes, and decodes the fields that have the right type.
 func (d *document) decode(into any) error {
 	d.checkShape(d.tree, reflect.TypeOf(into).Elem())
 	standard, err := hujson.Standardize(slices.Clone(d.data))
@@ -80,19 +82,20 @@
 	d.mistakes = append(d.mistakes, Mistake{d.file, line, column, fmt.Sprintf(format, args...)})
 }
 
-// position returns line and column of a byte offset; columns count characters.
+// position returns the line and column of a byte offset, counted from 1. Columns
+// count characters.
 func (d *document) position(offset int) (line, column int) {
 	before := string(d.data[:min(offset, len(d.data))])
 	start := strings.LastIndexByte(before, '\n') + 1
 	return strings.Count(before, "\n") + 1, utf8.RuneCountInString(before[start:]) + 1
 }
 
-// offset returns where the value at a path starts, or the nearest value around
-// it that exists.
+// offset returns the byte offset of the value at a path, or of the innermost value
+// around it that exists.
 func (d *document) offset(p path) int {
 	value := d.tree
 	for _, step := range p {
-		next, ok := child(value, step)
+		next, ok := childValue(value, step)
 		if !ok {
 			break
 		}
@@ -101,7 +104,8 @@
 	return value.StartOffset
 }
 
-func child(value hujson.Value, step any) (hujson.Value, bool) {
+// childValue returns the field or element of a value that a step of a path names.
+func childValue(value hujson.Value, step any) (hujson.Value, bool) {
 	switch composite := value.Value.(type) {
 	case *hujson.Object:
 		for _, member := range composite.Members {
@@ -117,7 +121,8 @@
 	return hujson.Value{}, false
 }
 
-// checkShape compares a value with the Go type that it is decoded into.
+// checkShape reports unknown and repeated fields and values of the wrong type; t is
+// the Go type that the value is decoded into.
 func (d *document) checkShape(value hujson.Value, t reflect.Type) {
 	switch composite := value.Value.(type) {
 	case *hujson.Object:
@@ -187,6 +192,7 @@
 	return name
 }
 
+// typeName describes the JSON type of a Go type for messages.
 func typeName(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.String:
--- a/pipeline/mistake.go
+++ b/pipeline/mistake.go
@@ -26,7 +26,7 @@
 	return fmt.Sprintf("%s:%d:%d: %s", m.File, m.Line, m.Column, m.Message)
 }
 
-// Mistakes is the error of files with at least one mistake.
+// Mistakes lists the mistakes of a set. As an error it has at least one.
 type Mistakes []Mistake
 
 func (m Mistakes) Error() string {
@@ -37,7 +37,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// sorted returns the mistakes by file and position.
+// sorted sorts the mistakes in place by file and position, and returns them.
 func (m Mistakes) sorted() Mistakes {
 	slices.SortStableFunc(m, func(a, b Mistake) int {
 		if c := strings.Compare(a.File, b.File); c != 0 {
--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -1,6 +1,6 @@
-// Package pipeline holds the typed model of the operators' files: deployments,
-// pipelines, stages, request kinds and organisations, and the rules they keep.
-// It does no I/O.
+// Package pipeline defines the configuration that operators write in files:
+// deployments, pipelines, stages, request kinds and organisations. It reads these
+// files from a file system that the caller passes and checks their rules.
 package pipeline
 
 import "time"
@@ -26,17 +26,18 @@
 	RepeatAtMostOnce Repeat = "at_most_once"
 )
 
-// Class separates short work from long work in queues and slots.
+// Class is the priority class of a request kind. It separates short from long
+// requests in queues and slots.
 type Class string
 
-// Classes, in order of precedence.
+// Classes, highest precedence first.
 const (
 	ClassInteractive Class = "interactive"
 	ClassNormal      Class = "normal"
 	ClassLong        Class = "long"
 )
 
-// Bounds on the number of stages of one pipeline.
+// Limits of the number of stages of one pipeline.
 const (
 	MinStages = 1
 	MaxStages = 6
@@ -48,21 +49,23 @@
 	Type StageType `json:"type"`
 	// Pool names the pool of backend servers that serve the stage.
 	Pool string `json:"pool"`
-	// Model is the model an engine must have loaded; empty for other stage types.
+	// Model is the model that an engine must have loaded; it is set only for stages
+	// of type StageGenerate.
 	Model string `json:"model,omitempty"`
 	// After lists the stages whose results this stage reads. Empty means the
-	// preceding stage of the file, or the caller's body for the first one.
+	// preceding stage of the file, or the body of the request for the first stage.
 	After []string `json:"after,omitempty"`
-	// Once marks a call that must not be sent twice.
+	// Once marks a stage whose call must not be sent twice.
 	Once bool `json:"once,omitempty"`
-	// MaxAnswerBytes bounds the stage's result; 0 means DefaultMaxAnswerBytes.
+	// MaxAnswerBytes limits the size of the stage's result; 0 means
+	// DefaultMaxAnswerBytes.
 	MaxAnswerBytes int64 `json:"max_answer_bytes,omitempty"`
 }
 
-// DefaultMaxAnswerBytes bounds the result of a stage that sets no bound.
+// DefaultMaxAnswerBytes is the size limit of the result of a stage that sets none.
 const DefaultMaxAnswerBytes int64 = 16 << 20
 
-// AnswerLimit returns the bound on the stage's result in bytes.
+// AnswerLimit returns the size limit of the stage's result in bytes.
 func (s Stage) AnswerLimit() int64 {
 	if s.MaxAnswerBytes == 0 {
 		return DefaultMaxAnswerBytes
@@ -70,12 +73,12 @@
 	return s.MaxAnswerBytes
 }
 
-// Cost bounds what one request may use.
+// Cost limits the resources that one request may use.
 type Cost struct {
-	// Tokens bounds the generated tokens; 0 means no bound.
+	// Tokens limits the number of generated tokens; 0 means no limit.
 	Tokens int `json:"tokens,omitempty"`
-	// LinkBytes bounds the bytes sent and received over the link between
-	// regions; 0 means that the request stays in its region.
+	// LinkBytes limits the bytes sent and received over the link between regions; 0
+	// means that the request stays in its region.
 	LinkBytes int64 `json:"link_bytes,omitempty"`
 }
 
@@ -85,20 +88,21 @@
 	Repeat Repeat `json:"repeat"`
 	Class  Class  `json:"class"`
 	// MaxWaitMS is the longest deadline in milliseconds, and the deadline of a
-	// request that names none.
+	// request that sets none.
 	MaxWaitMS int64 `json:"max_wait_ms"`
 	// Priority orders requests of one class; a higher one goes first.
 	Priority int  `json:"priority,omitempty"`
 	Cost     Cost `json:"cost"`
-	// Durable kinds are accepted only with a record in the store and may be
-	// fetched later.
+	// Durable requests are accepted only after they are recorded in the store; their
+	// results may be fetched later.
 	Durable bool `json:"durable,omitempty"`
-	// RetentionMS is how long the answer to an idempotency key, or of a durable
-	// request, is kept; 0 means DefaultRetention.
+	// RetentionMS is the time in milliseconds for which the response to a request
+	// with an idempotency key, or the result of a durable request, is kept; 0 means
+	// DefaultRetention.
 	RetentionMS int64 `json:"retention_ms,omitempty"`
 }
 
-// DefaultRetention is how long recorded answers are kept.
+// DefaultRetention is the time for which responses are kept by default.
 const DefaultRetention = time.Hour
 
 // MaxWait returns the longest deadline of the kind.
@@ -106,7 +110,7 @@
 	return time.Duration(k.MaxWaitMS) * time.Millisecond
 }
 
-// Retention returns how long recorded answers of the kind are kept.
+// Retention returns the time for which responses to requests of the kind are kept.
 func (k Kind) Retention() time.Duration {
 	if k.RetentionMS == 0 {
 		return DefaultRetention
@@ -114,12 +118,12 @@
 	return time.Duration(k.RetentionMS) * time.Millisecond
 }
 
-// AtMostOnce reports whether a request of the kind must never run twice.
+// AtMostOnce reports whether a request of the kind must not run twice.
 func (k Kind) AtMostOnce() bool {
 	return k.Repeat == RepeatAtMostOnce
 }
 
-// Pipeline is a named chain of stages and the request kinds that use it.
+// Pipeline is a named graph of stages and the request kinds that use it.
 type Pipeline struct {
 	Name   string  `json:"pipeline"`
 	Stages []Stage `json:"stages"`
@@ -136,18 +140,18 @@
 	return Kind{}, false
 }
 
-// Organisation is a customer and its share of the system.
+// Organisation is a customer with its rate limit and its share under contention.
 type Organisation struct {
 	Name string `json:"name"`
 	// RequestsPerSecond is the sustained rate; 0 means no limit of its own.
 	RequestsPerSecond float64 `json:"requests_per_second,omitempty"`
-	// Burst is the number of requests above the rate that may come at once.
+	// Burst is the number of requests above the rate that may arrive at once.
 	Burst int `json:"burst,omitempty"`
-	// Weight is the organisation's share under contention; 0 means 1.
+	// Weight is the organisation's relative share under contention; 0 means 1.
 	Weight int `json:"weight,omitempty"`
 }
 
-// Region is a group of failure domains with short delays between them.
+// Region is a group of failure domains with low network latency between them.
 type Region struct {
 	Name           string   `json:"name"`
 	FailureDomains []string `json:"failure_domains"`
@@ -161,17 +165,18 @@
 	Slots int `json:"slots"`
 	// Models lists what each engine of the pool must have loaded.
 	Models []string `json:"models,omitempty"`
-	// FencesOrders is true when the engines refuse orders with an old fencing number.
+	// FencesOrders is true when the engines refuse orders with an old fencing token.
 	FencesOrders bool `json:"fences_orders,omitempty"`
 }
 
-// Deployment describes what pipelines share.
+// Deployment describes the regions, pools, organisations and limits that all
+// pipelines share.
 type Deployment struct {
 	Name    string   `json:"deployment"`
 	Regions []Region `json:"regions"`
 	Pools   []Pool   `json:"pools"`
-	// StoreRegion is the region in which the key-value service stands; empty when
-	// it is as near to every region.
+	// StoreRegion is the region of the key-value service; empty when the service is
+	// equally near to every region.
 	StoreRegion string `json:"store_region,omitempty"`
 	// LinkMbits is the capacity of the link between regions, each way, in megabits per second.
 	LinkMbits float64 `json:"link_mbits"`
@@ -188,8 +193,8 @@
 	organisations map[string]int
 }
 
-// Index prepares lookups of organisations. Call it after the last change and
-// before the set is shared between goroutines.
+// Index builds the index that Organisation uses. Call it after the last change to
+// the set and before the set is shared between goroutines.
 func (s *Set) Index() {
 	s.organisations = make(map[string]int, len(s.Deployment.Organisations))
 	for i, organisation := range s.Deployment.Organisations {
--- a/pipeline/order.go
+++ b/pipeline/topology.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// CycleError reports stages that wait for each other.
+// CycleError reports stages whose dependencies form a cycle.
 type CycleError struct {
 	Pipeline string
 	Stages   []string
@@ -12,8 +12,8 @@
 	return fmt.Sprintf("pipeline %q: stages %q form a cycle", e.Pipeline, e.Stages)
 }
 
-// Predecessors returns the names of the stages whose results stage i reads. It
-// is empty for a stage that reads the caller's body.
+// Predecessors returns the names of the stages whose results stage i reads. It is
+// empty for a stage that reads the body of the request.
 func (p *Pipeline) Predecessors(i int) []string {
 	if len(p.Stages[i].After) > 0 {
 		return p.Stages[i].After
@@ -24,15 +24,15 @@
 	return []string{p.Stages[i-1].Name}
 }
 
-// TopologicalOrder returns indices of the stages so that each stage follows its
-// predecessors. It returns a *CycleError when there is no such order.
+// TopologicalOrder returns the indices of the stages, sorted so that each stage
+// follows its predecessors. It returns a *CycleError when there is no such order.
 func (p *Pipeline) TopologicalOrder() ([]int, error) {
 	done := make(map[string]bool, len(p.Stages))
 	order := make([]int, 0, len(p.Stages))
 	for len(order) < len(p.Stages) {
 		next, ok := p.nextReady(done)
 		if !ok {
-			return nil, &CycleError{Pipeline: p.Name, Stages: p.missing(done)}
+			return nil, &CycleError{Pipeline: p.Name, Stages: p.remaining(done)}
 		}
 		done[p.Stages[next].Name] = true
 		order = append(order, next)
@@ -59,7 +59,8 @@
 	return true
 }
 
-func (p *Pipeline) missing(done map[string]bool) []string {
+// remaining returns the names of the stages that are not done.
+func (p *Pipeline) remaining(done map[string]bool) []string {
 	var names []string
 	for _, stage := range p.Stages {
 		if !done[stage.Name] {
--- a/pipeline/order_test.go
+++ b/pipeline/topology_test.go
@@ -8,7 +8,7 @@
 )
 
 // Guards against a stage that runs before the stages whose results it reads.
-func TestOrderFollowsPredecessors(t *testing.T) {
+func TestTopologicalOrderFollowsPredecessors(t *testing.T) {
 	c := qt.New(t)
 	p := Pipeline{Name: "p", Stages: []Stage{
 		{Name: "answer", After: []string{"rank", "fetch"}},
@@ -17,7 +17,7 @@
 		{Name: "encode"},
 	}}
 	p.Stages[3].After = nil
-	// The last stage of the file reads its neighbour unless it says otherwise.
+	// A stage without After reads the preceding stage, here "fetch".
 	_, err := p.TopologicalOrder()
 	var cycle *CycleError
 	c.Assert(errors.As(err, &cycle), qt.IsTrue)
--- a/pipeline/validate.go
+++ b/pipeline/validate.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// MaxFileBytes bounds one pipeline file: a published pipeline is one part of
-// the configuration and parts hold at most 512 KB.
+// MaxFileBytes is the size limit of one pipeline file: a published pipeline is one
+// part of the configuration, and a part has at most 512 KB.
 const MaxFileBytes = 512 << 10
 
 // maxNameLength keeps names short enough for store keys and heartbeats.
@@ -18,8 +18,8 @@
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
 
-// Check reads the operators' files below a root and returns the set together
-// with every mistake in it. The error says that the files couldn't be read.
+// Check reads the deployment file and the pipeline files below a root. It returns
+// the set with all its mistakes, or an error if the files couldn't be read.
 func Check(root fs.FS) (*Set, Mistakes, error) {
 	v, err := readFiles(root)
 	if err != nil {
@@ -28,26 +28,28 @@
 	return v.set, v.check(), nil
 }
 
-// Validate returns every mistake of a set that was not read from files.
+// Validate returns all mistakes of a set that was not read from files.
 func Validate(set *Set) Mistakes {
-	return (&validator{set: set, unlocated: true}).check()
+	return (&validator{set: set, noFiles: true}).check()
 }
 
 // validator collects the mistakes of one set.
 type validator struct {
 	set *Set
-	// unlocated is true when the set has no files.
-	unlocated  bool
+	// noFiles is true when the set was not read from files.
+	noFiles    bool
 	deployment *document
 	// pipelines holds the documents of set.Pipelines, with the same indices.
 	pipelines []*document
-	// broken holds documents that couldn't be parsed.
-	broken   []*document
+	// unusable holds documents that couldn't be parsed, and surplus deployment files.
+	unusable []*document
 	mistakes Mistakes
-	pools    map[string]Pool
+	// pools holds the pools by name; nil if the deployment was not checked.
+	pools map[string]Pool
 }
 
-func (v *validator) read(root fs.FS, path, name string) error {
+// readFile reads a deployment or pipeline file and ignores other files.
+func (v *validator) readFile(root fs.FS, path, name string) error {
 	isPipeline := strings.HasSuffix(name, PipelineSuffix)
 	if name != DeploymentFile && !isPipeline {
 		return nil
@@ -58,13 +60,13 @@
 	}
 	switch {
 	case len(d.mistakes) > 0:
-		v.broken = append(v.broken, d)
+		v.unusable = append(v.unusable, d)
 		return nil
 	case isPipeline:
 		return v.readPipeline(d)
 	case v.deployment != nil:
 		d.report(0, "second deployment file, expected only %s", v.deployment.file)
-		v.broken = append(v.broken, d)
+		v.unusable = append(v.unusable, d)
 		return nil
 	}
 	v.deployment = d
@@ -84,20 +86,20 @@
 	return nil
 }
 
-// fileMistakes returns the mistakes of syntax and shape of the files.
+// fileMistakes returns the mistakes in the syntax, fields and types of the files.
 func (v *validator) fileMistakes() (mistakes Mistakes) {
-	for _, d := range append(append(v.broken, v.pipelines...), v.deployment) {
-		mistakes = append(mistakes, d.found()...)
+	for _, d := range append(append(v.unusable, v.pipelines...), v.deployment) {
+		mistakes = append(mistakes, d.mistakesFound()...)
 	}
 	return mistakes
 }
 
-// check runs every rule and returns the mistakes by position.
+// check applies all rules and returns the mistakes, sorted by file and position.
 func (v *validator) check() Mistakes {
 	v.mistakes = v.fileMistakes()
-	if v.unlocated || v.deployment != nil {
+	if v.noFiles || v.deployment != nil {
 		v.checkDeployment()
-	} else if !slices.ContainsFunc(v.broken, func(d *document) bool { return strings.HasSuffix(d.file, DeploymentFile) }) {
+	} else if !slices.ContainsFunc(v.unusable, func(d *document) bool { return strings.HasSuffix(d.file, DeploymentFile) }) {
 		v.mistakes = append(v.mistakes, Mistake{File: DeploymentFile, Message: "file is missing, expected one deployment file"})
 	}
 	v.checkPipelines()
@@ -105,87 +107,90 @@
 	return v.mistakes.sorted()
 }
 
-// deploymentFile stands for the deployment in place of a pipeline's index.
-const deploymentFile = -1
+// deploymentIndex identifies the deployment file where pipeline files are identified
+// by their index in Set.Pipelines.
+const deploymentIndex = -1
 
-// report adds a mistake at a path of a pipeline's file or of the deployment file.
-// A value that already has a mistake gets no second one.
-func (v *validator) report(file int, at path, format string, args ...any) {
+// report adds a mistake at a path of a pipeline file or of the deployment file. It
+// does nothing if the value already has a mistake in its syntax or type.
+func (v *validator) report(fileIndex int, at path, format string, args ...any) {
 	m := Mistake{Message: fmt.Sprintf(format, args...)}
-	d := v.document(file)
+	d := v.document(fileIndex)
 	if d == nil {
-		m.Message = v.where(file, at) + m.Message
+		m.Message = v.describePath(fileIndex, at) + m.Message
 		v.mistakes = append(v.mistakes, m)
 		return
 	}
 	m.File = d.file
 	m.Line, m.Column = d.position(d.offset(at))
-	known := func(other Mistake) bool {
+	atSamePosition := func(other Mistake) bool {
 		return other.File == m.File && other.Line == m.Line && other.Column == m.Column && other.Message != m.Message
 	}
-	if slices.ContainsFunc(d.mistakes, known) {
+	if slices.ContainsFunc(d.mistakes, atSamePosition) {
 		return
 	}
 	v.mistakes = append(v.mistakes, m)
 }
 
-func (v *validator) document(file int) *document {
+// document returns the document of a file, nil when the set has no files.
+func (v *validator) document(fileIndex int) *document {
 	switch {
-	case v.unlocated:
+	case v.noFiles:
 		return nil
-	case file == deploymentFile:
+	case fileIndex == deploymentIndex:
 		return v.deployment
 	}
-	return v.pipelines[file]
+	return v.pipelines[fileIndex]
 }
 
-// where describes a path for a set without files.
-func (v *validator) where(file int, at path) string {
-	if file == deploymentFile {
+// describePath describes a path in messages about a set without files.
+func (v *validator) describePath(fileIndex int, at path) string {
+	if fileIndex == deploymentIndex {
 		return fmt.Sprintf("deployment %v: ", []any(at))
 	}
-	return fmt.Sprintf("pipeline %q %v: ", v.set.Pipelines[file].Name, []any(at))
+	return fmt.Sprintf("pipeline %q %v: ", v.set.Pipelines[fileIndex].Name, []any(at))
 }
 
 // checkName reports an empty, oversized or malformed name.
-func (v *validator) checkName(file int, at path, what, name string) {
+func (v *validator) checkName(fileIndex int, at path, what, name string) {
 	switch {
 	case name == "":
-		v.report(file, at, "%s has no name, expected 1 to %d characters", what, maxNameLength)
+		v.report(fileIndex, at, "%s has no name, expected 1 to %d characters", what, maxNameLength)
 	case len(name) > maxNameLength:
-		v.report(file, at, "name of %s has %d characters, expected at most %d", what, len(name), maxNameLength)
+		v.report(fileIndex, at, "name of %s has %d characters, expected at most %d", what, len(name), maxNameLength)
 	case !namePattern.MatchString(name):
-		v.report(file, at, "name %q of %s is malformed, expected letters, digits, '.', '_' and '-'", name, what)
+		v.report(fileIndex, at, "name %q of %s is malformed, expected letters, digits, '.', '_' and '-'", name, what)
 	}
 }
 
-// checkUnique reports a name that an earlier object of the same sort has.
-func (v *validator) checkUnique(file int, at path, what, name string, seen map[string]bool) {
+// checkUnique reports a name that an earlier object of the same type has, and adds
+// the name to seen.
+func (v *validator) checkUnique(fileIndex int, at path, what, name string, seen map[string]bool) {
 	if seen[name] && name != "" {
-		v.report(file, at, "%s %q is defined twice, expected unique names", what, name)
+		v.report(fileIndex, at, "%s %q is defined twice, expected unique names", what, name)
 	}
 	seen[name] = true
 }
 
-// number is any type of a limit.
+// number is the type constraint of values with limits.
 type number interface{ ~int | ~int64 | ~float64 }
 
-func checkRange[T number](v *validator, file int, at path, value, low, high T) {
+func checkRange[T number](v *validator, fileIndex int, at path, value, low, high T) {
 	switch {
 	case value < low:
-		v.report(file, at, "%v is %v, expected at least %v", at[len(at)-1], value, low)
+		v.report(fileIndex, at, "%v is %v, expected at least %v", at[len(at)-1], value, low)
 	case value > high:
-		v.report(file, at, "%v is %v, expected at most %v", at[len(at)-1], value, high)
+		v.report(fileIndex, at, "%v is %v, expected at most %v", at[len(at)-1], value, high)
 	}
 }
 
-func checkEnum[T ~string](v *validator, file int, at path, value T, allowed ...T) {
+func checkEnum[T ~string](v *validator, fileIndex int, at path, value T, allowed ...T) {
 	if !slices.Contains(allowed, value) {
-		v.report(file, at, "unknown %v %q, expected one of %v", at[len(at)-1], value, allowed)
+		v.report(fileIndex, at, "unknown %v %q, expected one of %v", at[len(at)-1], value, allowed)
 	}
 }
 
-// knownNames lists names for a message, at most a few of them.
+// knownNames lists the sorted names for a message, at most the first ten of them.
 func knownNames[T any](names map[string]T) string {
 	const shown = 10
 	sorted := slices.Sorted(maps.Keys(names))
--- a/pipeline/validate_test.go
+++ b/pipeline/validate_test.go
@@ -26,8 +26,8 @@
 	return set, mistakes
 }
 
-// Guards against a mistake that publish lets through, or that is reported at
-// another place than where it was made.
+// Guards against a mistake that is not reported, or that is reported at the wrong
+// position.
 func TestEachMistakeIsReportedWithPosition(t *testing.T) {
 	tests := []struct{ old, new, want string }{
 		{`"organisations": [`, `"store_region": "x", "organisations": [`, `deployment.jsonc:3:17: store region "x" does not exist, expected the name of a region`},
@@ -81,7 +81,7 @@
 	return set
 }
 
-// Guards against a lookup that walks all organisations for each request.
+// Guards against a lookup that scans all organisations for each request.
 func BenchmarkOrganisationLookup(b *testing.B) {
 	set := largeSet(19000)
 	set.Index()
