--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -6,36 +6,37 @@
 	"time"
 )
 
-// Gateway is the settings file of a gateway.
+// Gateway holds the settings of a gateway.
 type Gateway struct {
 	// Instance is the unique name of the instance.
 	Instance      string `json:"instance"`
 	Region        string `json:"region"`
 	FailureDomain string `json:"failure_domain"`
-	// Regions names the region of each failure domain.
+	// Regions maps each failure domain to its region.
 	Regions map[string]string `json:"regions"`
-	// ClientAddress serves clients, IP number and port.
+	// ClientAddress is the address (IP and port) on which the gateway serves clients.
 	ClientAddress string `json:"client_address"`
-	// ReadyAddress serves readiness.
+	// ReadyAddress is the address on which the gateway serves readiness.
 	ReadyAddress string `json:"ready_address"`
-	// PeerAddress serves other instances, TCP and UDP on the same port.
+	// PeerAddress is the address on which the gateway serves other instances, with
+	// TCP and UDP on the same port.
 	PeerAddress string `json:"peer_address"`
-	// MetricsAddress serves metrics.
+	// MetricsAddress is the address on which the gateway serves metrics.
 	MetricsAddress string `json:"metrics_address"`
-	// StoreAddress is the platform's key-value service.
+	// StoreAddress is the address of the platform's key-value service.
 	StoreAddress string `json:"store_address"`
-	// Peers lists peer addresses that are tried before others are known.
+	// Peers lists peer addresses to use before others are known.
 	Peers []string `json:"peers,omitempty"`
 	// GraceSeconds is the time from SIGTERM to SIGKILL.
 	GraceSeconds float64 `json:"grace_seconds,omitempty"`
-	// RetryRatio and RetrySlack bound the repeats that all instances together send
-	// to a service within RetryWindowSeconds: ratio x requests + slack.
+	// RetryRatio and RetrySlack limit the retries that all instances together send to
+	// a service within RetryWindowSeconds to ratio x requests + slack.
 	RetryRatio         float64 `json:"retry_ratio,omitempty"`
 	RetrySlack         float64 `json:"retry_slack,omitempty"`
 	RetryWindowSeconds float64 `json:"retry_window_seconds,omitempty"`
 }
 
-// defaultGateway has the settings that a file may lack.
+// defaultGateway holds the defaults of optional settings.
 var defaultGateway = Gateway{GraceSeconds: 8, RetryRatio: 0.1, RetrySlack: 20, RetryWindowSeconds: 10}
 
 // Grace returns the time from SIGTERM to SIGKILL.
@@ -43,8 +44,8 @@
 	return time.Duration(g.GraceSeconds * float64(time.Second))
 }
 
-// ReadGateway reads and checks the settings file of a gateway. It returns a
-// *MistakesError that lists every mistake when the file can be read.
+// ReadGateway reads and checks the settings file of a gateway. If the file can be
+// read but has mistakes, the error is a *MistakesError that lists all of them.
 func ReadGateway(path string) (Gateway, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -53,23 +54,23 @@
 	return ParseGateway(path, data)
 }
 
-// ParseGateway checks the text of a gateway's settings file. Path names it in
-// messages.
+// ParseGateway parses and checks the settings file of a gateway. The path is only
+// used in messages. The error is a *MistakesError.
 func ParseGateway(path string, data []byte) (Gateway, error) {
 	gateway := defaultGateway
 	c := newChecker(data, &gateway)
 	if root, ok := c.parse(); ok {
-		c.required(root, "instance", "region", "failure_domain", "client_address", "ready_address", "peer_address",
+		c.checkRequired(root, "instance", "region", "failure_domain", "client_address", "ready_address", "peer_address",
 			"metrics_address", "store_address")
-		c.notEmpty("instance")
-		c.addresses("client_address", "ready_address", "peer_address", "metrics_address", "store_address")
-		c.positive("grace_seconds", gateway.GraceSeconds)
-		c.positive("retry_window_seconds", gateway.RetryWindowSeconds)
+		c.checkNotEmpty("instance")
+		c.checkAddresses("client_address", "ready_address", "peer_address", "metrics_address", "store_address")
+		c.checkPositive("grace_seconds", gateway.GraceSeconds)
+		c.checkPositive("retry_window_seconds", gateway.RetryWindowSeconds)
 	}
-	return gateway, c.result(path)
+	return gateway, c.err(path)
 }
 
-func (c *checker) positive(name string, value float64) {
+func (c *checker) checkPositive(name string, value float64) {
 	if given, ok := c.values[name]; ok && value <= 0 {
 		c.addAt(given.StartOffset, "setting %q must be above 0", name)
 	}
--- a/internal/settings/gateway_test.go
+++ b/internal/settings/gateway_test.go
@@ -14,9 +14,8 @@
   "grace_seconds": 8, "retry_ratio": 0.2, "retry_slack": 58, "retry_window_seconds": 10,
 }`
 
-// Guards against a settings file whose mistakes are found one at a time, or not at
-// all.
-func TestGatewaySettings(t *testing.T) {
+// Guards against mistakes that are reported one at a time, or not at all.
+func TestGatewayMistakesAreReportedTogether(t *testing.T) {
 	c := qt.New(t)
 	read, err := ParseGateway("f", []byte(gatewayText))
 	c.Assert(err, qt.IsNil)
@@ -31,8 +30,9 @@
 	c.Assert(err, qt.ErrorAs, &mistakes)
 }
 
-// Guards against a gateway that does not start where the platform states no bounds.
-func TestGatewayDefaults(t *testing.T) {
+// Guards against a gateway that does not start when the platform leaves out the
+// optional settings.
+func TestGatewayDefaultsApplyToMissingSettings(t *testing.T) {
 	c := qt.New(t)
 	from := strings.Index(gatewayText, `"grace_seconds"`)
 	read, err := ParseGateway("f", []byte(gatewayText[:from]+"}"))
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings file of an entry instance, JSON with
-// comments.
+// Package settings reads and checks the settings files of entry instances and
+// gateways (JSON with comments).
 package settings
 
 import (
@@ -8,42 +8,45 @@
 	"time"
 )
 
-// Entry is the settings file of an entry instance.
+// Entry holds the settings of an entry instance.
 type Entry struct {
 	// Instance is the unique name of the instance.
 	Instance      string `json:"instance"`
 	Region        string `json:"region"`
 	FailureDomain string `json:"failure_domain"`
-	// CallerAddress serves callers, IP number and port.
+	// CallerAddress is the address (IP and port) on which the instance serves clients.
 	CallerAddress string `json:"caller_address"`
-	// PeerAddress serves other instances, TCP and UDP on the same port.
+	// PeerAddress is the address on which the instance serves other instances, with
+	// TCP and UDP on the same port.
 	PeerAddress string `json:"peer_address"`
-	// AdvertiseAddress is the address at which other instances reach PeerAddress when
-	// it is another one, for example behind address translation.
+	// AdvertiseAddress is the address at which other instances reach this one, if it
+	// differs from PeerAddress, for example behind address translation.
 	AdvertiseAddress string `json:"advertise_address,omitempty"`
-	// AdminAddress serves health, readiness, metrics and status.
+	// AdminAddress is the address on which the instance serves health, readiness,
+	// metrics and status.
 	AdminAddress string `json:"admin_address"`
-	// StoreAddress is the platform's key-value service.
+	// StoreAddress is the address of the platform's key-value service.
 	StoreAddress string `json:"store_address"`
-	// PlatformAddress is the platform's instance list.
+	// PlatformAddress is the address of the platform's instance list.
 	PlatformAddress string `json:"platform_address"`
-	// Peers lists peer addresses that are tried before the instance list is known.
+	// Peers lists peer addresses to use before the instance list is known.
 	Peers []string `json:"peers,omitempty"`
-	// PipelineFiles is a folder of operators' files that is used until the store
-	// holds a configuration; empty to wait for the store.
+	// PipelineFiles is the folder of operators' files to use while the store holds no
+	// configuration; if empty, the instance waits for a configuration in the store.
 	PipelineFiles string `json:"pipeline_files,omitempty"`
-	// LinkInstances is the number of entry instances of a region among which the
-	// link budget is divided, at the least; 0 means DefaultLinkInstances.
+	// LinkInstances is the minimum number of entry instances of a region among which
+	// the link budget is divided; 0 means DefaultLinkInstances.
 	LinkInstances int `json:"link_instances,omitempty"`
-	// DrainGraceMS is the time in milliseconds between the withdrawal of readiness and
-	// the end of new work; 0 means DefaultDrainGrace.
+	// DrainGraceMS is the time in milliseconds for which a draining instance still
+	// accepts requests after it has reported that it is not ready; 0 means
+	// DefaultDrainGrace.
 	DrainGraceMS int64 `json:"drain_grace_ms,omitempty"`
-	// ShutdownDeadlineMS bounds a graceful shutdown in milliseconds; 0 means the
-	// longest deadline of any kind in force and a margin.
+	// ShutdownDeadlineMS limits the duration of a graceful shutdown in milliseconds;
+	// 0 means the longest deadline of all kinds in force, plus a margin.
 	ShutdownDeadlineMS int64 `json:"shutdown_deadline_ms,omitempty"`
 }
 
-// AdvertisedPeerAddress returns the address that other instances are told.
+// AdvertisedPeerAddress returns the address at which other instances reach this one.
 func (e Entry) AdvertisedPeerAddress() string {
 	if e.AdvertiseAddress != "" {
 		return e.AdvertiseAddress
@@ -51,10 +54,12 @@
 	return e.PeerAddress
 }
 
-// DefaultDrainGrace lets a balancer that polls readiness every second see it withdrawn.
+// DefaultDrainGrace gives a load balancer that polls readiness every second time to
+// observe that the instance is not ready.
 const DefaultDrainGrace = 2 * time.Second
 
-// DrainGrace returns the time between the withdrawal of readiness and the end of new work.
+// DrainGrace returns the time for which a draining instance still accepts requests
+// after it has reported that it is not ready.
 func (e Entry) DrainGrace() time.Duration {
 	if e.DrainGraceMS == 0 {
 		return DefaultDrainGrace
@@ -62,14 +67,14 @@
 	return time.Duration(e.DrainGraceMS) * time.Millisecond
 }
 
-// ShutdownDeadline returns the bound on a graceful shutdown, or false when the
-// configuration in force determines it.
+// ShutdownDeadline returns the time limit of a graceful shutdown, or false when it
+// depends on the configuration in force.
 func (e Entry) ShutdownDeadline() (time.Duration, bool) {
 	return time.Duration(e.ShutdownDeadlineMS) * time.Millisecond, e.ShutdownDeadlineMS != 0
 }
 
-// Read reads and checks a settings file. It returns a *MistakesError that lists
-// every mistake when the file can be read.
+// Read reads and checks the settings file of an entry instance. If the file can be
+// read but has mistakes, the error is a *MistakesError that lists all of them.
 func Read(path string) (Entry, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -78,10 +83,11 @@
 	return Parse(path, data)
 }
 
-// DefaultLinkInstances is enough for regions of the current size.
+// DefaultLinkInstances is large enough for regions of the current size.
 const DefaultLinkInstances = 8
 
-// MinLinkInstances returns the least number of instances that share the link.
+// MinLinkInstances returns the minimum number of entry instances of a region among
+// which the link budget is divided.
 func (e Entry) MinLinkInstances() int {
 	if e.LinkInstances <= 0 {
 		return DefaultLinkInstances
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -14,8 +14,8 @@
 	"github.com/tailscale/hujson"
 )
 
-// shutdownMarginMS is what the default shutdown deadline adds to the longest
-// request. A longer drain grace would cut requests off.
+// shutdownMarginMS is the time in milliseconds that the default shutdown deadline
+// adds to the longest request deadline. A longer drain grace would abort requests.
 const shutdownMarginMS = 5000
 
 // Mistake is one mistake in a settings file.
@@ -40,43 +40,46 @@
 	return strings.Join(lines, "\n")
 }
 
-// Parse checks the text of a settings file. Path names it in messages.
+// Parse parses and checks the settings file of an entry instance. The path is only
+// used in messages. The error is a *MistakesError.
 func Parse(path string, data []byte) (Entry, error) {
 	var entry Entry
 	c := newChecker(data, &entry)
 	if root, ok := c.parse(); ok {
-		c.rules(root, entry)
+		c.checkEntry(root, entry)
 	}
-	return entry, c.result(path)
+	return entry, c.err(path)
 }
 
-// newChecker returns a checker that fills the fields of into, a pointer to a
-// struct.
+// newChecker returns a checker that decodes data into the struct that into points
+// to.
 func newChecker(data []byte, into any) *checker {
 	return &checker{data: data, fields: fieldsByName(into), values: map[string]hujson.Value{}}
 }
 
-// parse reads the file and reports whether its syntax is right.
+// parse parses and decodes the file. It returns false if the syntax is wrong.
 func (c *checker) parse() (root hujson.Value, ok bool) {
 	root, err := hujson.Parse(c.data)
 	if err != nil {
-		c.syntax(err)
+		c.addSyntaxError(err)
 		return root, false
 	}
-	c.object(root)
+	c.decodeObject(root)
 	return root, true
 }
 
 // checker collects the mistakes of one file.
 type checker struct {
 	data []byte
-	// fields are pointers to the fields by their JSON names.
-	fields   map[string]any
+	// fields holds pointers to the fields of the struct by their JSON names.
+	fields map[string]any
+	// values holds the values that the file gives, by their JSON names.
 	values   map[string]hujson.Value
 	mistakes []Mistake
 }
 
-func (c *checker) result(path string) error {
+// err returns the mistakes, sorted by position, as a *MistakesError, or nil.
+func (c *checker) err(path string) error {
 	if len(c.mistakes) == 0 {
 		return nil
 	}
@@ -96,8 +99,8 @@
 	})
 }
 
-// syntax adds an error of the parser, whose text begins with its position.
-func (c *checker) syntax(err error) {
+// addSyntaxError adds an error of the parser. Its text begins with the position.
+func (c *checker) addSyntaxError(err error) {
 	m := Mistake{Line: 1, Column: 1, Message: err.Error()}
 	var line, column int
 	if n, _ := fmt.Sscanf(m.Message, "hujson: line %d, column %d:", &line, &column); n == 2 {
@@ -106,8 +109,8 @@
 	c.mistakes = append(c.mistakes, m)
 }
 
-// object reads the members of the file into the entry.
-func (c *checker) object(root hujson.Value) {
+// decodeObject decodes the members of the file into the fields of the struct.
+func (c *checker) decodeObject(root hujson.Value) {
 	object, ok := root.Value.(*hujson.Object)
 	if !ok {
 		c.addAt(root.StartOffset, "the file must hold an object")
@@ -124,7 +127,7 @@
 			c.addAt(member.Name.StartOffset, "setting %q is given twice", name)
 		default:
 			c.values[name] = member.Value
-			c.decode(name, member.Value, field)
+			c.decodeValue(name, member.Value, field)
 		}
 	}
 }
@@ -140,7 +143,8 @@
 	return fields
 }
 
-func (c *checker) decode(name string, value hujson.Value, into any) {
+// decodeValue decodes one value and reports a value of the wrong type.
+func (c *checker) decodeValue(name string, value hujson.Value, into any) {
 	standard := value.Clone()
 	standard.Standardize()
 	err := json.Unmarshal(standard.Pack(), into)
@@ -153,21 +157,21 @@
 	}
 }
 
-// rules checks the values.
-func (c *checker) rules(root hujson.Value, entry Entry) {
-	c.required(root, "instance", "region", "failure_domain", "caller_address", "admin_address", "platform_address")
+// checkEntry checks the settings of an entry instance.
+func (c *checker) checkEntry(root hujson.Value, entry Entry) {
+	c.checkRequired(root, "instance", "region", "failure_domain", "caller_address", "admin_address", "platform_address")
 	for _, name := range []string{"instance", "region", "failure_domain"} {
-		c.notEmpty(name)
+		c.checkNotEmpty(name)
 	}
 	if entry.StoreAddress == "" && entry.PipelineFiles == "" {
 		c.addAt(root.StartOffset, "one of \"store_address\" and \"pipeline_files\" is needed")
 	}
-	c.addresses("caller_address", "peer_address", "advertise_address", "admin_address", "store_address", "platform_address")
-	c.limits(entry)
+	c.checkAddresses("caller_address", "peer_address", "advertise_address", "admin_address", "store_address", "platform_address")
+	c.checkShutdownTimes(entry)
 }
 
-// required checks that settings are given.
-func (c *checker) required(root hujson.Value, names ...string) {
+// checkRequired reports settings that are missing.
+func (c *checker) checkRequired(root hujson.Value, names ...string) {
 	for _, name := range names {
 		if _, given := c.values[name]; !given {
 			c.addAt(root.StartOffset, "setting %q is missing", name)
@@ -175,57 +179,58 @@
 	}
 }
 
-func (c *checker) notEmpty(name string) {
+func (c *checker) checkNotEmpty(name string) {
 	value, given := c.values[name]
 	if literal, ok := value.Value.(hujson.Literal); given && ok && literal.String() == "" {
 		c.addAt(value.StartOffset, "setting %q is empty", name)
 	}
 }
 
-// addresses checks the form of all addresses and that none is used twice. Only
+// checkAddresses checks the format of all addresses and that no two settings have
+// the same address. Only store_address and platform_address may be equal, because
 // the platform may serve its store and its instance list at one address.
-func (c *checker) addresses(names ...string) {
-	taken := map[netip.AddrPort]string{}
+func (c *checker) checkAddresses(names ...string) {
+	settingByAddress := map[netip.AddrPort]string{}
 	for _, name := range names {
 		value, given := c.values[name]
 		if !given {
 			continue
 		}
-		address, ok := c.address(name, value)
+		address, ok := c.checkAddress(name, value)
 		if !ok {
 			continue
 		}
-		other, twice := taken[address]
+		other, twice := settingByAddress[address]
 		if twice && !(name == "platform_address" && other == "store_address") {
 			c.addAt(value.StartOffset, "setting %q has the same address as %q", name, other)
 		}
-		taken[address] = name
+		settingByAddress[address] = name
 	}
-	c.peers()
+	c.checkPeers()
 }
 
-// address reads an IP number with a port other than 0.
-func (c *checker) address(name string, value hujson.Value) (netip.AddrPort, bool) {
+// checkAddress parses an IP address with a port other than 0.
+func (c *checker) checkAddress(name string, value hujson.Value) (netip.AddrPort, bool) {
 	literal, ok := value.Value.(hujson.Literal)
 	if !ok || literal.Kind() != '"' {
-		return netip.AddrPort{}, false // decode has reported the wrong type
+		return netip.AddrPort{}, false // decodeValue has reported the wrong type
 	}
 	address, err := netip.ParseAddrPort(literal.String())
 	if err != nil || address.Port() == 0 {
-		c.addAt(value.StartOffset, "setting %q: %q is not an IP number with a port", name, literal.String())
+		c.addAt(value.StartOffset, "setting %q: %q is not an IP address with a port", name, literal.String())
 		return netip.AddrPort{}, false
 	}
 	return address, true
 }
 
-func (c *checker) peers() {
+func (c *checker) checkPeers() {
 	array, ok := c.values["peers"].Value.(*hujson.Array)
 	if !ok {
 		return
 	}
 	seen := map[netip.AddrPort]bool{}
 	for _, element := range array.Elements {
-		address, ok := c.address("peers", element)
+		address, ok := c.checkAddress("peers", element)
 		if !ok {
 			continue
 		}
@@ -236,8 +241,8 @@
 	}
 }
 
-// limits checks the durations of a shutdown.
-func (c *checker) limits(entry Entry) {
+// checkShutdownTimes checks the drain grace and the shutdown deadline.
+func (c *checker) checkShutdownTimes(entry Entry) {
 	for name, limit := range map[string]int64{"drain_grace_ms": entry.DrainGraceMS, "shutdown_deadline_ms": entry.ShutdownDeadlineMS} {
 		if limit < 0 {
 			c.addAt(c.values[name].StartOffset, "setting %q is negative", name)
