--- a/internal/configuration/cluster_test.go
+++ b/internal/configuration/cluster_test.go
@@ -21,23 +21,23 @@
 	"github.com/coltsfootdrift/coltsfootdrift/pipeline"
 )
 
-// testTimes shorten the waits, so that the tests are quick.
+// testTimes are short, so that the tests run quickly.
 var testTimes = Times{ReadTimeout: 2 * time.Second, BackoffMin: 5 * time.Millisecond, BackoffMax: 50 * time.Millisecond,
 	PullSpread: 5 * time.Millisecond, CheckInterval: 10 * time.Millisecond}
 
-// cluster joins loaders in memory: all know each other's revision at once.
+// cluster connects loaders in memory. Each sees the revisions of the others at once.
 type cluster struct {
 	c       *qt.C
 	ctx     context.Context
 	service *standin.Store
 	address string
 
-	mu    sync.Mutex
-	nodes []*node
+	mu        sync.Mutex
+	instances []*instance
 }
 
-// node is one instance of a cluster.
-type node struct {
+// instance runs one loader of a cluster and implements Members for it.
+type instance struct {
 	cluster    *cluster
 	id, domain string
 	loader     *Loader
@@ -54,7 +54,7 @@
 	f := &cluster{c: c, ctx: ctx, service: service, address: server.Listener.Addr().String()}
 	c.Cleanup(func() {
 		cancel()
-		for _, n := range f.nodes {
+		for _, n := range f.instances {
 			n.stopped.Wait()
 		}
 		server.CloseClientConnections()
@@ -65,19 +65,20 @@
 
 func (f *cluster) store() store.Store { return store.NewHTTP(f.address) }
 
-// start runs an instance. Its store is nil or another one in some tests.
-func (f *cluster) start(domain string, s store.Store, files fs.FS) *node {
+// start runs an instance with the given store, which may be nil or differ from that
+// of the cluster.
+func (f *cluster) start(domain string, s store.Store, files fs.FS) *instance {
 	f.mu.Lock()
-	n := &node{cluster: f, id: fmt.Sprintf("entry-%d", len(f.nodes)), domain: domain}
+	n := &instance{cluster: f, id: fmt.Sprintf("entry-%d", len(f.instances)), domain: domain}
 	n.loader = NewLoader(Options{Store: s, Peers: f, Members: n, Files: files, Times: testTimes,
 		Logger: slog.New(slog.NewTextHandler(io.Discard, nil))})
-	f.nodes = append(f.nodes, n)
+	f.instances = append(f.instances, n)
 	f.mu.Unlock()
 	n.stopped.Go(func() { n.loader.Run(f.ctx) })
 	return n
 }
 
-// publish puts a set with a number of organisations in force.
+// publish publishes a set with the given number of organisations.
 func (f *cluster) publish(s store.Store, organisations int) {
 	_, err := Publish(f.ctx, s, config.Request{Author: "test", Set: setOf(organisations)}, false)
 	f.c.Assert(err, qt.IsNil)
@@ -91,7 +92,7 @@
 	return set
 }
 
-// eventually waits for a condition; it fails only when the condition never holds.
+// eventually waits until the condition is true and fails the test after 10 s.
 func (f *cluster) eventually(what string, condition func() bool) {
 	for range 2000 {
 		if condition() {
@@ -99,19 +100,19 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	f.c.Fatalf("never happened: %s", what)
+	f.c.Fatalf("condition not met within 10 s: %s", what)
 }
 
 func (f *cluster) allAt(revision int64) {
 	f.eventually(fmt.Sprintf("all at revision %d", revision), func() bool {
-		return !slices.ContainsFunc(f.nodes, func(n *node) bool { return n.loader.Revision() != revision })
+		return !slices.ContainsFunc(f.instances, func(n *instance) bool { return n.loader.Revision() != revision })
 	})
 }
 
-func (f *cluster) find(address string) (*node, error) {
+func (f *cluster) find(address string) (*instance, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, n := range f.nodes {
+	for _, n := range f.instances {
 		if n.id == address && !n.down {
 			return n, nil
 		}
@@ -128,7 +129,7 @@
 	return n.loader.HeadAfter(have)
 }
 
-// Parts implements Peers. It returns one part at a time, as for large parts.
+// Parts implements Peers. It returns one part for each call, as for large parts.
 func (f *cluster) Parts(_ context.Context, address string, digests [][]byte) ([][]byte, error) {
 	n, err := f.find(address)
 	if err != nil {
@@ -141,13 +142,13 @@
 	return [][]byte{data}, nil
 }
 
-func (n *node) Self() string { return n.id }
+func (n *instance) Self() string { return n.id }
 
-func (n *node) others(accept func(*node) bool) []string {
+func (n *instance) others(accept func(*instance) bool) []string {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	var ids []string
-	for _, other := range n.cluster.nodes {
+	for _, other := range n.cluster.instances {
 		if !other.down && accept(other) {
 			ids = append(ids, other.id)
 		}
@@ -155,32 +156,32 @@
 	return ids
 }
 
-func (n *node) Live() []string {
-	return n.others(func(other *node) bool { return other.domain == n.domain })
+func (n *instance) Live() []string {
+	return n.others(func(other *instance) bool { return other.domain == n.domain })
 }
 
-func (n *node) Seeds() []string {
-	return n.others(func(other *node) bool { return other != n })
+func (n *instance) Seeds() []string {
+	return n.others(func(other *instance) bool { return other != n })
 }
 
-func (n *node) Holders(revision int64) []string {
-	return n.others(func(other *node) bool { return other != n && other.revision >= revision })
+func (n *instance) Holders(revision int64) []string {
+	return n.others(func(other *instance) bool { return other != n && other.revision >= revision })
 }
 
-func (n *node) HighestRevision() int64 {
+func (n *instance) HighestRevision() int64 {
 	highest := int64(0)
-	n.others(func(other *node) bool {
+	n.others(func(other *instance) bool {
 		highest = max(highest, other.revision)
 		return false
 	})
 	return highest
 }
 
-func (n *node) SetRevision(revision int64, _ bool) {
+func (n *instance) SetRevision(revision int64, _ bool) {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	n.revision = revision
-	for _, other := range n.cluster.nodes {
+	for _, other := range n.cluster.instances {
 		other.loader.Wake()
 	}
 }
--- a/internal/configuration/loader.go
+++ b/internal/configuration/loader.go
@@ -20,51 +20,56 @@
 	"github.com/coltsfootdrift/coltsfootdrift/pipeline"
 )
 
-// Peers pulls the configuration from other instances.
+// Peers reads the configuration of other instances.
 type Peers interface {
-	// Head returns the encoded change from a revision to the head of a peer, nil
-	// when there is none.
-	Head(ctx context.Context, address string, have int64) ([]byte, error)
-	// Parts returns the first of the parts with the given SHA-256 digests that the
-	// peer holds and that fit one answer.
+	// Head returns the encoded change from the revision in force here to the head of
+	// the peer at address; nil when the peer has no higher revision.
+	Head(ctx context.Context, address string, inForce int64) ([]byte, error)
+	// Parts returns the parts with the given SHA-256 digests, in their order. It may
+	// return only the first of them, when the others are missing at the peer or don't
+	// fit one response.
 	Parts(ctx context.Context, address string, digests [][]byte) ([][]byte, error)
 }
 
-// Members is what the loader needs of membership.
+// Members is the membership service that the loader uses.
 type Members interface {
 	// Self returns the ID of this instance.
 	Self() string
 	// Live returns the IDs of the live members of the failure domain, this instance
 	// included.
 	Live() []string
-	// Seeds returns addresses to ask at the start.
+	// Seeds returns the peer addresses from which to load the first configuration.
 	Seeds() []string
-	// HighestRevision returns the highest revision in force that was heard of.
+	// HighestRevision returns the highest revision that any instance reported as in
+	// force.
 	HighestRevision() int64
-	// Holders returns addresses of instances that have at least a revision.
+	// Holders returns the addresses of instances that reported at least this revision.
 	Holders(revision int64) []string
-	// SetRevision reports the revision in force here.
+	// SetRevision publishes the revision in force here to other instances. fromStore
+	// is true when it was read from the store.
 	SetRevision(revision int64, fromStore bool)
 }
 
-// Times of the loader.
+// Times holds the timeouts and intervals of a loader.
 type Times struct {
-	// ReadTimeout bounds one read of the store or of a peer at the start.
+	// ReadTimeout limits one read of the store, or of a peer at the start.
 	ReadTimeout time.Duration
-	// BackoffMin and BackoffMax bound the jittered backoff.
+	// BackoffMin and BackoffMax limit the exponential backoff.
 	BackoffMin, BackoffMax time.Duration
-	// PullSpread is the time over which the members of a failure domain spread
-	// their pulls of a new revision. Members that have it take part in serving it
-	// as soon as their next heartbeats tell so.
+	// PullSpread is the maximum random delay of a pull, so that the members of a
+	// failure domain don't pull a new revision at once. Members that have it serve it
+	// to others as soon as their next heartbeat reports it.
 	PullSpread time.Duration
-	// CheckInterval is how often the role of the watcher and gaps are looked at.
+	// CheckInterval is the interval at which an instance checks whether it is a
+	// watcher and whether its revision is behind.
 	CheckInterval time.Duration
 }
 
-// partsTimeout bounds the reading of all parts of a head.
+// partsTimeout limits the time to read all parts of a head.
 const partsTimeout = 10 * time.Second
 
-// DefaultTimes puts a revision in force well within the 13 s of the design page.
+// DefaultTimes are short enough for a revision to be in force on all instances well
+// within the 13 s that the design page allows.
 var DefaultTimes = Times{
 	ReadTimeout:   2 * time.Second,
 	BackoffMin:    100 * time.Millisecond,
@@ -73,38 +78,40 @@
 	CheckInterval: time.Second,
 }
 
-// Options of a loader.
+// Options holds the dependencies of a loader.
 type Options struct {
 	// Store is nil for an instance without a store.
 	Store   store.Store
 	Peers   Peers
 	Members Members
-	// Files is used while the store holds no configuration; nil to wait.
+	// Files holds the operators' files to use while the store has no configuration;
+	// if nil, the loader waits for a configuration.
 	Files  fs.FS
 	Logger *slog.Logger
 	Times  Times
 }
 
-// Loader keeps the configuration of an instance in force. It implements
-// entry.ConfigurationSource and peer.ConfigurationHandler.
+// Loader loads the configuration of an instance from the store and from peers, and
+// keeps it up to date. It implements entry.ConfigurationSource and
+// peer.ConfigurationHandler.
 type Loader struct {
 	Options
 	set  atomic.Pointer[pipeline.Set]
 	wake chan struct{}
 	// loaded is closed when the first configuration is in force.
 	loaded chan struct{}
-	// watching is true while this instance watches the store.
+	// watching is true while this instance watches the store for changes.
 	watching atomic.Bool
 
 	mu      sync.Mutex
 	current config.Current
-	// recent holds the last heads that were in force, the newest last. A peer that
-	// has one of them gets only the change.
-	recent []*config.Head
+	// recentHeads holds the last heads that were in force, oldest first. A peer that
+	// has one of them is sent only the change.
+	recentHeads []*config.Head
 }
 
-// maxRecent is the number of heads that are kept for changes.
-const maxRecent = 10
+// maxRecentHeads is the number of heads from which changes can be computed.
+const maxRecentHeads = 10
 
 // NewLoader returns a loader without a configuration.
 func NewLoader(options Options) *Loader {
@@ -117,17 +124,19 @@
 // Loaded is closed when the first configuration is in force.
 func (l *Loader) Loaded() <-chan struct{} { return l.loaded }
 
-// Revision returns the revision in force, 0 for files of the settings or none.
+// Revision returns the revision in force; 0 when there is none, or when the
+// configuration was read from the files of the settings.
 func (l *Loader) Revision() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.current.Revision()
 }
 
-// Watching reports whether this instance watches the store.
+// Watching reports whether this instance watches the store for changes.
 func (l *Loader) Watching() bool { return l.watching.Load() }
 
-// Wake reports that a higher revision was heard of. It doesn't block.
+// Wake makes the loader pull at once if a peer reported a higher revision, without
+// waiting for the next check. It doesn't block.
 func (l *Loader) Wake() {
 	select {
 	case l.wake <- struct{}{}:
@@ -135,8 +144,9 @@
 	}
 }
 
-// HeadAfter returns the encoded change from a revision to the head in force, nil
-// when there is none.
+// HeadAfter returns the encoded change from the given revision to the head in
+// force; nil when the revision in force is not higher. If the given revision is not
+// a recent one, the change contains the whole head.
 func (l *Loader) HeadAfter(revision int64) ([]byte, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -144,7 +154,7 @@
 		return nil, nil
 	}
 	var base *config.Head
-	for _, head := range l.recent {
+	for _, head := range l.recentHeads {
 		if head.Revision == revision {
 			base = head
 		}
@@ -156,22 +166,22 @@
 	return config.EncodeChange(change)
 }
 
-// headInForce returns nil when there is none.
+// headInForce returns the head in force, nil when there is none.
 func (l *Loader) headInForce() *config.Head {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.current.Head()
 }
 
-// Part returns a part in force by its SHA-256.
+// Part returns the part in force with the given SHA-256 digest.
 func (l *Loader) Part(digest []byte) ([]byte, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.current.Part(config.Digest(hex.EncodeToString(digest)))
 }
 
-// load puts a head in force when it is higher than the one in force. The missing
-// parts come from the source.
+// load puts a head in force if its revision is higher than the one in force. It
+// reads the missing parts from the given source.
 func (l *Loader) load(ctx context.Context, head *config.Head, from source) error {
 	head = head.WithoutAudit()
 	l.mu.Lock()
@@ -186,45 +196,46 @@
 			return err
 		}
 	}
-	changed, err := l.offer(head, parts)
+	changed, err := l.update(head, parts)
 	if err != nil {
 		events.ConfigurationRefused.Log(ctx, l.Logger, slog.String("source", from.String()), slog.Any("error", err))
 		return err
 	}
 	if changed {
 		events.ConfigurationInForce.Log(ctx, l.Logger, slog.Int64("revision", head.Revision), slog.String("source", from.String()))
-		l.Members.SetRevision(head.Revision, from.fromStore())
+		l.Members.SetRevision(head.Revision, from.isStore())
 	}
 	return nil
 }
 
-func (l *Loader) offer(head *config.Head, parts config.Parts) (changed bool, err error) {
+// update puts a head in force and keeps it in recentHeads.
+func (l *Loader) update(head *config.Head, parts config.Parts) (changed bool, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if changed, err = l.current.Update(head, parts); changed {
-		l.recent = append(l.recent, head)
-		l.recent = l.recent[max(0, len(l.recent)-maxRecent):]
+		l.recentHeads = append(l.recentHeads, head)
+		l.recentHeads = l.recentHeads[max(0, len(l.recentHeads)-maxRecentHeads):]
 		l.set.Store(l.current.Set())
 	}
 	return changed, err
 }
 
-// Run loads a configuration and keeps it up to date until the context ends.
+// Run loads the first configuration and then keeps it up to date until ctx ends.
 func (l *Loader) Run(ctx context.Context) {
-	if !l.start(ctx) {
+	if !l.loadFirst(ctx) {
 		return
 	}
 	close(l.loaded)
 	var group errgroup.Group
 	if l.Store != nil {
-		group.Go(func() error { l.watchAll(ctx); return nil })
+		group.Go(func() error { l.watchLoop(ctx); return nil })
 	}
-	group.Go(func() error { l.pullAll(ctx); return nil })
+	group.Go(func() error { l.pullLoop(ctx); return nil })
 	_ = group.Wait()
 }
 
-// backoff grows from BackoffMin to BackoffMax; each wait is jittered, so that
-// instances don't return in step after an outage.
+// backoff waits for exponentially growing times from BackoffMin to BackoffMax. Each
+// wait is jittered, so that instances don't all retry at once after an outage.
 type backoff struct {
 	times Times
 	next  time.Duration
@@ -232,14 +243,15 @@
 
 func (b *backoff) reset() { b.next = 0 }
 
-// wait returns false when the context ended.
+// wait sleeps for the next backoff time. It returns false when ctx ended.
 func (b *backoff) wait(ctx context.Context) bool {
 	b.next = min(max(2*b.next, b.times.BackoffMin), b.times.BackoffMax)
 	return clock.Sleep(ctx, b.next/2+rand.N(b.next/2+1))
 }
 
-// stale reports an error that only says that the source is behind.
-func stale(err error) bool {
+// isLowerRevision reports whether the error says that the source has a lower
+// revision than the one in force.
+func isLowerRevision(err error) bool {
 	var lower *config.LowerRevisionError
 	return errors.As(err, &lower)
 }
--- a/internal/configuration/loader_test.go
+++ b/internal/configuration/loader_test.go
@@ -15,9 +15,9 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/store"
 )
 
-// Guards against two operators whose changes both count as published although one
-// undid the other, on the wire form of the store.
-func TestTwoOperatorsAtOnce(t *testing.T) {
+// Guards against concurrent publishes that both succeed although one undid the
+// other. The store is called over HTTP.
+func TestOneOfConcurrentPublishesSucceeds(t *testing.T) {
 	f := newCluster(t)
 	f.publish(f.store(), 1)
 	var racing sync.WaitGroup
@@ -45,12 +45,12 @@
 	f.c.Assert(trail[1].Author, qt.Equals, fmt.Sprint("operator ", won))
 }
 
-// Guards against a change that took effect but is reported as failed or written
-// twice because the store's answers were lost.
-func TestLostAnswersOfThePublish(t *testing.T) {
+// Guards against a change that took effect but is reported as failed, or is written
+// twice, because responses of the store were lost.
+func TestPublishSucceedsDespiteLostResponses(t *testing.T) {
 	f := newCluster(t)
 	f.publish(f.store(), 1)
-	result, err := Publish(f.ctx, &losingStore{Store: f.store()}, config.Request{Set: setOf(9)}, false)
+	result, err := Publish(f.ctx, &lostResponseStore{Store: f.store()}, config.Request{Set: setOf(9)}, false)
 	f.c.Assert(err, qt.IsNil)
 	f.c.Assert(result.Revision, qt.Equals, int64(2))
 	trail, err := Audit(f.ctx, f.store())
@@ -58,13 +58,13 @@
 	f.c.Assert(trail, qt.HasLen, 2)
 }
 
-// losingStore loses the answer of the first write of each key.
-type losingStore struct {
+// lostResponseStore loses the response to the first write of each key.
+type lostResponseStore struct {
 	store.Store
 	lost sync.Map
 }
 
-func (s *losingStore) CompareAndSwap(ctx context.Context, key string, expect store.Version, value []byte, lease store.LeaseID) (store.Version, error) {
+func (s *lostResponseStore) CompareAndSwap(ctx context.Context, key string, expect store.Version, value []byte, lease store.LeaseID) (store.Version, error) {
 	version, err := s.Store.CompareAndSwap(ctx, key, expect, value, lease)
 	if _, lost := s.lost.LoadOrStore(key, true); !lost {
 		return 0, store.ErrUnknownOutcome
@@ -73,8 +73,7 @@
 }
 
 // Guards against an instance that can't start during an outage of the store, and
-// against one that takes its files for the configuration because the store is
-// unreachable.
+// against one that uses its files because the store is unreachable.
 func TestStartsFromPeersWhileStoreIsDown(t *testing.T) {
 	f := newCluster(t)
 	alone := f.start("b", brokenStore(), someFiles())
@@ -88,9 +87,9 @@
 	f.c.Assert(late.loader.Current().Deployment.Organisations, qt.HasLen, 3)
 }
 
-// Guards against a restarted instance that takes an old revision from a stale
-// store, and against a watch of such a store that takes a newer one back.
-func TestStaleStoreAfterRestart(t *testing.T) {
+// Guards against a restarted instance that loads an old revision from a stale
+// store, and against a watch of such a store that replaces a newer revision.
+func TestStaleStoreDoesNotLowerTheRevisionAfterRestart(t *testing.T) {
 	f, old := newCluster(t), newCluster(t)
 	f.publish(f.store(), 1)
 	f.publish(f.store(), 2)
@@ -105,9 +104,8 @@
 	f.c.Assert(restarted.loader.Current().Deployment.Organisations, qt.HasLen, 2)
 }
 
-// Guards against a lower revision that is offered by a peer or a store and undoes
-// the one in force.
-func TestLowerRevisionIsNotTaken(t *testing.T) {
+// Guards against a lower revision of a peer or store that replaces the one in force.
+func TestLowerRevisionIsRefused(t *testing.T) {
 	f, old := newCluster(t), newCluster(t)
 	f.publish(f.store(), 1)
 	f.publish(f.store(), 2)
@@ -117,13 +115,13 @@
 	head, _, err := readHead(f.ctx, old.store())
 	f.c.Assert(err, qt.IsNil)
 	err = n.loader.load(f.ctx, head, storeSource{old.store()})
-	f.c.Assert(stale(err), qt.IsTrue, qt.Commentf("%v", err))
+	f.c.Assert(isLowerRevision(err), qt.IsTrue, qt.Commentf("%v", err))
 	f.c.Assert(n.loader.Current().Deployment.Organisations, qt.HasLen, 2)
 }
 
-// Guards against a failure domain that keeps an old configuration while it is cut
-// off from the store but not from its peers.
-func TestFailureDomainCutOffFromStore(t *testing.T) {
+// Guards against a failure domain that keeps an old configuration while it can
+// reach its peers but not the store.
+func TestFailureDomainWithoutStorePullsFromPeers(t *testing.T) {
 	f := newCluster(t)
 	f.publish(f.store(), 1)
 	for range 3 {
@@ -139,9 +137,9 @@
 	return fstest.MapFS{"deployment.jsonc": {Data: []byte(`{"deployment": "from-files", "regions": [{"name": "r", "failure_domains": ["r-a"]}]}`)}}
 }
 
-// Guards against pipeline files that stay in force, or are used, although the
+// Guards against operators' files that stay in force, or are loaded, although the
 // store holds a configuration.
-func TestFilesOnlyWhileStoreIsEmpty(t *testing.T) {
+func TestFilesAreUsedOnlyWhileStoreIsEmpty(t *testing.T) {
 	f := newCluster(t)
 	n := f.start("a", f.store(), someFiles())
 	f.eventually("files in force", func() bool { return n.loader.Current() != nil })
@@ -153,8 +151,8 @@
 	f.c.Assert(second.loader.Current().Deployment.Name, qt.Equals, "d")
 }
 
-// Guards against a fleet that reads the store at once: only two instances of a
-// failure domain watch, also after an outage, and a change is read by them alone.
+// Guards against many instances that read the store at once: only two instances of
+// a failure domain watch it, also after an outage, and only they read a change.
 func TestOnlyWatchersReadTheStore(t *testing.T) {
 	f := newCluster(t)
 	f.publish(f.store(), 1)
--- a/internal/configuration/publisher.go
+++ b/internal/configuration/publisher.go
@@ -1,6 +1,5 @@
-// Package configuration puts configurations in force: it carries out the steps
-// of publishing at the store, and keeps the configuration of an entry instance
-// up to date from the store and from peers.
+// Package configuration publishes configurations to the store, and keeps the
+// configuration of an instance up to date from the store and from peers.
 package configuration
 
 import (
@@ -19,23 +18,23 @@
 
 // Errors of the package.
 var (
-	// ErrNoConfiguration reports that there is no configuration.
+	// ErrNoConfiguration reports that the store holds no configuration.
 	ErrNoConfiguration = errors.New("no configuration is in force")
 	// ErrUnavailable reports that the configuration couldn't be read.
 	ErrUnavailable = errors.New("configuration is unavailable")
 )
 
-// Bounds of the calls of one publish.
+// Limits of the store calls of one publish.
 const (
-	// parallelCalls keeps a publish within the store's rate.
-	parallelCalls = 8
-	// partWrites bounds the attempts to create a part whose answer was lost.
-	// Creating a part twice does no harm.
-	partWrites = 3
+	// maxParallelCalls keeps a publish within the rate limit of the store.
+	maxParallelCalls = 8
+	// maxPartWrites is the number of attempts to create a part while responses are
+	// lost. Creating a part is idempotent.
+	maxPartWrites = 3
 )
 
-// Publish puts a request in force and returns its result. The publish ID is set
-// when it is empty.
+// Publish publishes the requested configuration, or compares it only if dryRun is
+// set. It generates a publish ID if the request has none.
 func Publish(ctx context.Context, s store.Store, request config.Request, dryRun bool) (config.Result, error) {
 	if request.PublishID == "" {
 		request.PublishID = uuid.NewString()
@@ -56,7 +55,8 @@
 	}
 }
 
-// carryOut runs one output at the store and returns its input, if it has one.
+// carryOut carries out one output of a publish at the store. It returns the input
+// that the output results in, or nil if it has none.
 func carryOut(ctx context.Context, s store.Store, output config.Output) config.Input {
 	switch out := output.(type) {
 	case config.ReadHead:
@@ -69,22 +69,24 @@
 		return config.PartsWritten{Err: writeParts(ctx, s, out.Parts)}
 	case config.WriteHead:
 		_, err := s.CompareAndSwap(ctx, config.KeyHead, store.Version(out.Expect), out.Value, 0)
-		return config.HeadWritten{Outcome: outcome(err), Err: wrap(err, "write head")}
+		return config.HeadWritten{Outcome: writeOutcome(err), Err: wrapUnavailable(err, "write head")}
 	case config.DeleteParts:
 		deleteParts(ctx, s, out.Digests)
 	}
 	return nil
 }
 
-// wrap turns an error of the store into one of this package.
-func wrap(err error, step string) error {
+// wrapUnavailable wraps an error of the store and ErrUnavailable with the step that
+// failed.
+func wrapUnavailable(err error, step string) error {
 	if err == nil {
 		return nil
 	}
 	return oops.In("configuration").Code("store").Wrap(fmt.Errorf("%w: %s: %w", ErrUnavailable, step, err))
 }
 
-func outcome(err error) config.WriteOutcome {
+// writeOutcome classifies the error of a compare-and-swap.
+func writeOutcome(err error) config.WriteOutcome {
 	var conflict *store.ConflictError
 	switch {
 	case err == nil:
@@ -97,24 +99,26 @@
 	return config.WriteUnknown
 }
 
-// readHead returns nil and version 0 when the store holds no head.
+// readHead reads the head and its store version. It returns nil and version 0 when
+// the store holds no head.
 func readHead(ctx context.Context, s store.Store) (*config.Head, store.Version, error) {
 	entry, err := s.Get(ctx, config.KeyHead)
 	if errors.Is(err, store.ErrNotFound) {
 		return nil, 0, nil
 	}
 	if err != nil {
-		return nil, 0, wrap(err, "read head")
+		return nil, 0, wrapUnavailable(err, "read head")
 	}
 	head, err := config.DecodeHead(entry.Value)
 	return head, entry.Version, err
 }
 
-// readParts leaves out the parts that the store doesn't hold.
+// readParts reads parts in parallel. The result lacks those that the store doesn't
+// hold.
 func readParts(ctx context.Context, s store.Store, digests []config.Digest) (config.Parts, error) {
 	values := make([][]byte, len(digests))
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(parallelCalls)
+	group.SetLimit(maxParallelCalls)
 	for i, digest := range digests {
 		group.Go(func() error {
 			entry, err := s.Get(ctx, digest.Key())
@@ -122,7 +126,7 @@
 				return nil
 			}
 			values[i] = entry.Value
-			return wrap(err, "read part")
+			return wrapUnavailable(err, "read part")
 		})
 	}
 	if err := group.Wait(); err != nil {
@@ -139,7 +143,7 @@
 
 func writeParts(ctx context.Context, s store.Store, parts config.Parts) error {
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(parallelCalls)
+	group.SetLimit(maxParallelCalls)
 	for digest, data := range parts {
 		group.Go(func() error { return writePart(ctx, s, digest, data) })
 	}
@@ -149,22 +153,23 @@
 // writePart creates a part. A conflict means that an earlier attempt created it.
 func writePart(ctx context.Context, s store.Store, digest config.Digest, data []byte) error {
 	var err error
-	for range partWrites {
+	for range maxPartWrites {
 		_, err = s.CompareAndSwap(ctx, digest.Key(), 0, data, 0)
-		switch outcome(err) {
+		switch writeOutcome(err) {
 		case config.WriteDone, config.WriteConflict:
 			return nil
 		case config.WriteNotSent:
-			return wrap(err, "write part")
+			return wrapUnavailable(err, "write part")
 		}
 	}
-	return wrap(err, "write part")
+	return wrapUnavailable(err, "write part")
 }
 
-// deleteParts deletes parts that nobody needs. What stays behind only takes room.
+// deleteParts deletes unused parts. It ignores errors, because a part that remains
+// only takes space.
 func deleteParts(ctx context.Context, s store.Store, digests []config.Digest) {
 	var group errgroup.Group
-	group.SetLimit(parallelCalls)
+	group.SetLimit(maxParallelCalls)
 	for _, digest := range digests {
 		group.Go(func() error {
 			entry, err := s.Get(ctx, digest.Key())
@@ -177,7 +182,8 @@
 	_ = group.Wait()
 }
 
-// Audit returns the audit trail, oldest change first.
+// Audit returns the audit trail, oldest change first. It returns
+// ErrNoConfiguration when the store holds no configuration.
 func Audit(ctx context.Context, s store.Store) ([]config.AuditEntry, error) {
 	head, _, err := readHead(ctx, s)
 	if err != nil {
--- a/internal/configuration/pull.go
+++ b/internal/configuration/pull.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// pullAttempts is the number of peers that are asked for one revision before a
-	// backoff.
-	pullAttempts = 3
-	// storeAfter is the number of failed rounds of pulls after which the store is
-	// read once, with the same backoff.
-	storeAfter = 3
+	// maxPeersPerPull is the number of peers that one pull tries before it fails and
+	// the backoff starts.
+	maxPeersPerPull = 3
+	// failedPullsBeforeStore is the number of consecutive failed pulls after which
+	// each further pull also reads the store.
+	failedPullsBeforeStore = 3
 )
 
-// pullAll pulls revisions that were heard of. The check repairs gaps that are
-// left by lost heartbeats or failed pulls.
-func (l *Loader) pullAll(ctx context.Context) {
+// pullLoop pulls revisions that peers reported. The periodic check also finds those
+// that were missed because of lost heartbeats or failed pulls.
+func (l *Loader) pullLoop(ctx context.Context) {
 	ticker := time.NewTicker(l.Times.CheckInterval)
 	defer ticker.Stop()
 	wait := backoff{times: l.Times}
-	failed := 0
+	failedPulls := 0
 	for {
 		select {
 		case <-l.wake:
@@ -34,28 +34,30 @@
 			return
 		}
 		if !l.behind() {
-			failed = 0
+			failedPulls = 0
 			wait.reset()
 			continue
 		}
-		// Watchers get the head from the store; with the spread, the members of a
-		// failure domain don't ask the same peer at once.
+		// Watchers read the head from the store. The random delay keeps the other
+		// members of a failure domain from pulling from the same peer at once.
 		if !clock.Sleep(ctx, rand.N(l.Times.PullSpread+1)) {
 			return
 		}
-		if l.behind() && !l.pull(ctx, failed) {
-			failed++
+		if l.behind() && !l.pull(ctx, failedPulls) {
+			failedPulls++
 			wait.wait(ctx)
 		}
 	}
 }
 
+// behind reports whether a peer reported a higher revision than the one in force.
 func (l *Loader) behind() bool { return l.Members.HighestRevision() > l.Revision() }
 
-// pull asks a few instances that have the revision. After storeAfter rounds
-// without success, it reads the store.
-func (l *Loader) pull(ctx context.Context, failed int) bool {
-	for _, from := range l.pullSources(failed) {
+// pull reads the highest reported revision from a few instances that have it, and
+// after failedPullsBeforeStore failed pulls also from the store. It returns true
+// when the revision in force is no longer behind.
+func (l *Loader) pull(ctx context.Context, failedPulls int) bool {
+	for _, from := range l.pullSources(failedPulls) {
 		head, err := from.head(ctx, l.headInForce())
 		if err == nil && head != nil {
 			err = l.load(ctx, head, from)
@@ -70,14 +72,15 @@
 	return false
 }
 
-func (l *Loader) pullSources(failed int) []source {
+// pullSources returns the sources of one pull, in the order in which to try them.
+func (l *Loader) pullSources(failedPulls int) []source {
 	holders := l.Members.Holders(l.Members.HighestRevision())
 	rand.Shuffle(len(holders), func(i, j int) { holders[i], holders[j] = holders[j], holders[i] })
 	var sources []source
-	for _, address := range holders[:min(pullAttempts, len(holders))] {
+	for _, address := range holders[:min(maxPeersPerPull, len(holders))] {
 		sources = append(sources, peerSource{l.Peers, address})
 	}
-	if failed >= storeAfter && l.Store != nil {
+	if failedPulls >= failedPullsBeforeStore && l.Store != nil {
 		sources = append(sources, storeSource{l.Store})
 	}
 	return sources
--- a/internal/configuration/sources.go
+++ b/internal/configuration/sources.go
@@ -9,13 +9,13 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/store"
 )
 
-// source gives heads and parts: the store, or a peer.
+// source is the store or a peer, from which heads and parts are read.
 type source interface {
-	// head returns nil when the source has none after the one in force, which is
-	// nil at the start.
+	// head returns the head of the source. It may return nil when the source has no
+	// higher revision than inForce, which is nil before the first configuration.
 	head(ctx context.Context, inForce *config.Head) (*config.Head, error)
 	parts(ctx context.Context, digests []config.Digest) (config.Parts, error)
-	fromStore() bool
+	isStore() bool
 	String() string
 }
 
@@ -29,12 +29,12 @@
 func (s storeSource) parts(ctx context.Context, digests []config.Digest) (config.Parts, error) {
 	parts, err := readParts(ctx, s.store, digests)
 	if err == nil && len(parts) < len(digests) {
-		return nil, fmt.Errorf("%w: the store lacks %d parts", ErrUnavailable, len(digests)-len(parts))
+		return nil, fmt.Errorf("%w: %d parts are missing from the store", ErrUnavailable, len(digests)-len(parts))
 	}
 	return parts, err
 }
 
-func (s storeSource) fromStore() bool { return true }
+func (s storeSource) isStore() bool { return true }
 
 func (s storeSource) String() string { return "store" }
 
@@ -44,11 +44,11 @@
 }
 
 func (p peerSource) head(ctx context.Context, inForce *config.Head) (*config.Head, error) {
-	have := int64(0)
+	revision := int64(0)
 	if inForce != nil {
-		have = inForce.Revision
+		revision = inForce.Revision
 	}
-	data, err := p.peers.Head(ctx, p.address, have)
+	data, err := p.peers.Head(ctx, p.address, revision)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
@@ -66,33 +66,34 @@
 	return head, err
 }
 
-// parts asks again for those that didn't fit an answer.
+// parts reads parts with as many calls as needed, because one response may not have
+// room for all of them.
 func (p peerSource) parts(ctx context.Context, digests []config.Digest) (config.Parts, error) {
 	parts := config.Parts{}
 	for len(digests) > 0 {
-		var wanted [][]byte
+		var rawDigests [][]byte
 		for _, digest := range digests {
 			raw, err := hex.DecodeString(string(digest))
 			if err != nil {
 				return nil, &config.FormatError{What: "digest", Err: err}
 			}
-			wanted = append(wanted, raw)
+			rawDigests = append(rawDigests, raw)
 		}
-		got, err := p.peers.Parts(ctx, p.address, wanted)
+		received, err := p.peers.Parts(ctx, p.address, rawDigests)
 		if err != nil {
 			return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 		}
-		if len(got) == 0 || len(got) > len(digests) {
-			return nil, fmt.Errorf("%w: peer %s lacks part %s", ErrUnavailable, p.address, digests[0])
+		if len(received) == 0 || len(received) > len(digests) {
+			return nil, fmt.Errorf("%w: peer %s does not have part %s", ErrUnavailable, p.address, digests[0])
 		}
-		for i, data := range got {
+		for i, data := range received {
 			parts[digests[i]] = data
 		}
-		digests = digests[len(got):]
+		digests = digests[len(received):]
 	}
 	return parts, nil
 }
 
-func (p peerSource) fromStore() bool { return false }
+func (p peerSource) isStore() bool { return false }
 
 func (p peerSource) String() string { return p.address }
--- a/internal/configuration/start.go
+++ b/internal/configuration/start.go
@@ -13,14 +13,15 @@
 	"github.com/coltsfootdrift/coltsfootdrift/pipeline"
 )
 
-// startPeers is the number of peers that an instance asks when it starts.
-const startPeers = 5
+// maxStartPeers is the number of peers that an instance reads from when it starts.
+const maxStartPeers = 5
 
-// errNoConfiguration reports that neither the store nor a peer has a configuration.
-var errNoConfiguration = errors.New("neither the store nor a peer holds a configuration")
+// errNotFound reports that neither the store nor a peer has a configuration.
+var errNotFound = errors.New("neither the store nor a peer holds a configuration")
 
-// start loads the first configuration. It returns false when the context ended.
-func (l *Loader) start(ctx context.Context) bool {
+// loadFirst loads the first configuration, with a backoff between attempts. It
+// returns false when ctx ended.
+func (l *Loader) loadFirst(ctx context.Context) bool {
 	wait := backoff{times: l.Times}
 	for {
 		empty, err := l.loadHighest(ctx)
@@ -31,7 +32,7 @@
 			return true
 		}
 		if err == nil {
-			err = errNoConfiguration
+			err = errNotFound
 		}
 		events.ConfigurationUnavailable.Log(ctx, l.Logger, slog.Any("error", err))
 		if !wait.wait(ctx) {
@@ -40,29 +41,29 @@
 	}
 }
 
-// offered is a head with its source.
-type offered struct {
+// headResult is the result of reading the head of a source.
+type headResult struct {
 	head *config.Head
 	from source
 	err  error
 }
 
-// loadHighest asks the store and some peers and loads the highest revision of
-// which all parts can be had. empty is true when the store answered that it holds
-// no configuration, or there is no store, and no peer has one.
+// loadHighest reads the heads of the store and of some peers, and loads the highest
+// revision of which all parts can be read. empty is true when no peer returned a
+// configuration, and the store holds none or there is no store.
 func (l *Loader) loadHighest(ctx context.Context) (empty bool, err error) {
-	answers := l.ask(ctx, l.sources())
+	results := l.readHeads(ctx, l.startSources())
 	empty = true
-	slices.SortStableFunc(answers, func(a, b offered) int { return int(revisionOf(b.head) - revisionOf(a.head)) })
-	for _, answer := range answers {
+	slices.SortStableFunc(results, func(a, b headResult) int { return int(revisionOf(b.head) - revisionOf(a.head)) })
+	for _, result := range results {
 		switch {
-		case answer.head != nil:
+		case result.head != nil:
 			empty = false
-			if err = l.load(ctx, answer.head, answer.from); err == nil {
+			if err = l.load(ctx, result.head, result.from); err == nil {
 				return false, nil
 			}
-		case answer.err != nil && answer.from.fromStore():
-			empty, err = false, answer.err
+		case result.err != nil && result.from.isStore():
+			empty, err = false, result.err
 		}
 	}
 	return empty, err
@@ -75,14 +76,15 @@
 	return head.Revision
 }
 
-// sources returns random peers and the store. Of sources with the same revision
-// the first is read, and the store comes last: reading the parts takes about 150
-// calls at the size of two years, 29 s at an instance's share of the store's rate.
-func (l *Loader) sources() []source {
+// startSources returns random peers and the store. Of several sources with the same
+// revision the first one is read. The store comes last, because reading all parts
+// from it takes about 150 calls at the size expected in two years, which is 29 s at
+// an instance's share of the store's rate limit.
+func (l *Loader) startSources() []source {
 	var sources []source
 	seeds := slices.Clone(l.Members.Seeds())
 	rand.Shuffle(len(seeds), func(i, j int) { seeds[i], seeds[j] = seeds[j], seeds[i] })
-	for _, address := range seeds[:min(startPeers, len(seeds))] {
+	for _, address := range seeds[:min(maxStartPeers, len(seeds))] {
 		sources = append(sources, peerSource{l.Peers, address})
 	}
 	if l.Store != nil {
@@ -91,23 +93,23 @@
 	return sources
 }
 
-// ask reads all sources at once and waits for all answers.
-func (l *Loader) ask(ctx context.Context, sources []source) []offered {
+// readHeads reads the heads of all sources in parallel.
+func (l *Loader) readHeads(ctx context.Context, sources []source) []headResult {
 	ctx, cancel := context.WithTimeout(ctx, l.Times.ReadTimeout)
 	defer cancel()
-	answers := make([]offered, len(sources))
+	results := make([]headResult, len(sources))
 	var all sync.WaitGroup
 	for i, from := range sources {
 		all.Go(func() {
 			head, err := from.head(ctx, nil)
-			answers[i] = offered{head, from, err}
+			results[i] = headResult{head, from, err}
 		})
 	}
 	all.Wait()
-	return answers
+	return results
 }
 
-// loadFiles puts the pipeline files of the settings in force, as revision 0.
+// loadFiles puts the operators' files of the settings in force, as revision 0.
 func (l *Loader) loadFiles(ctx context.Context) bool {
 	set, mistakes, err := pipeline.Check(l.Files)
 	if err != nil || len(mistakes) > 0 {
--- a/internal/configuration/start_test.go
+++ b/internal/configuration/start_test.go
@@ -12,25 +12,25 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/store"
 )
 
-// partCounter counts the parts that are read.
-type partCounter struct {
+// partReadCounter counts the parts that are read.
+type partReadCounter struct {
 	store.Store
 	reads atomic.Int64
 }
 
-func (s *partCounter) Get(ctx context.Context, key string) (store.Entry, error) {
+func (s *partReadCounter) Get(ctx context.Context, key string) (store.Entry, error) {
 	if strings.HasPrefix(key, config.PartPrefix) {
 		s.reads.Add(1)
 	}
 	return s.Store.Get(ctx, key)
 }
 
-// Guards against an instance that reads every part from the store at its start
-// although a peer has them, and so uses up its share of the store's rate.
+// Guards against an instance that at its start reads all parts from the store
+// although a peer has them, and so exhausts its share of the store's rate limit.
 func TestStartReadsPartsFromPeers(t *testing.T) {
 	f := newCluster(t)
 	f.publish(f.store(), 400)
-	first, late := &partCounter{Store: f.store()}, &partCounter{Store: f.store()}
+	first, late := &partReadCounter{Store: f.store()}, &partReadCounter{Store: f.store()}
 	f.start("a", first, nil)
 	f.allAt(1)
 	f.start("a", late, nil)
--- a/internal/configuration/watch.go
+++ b/internal/configuration/watch.go
@@ -15,15 +15,15 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/store"
 )
 
-// watchersPerDomain is the number of instances of a failure domain that watch
-// the store: a second one in case the first fails.
+// watchersPerDomain is the number of instances of a failure domain that watch the
+// store. The second one is for the case that the first fails.
 const watchersPerDomain = 2
 
-// pollTimeout ends a poll that the store doesn't answer; the store itself ends
-// polls after 30 s.
+// pollTimeout is the timeout of one long poll of the store, which ends polls itself
+// after 30 s.
 const pollTimeout = 45 * time.Second
 
-// Watchers returns the members that watch the store, by rendezvous hashing.
+// Watchers selects the members that watch the store, by rendezvous hashing.
 func Watchers(live []string) []string {
 	ranked := slices.Clone(live)
 	slices.SortFunc(ranked, func(a, b string) int {
@@ -44,8 +44,8 @@
 	return slices.Contains(Watchers(l.Members.Live()), l.Members.Self())
 }
 
-// watchAll watches the store whenever this instance is one of the watchers.
-func (l *Loader) watchAll(ctx context.Context) {
+// watchLoop watches the store while this instance is one of the watchers.
+func (l *Loader) watchLoop(ctx context.Context) {
 	wait := backoff{times: l.Times}
 	for ctx.Err() == nil {
 		if !l.isWatcher() {
@@ -75,25 +75,25 @@
 	event.Log(ctx, l.Logger)
 }
 
-// watchSession reads the head and watches it until an error or until another
-// instance takes over, which ends without an error.
+// watchSession reads the head and watches it until an error occurs. It returns nil
+// when this instance is no longer a watcher.
 func (l *Loader) watchSession(ctx context.Context, wait *backoff) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go l.endWhenReplaced(ctx, cancel)
 	head, version, err := l.readHead(ctx)
 	if err != nil {
-		return l.unlessReplaced(ctx, err)
+		return l.ignoreIfEnded(ctx, err)
 	}
 	if head != nil {
-		if err := l.loadFromStore(ctx, head); err != nil && !stale(err) {
-			return l.unlessReplaced(ctx, err)
+		if err := l.loadFromStore(ctx, head); err != nil && !isLowerRevision(err) {
+			return l.ignoreIfEnded(ctx, err)
 		}
 	}
 	for {
 		result, err := l.poll(ctx, version)
 		if err != nil {
-			return l.unlessReplaced(ctx, wrap(err, "watch head"))
+			return l.ignoreIfEnded(ctx, wrapUnavailable(err, "watch head"))
 		}
 		wait.reset()
 		version = result.Version
@@ -109,22 +109,23 @@
 	return readHead(ctx, l.Store)
 }
 
-// poll waits for one answer to a watch.
+// poll waits for one response to a watch (long poll) of the head.
 func (l *Loader) poll(ctx context.Context, version store.Version) (store.WatchResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	return l.Store.Watch(ctx, config.KeyHead, version)
 }
 
-// unlessReplaced drops an error that is due to the end of the session.
-func (l *Loader) unlessReplaced(ctx context.Context, err error) error {
+// ignoreIfEnded returns nil instead of an error that results from the end of the
+// session.
+func (l *Loader) ignoreIfEnded(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
 	}
 	return err
 }
 
-// endWhenReplaced ends a session when this instance is no watcher any more.
+// endWhenReplaced ends a session when this instance is no longer a watcher.
 func (l *Loader) endWhenReplaced(ctx context.Context, cancel context.CancelFunc) {
 	for clock.Sleep(ctx, l.Times.CheckInterval) {
 		if !l.isWatcher() {
@@ -133,6 +134,7 @@
 	}
 }
 
+// loadChanged loads the head if it is among the changed entries.
 func (l *Loader) loadChanged(ctx context.Context, changed []store.Entry) error {
 	for _, entry := range changed {
 		if entry.Key != config.KeyHead {
@@ -142,7 +144,7 @@
 		if err != nil {
 			return err
 		}
-		if err := l.loadFromStore(ctx, head); err != nil && !stale(err) {
+		if err := l.loadFromStore(ctx, head); err != nil && !isLowerRevision(err) {
 			return err
 		}
 	}
