--- a/config/parts.go
+++ b/config/parts.go
@@ -131,8 +131,8 @@
 	return set, nil
 }
 
-// missingOrDamaged returns the names of those parts of the head that parts lacks
-// or holds with another digest.
+// missingOrDamaged returns the names of those parts of the head that are missing
+// from parts or don't match their digest.
 func (h *Head) missingOrDamaged(parts Parts) map[PartName]bool {
 	missing := map[PartName]bool{}
 	for _, ref := range h.Parts {
