--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fixture_test.go
@@ -32,8 +32,8 @@
 	"github.com/coltsfootdrift/coltsfootdrift/stagework"
 )
 
-// fakeProtocol is a wire form of its own: the configuration and servers are JSON
-// of the product's types.
+// fakeProtocol is a Protocol with a wire format for tests: the configuration and the
+// servers are the JSON of this project's types.
 type fakeProtocol struct{}
 
 func (fakeProtocol) Kind(key string) view.KeyKind {
@@ -51,10 +51,10 @@
 	return s, json.Unmarshal(value, &s)
 }
 
-func (fakeProtocol) ReadRequest(h http.Header) Demand {
-	d := Demand{ID: h.Get("Id"), Key: h.Get("Key"), LastEventID: h.Get("Last"), PieceKey: "pk"}
+func (fakeProtocol) ReadRequest(h http.Header) RequestInfo {
+	d := RequestInfo{ID: h.Get("Id"), Key: h.Get("Key"), LastEventID: h.Get("Last"), PieceKey: "pk"}
 	if ms, err := strconv.Atoi(h.Get("Wait")); err == nil {
-		d.Wait, d.Bounded = time.Duration(ms)*time.Millisecond, true
+		d.Timeout, d.HasTimeout = time.Duration(ms)*time.Millisecond, true
 	}
 	for _, part := range strings.Fields(h.Get("Prompt")) {
 		d.Prompt = append(d.Prompt, engine.Part{ID: part, Tokens: 1000})
@@ -66,7 +66,7 @@
 	return d
 }
 
-func (fakeProtocol) WriteRequest(h http.Header, s Send) {
+func (fakeProtocol) WriteRequest(h http.Header, s SendInfo) {
 	h.Del("Key")
 	h.Set("Server", s.Server)
 	h.Set("Organisation", s.Organisation)
@@ -77,12 +77,12 @@
 	}
 }
 
-func (fakeProtocol) WriteOwnAnswer(h http.Header, id string) { h.Set("Id", id) }
+func (fakeProtocol) WriteLocalAnswer(h http.Header, id string) { h.Set("Id", id) }
 
 func (fakeProtocol) Belongs(h http.Header, id string) bool { return h.Get("Id") == id }
 
 func (fakeProtocol) ReadAnswer(_ int, h http.Header) AnswerInfo {
-	return AnswerInfo{NotRun: h.Get("Not-Run") != "", LostWork: h.Get("Not-Run") == "inputs"}
+	return AnswerInfo{NotRun: h.Get("Not-Run") != "", InputsLost: h.Get("Not-Run") == "inputs"}
 }
 
 func (fakeProtocol) StageCall(s upstream.Server, pieces []Piece) (*upstream.Request, error) {
@@ -112,7 +112,7 @@
 	return address
 }
 
-// fakeSource is a store that holds one state and never changes.
+// fakeSource is a view.Source whose entries never change.
 type fakeSource struct{ entries []store.Entry }
 
 func (f fakeSource) Snapshot(context.Context) ([]store.Entry, store.Version, error) {
@@ -124,43 +124,43 @@
 	return store.WatchResult{Version: 1}, nil
 }
 
-// world is a gateway before backend servers that are functions.
-type world struct {
-	c       *qt.C
-	config  route.Configuration
-	servers []view.Server
-	gateway *Gateway
-	caller  *StageCaller
-	drain   *Drain
-	url     string
+// fixture is a running gateway whose backend servers are handler functions.
+type fixture struct {
+	c         *qt.C
+	config    route.Configuration
+	servers   []view.Server
+	gateway   *Gateway
+	scheduler *StageScheduler
+	drain     *Drain
+	url       string
 }
 
-// backend adds a server of a service.
-func (w *world) backend(service string, handle http.HandlerFunc) string {
+// addServer adds a backend server to a service and returns its address.
+func (f *fixture) addServer(service string, handle http.HandlerFunc) string {
 	server := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		rw.Header().Set("Id", r.Header.Get("Id"))
 		handle(rw, r)
 	}))
-	w.c.Cleanup(server.CloseClientConnections)
+	f.c.Cleanup(server.CloseClientConnections)
 	address := strings.TrimPrefix(server.URL, "http://")
-	w.servers = append(w.servers, view.Server{ID: fmt.Sprint("s", len(w.servers)), Service: service, Address: address, FailureDomain: "d", Slots: 4})
+	f.servers = append(f.servers, view.Server{ID: fmt.Sprint("s", len(f.servers)), Service: service, Address: address, FailureDomain: "d", Slots: 4})
 	return address
 }
 
-func logger() *slog.Logger { return slog.New(slog.NewJSONHandler(io.Discard, nil)) }
+func discardLogger() *slog.Logger { return slog.New(slog.NewJSONHandler(io.Discard, nil)) }
 
 // freeUDPPorts draws ports outside the range that the system assigns to sockets
 // bound to port 0.
 var freeUDPPorts = standin.FreePorts()
 
-// listenPeer returns a node that holds its UDP port. A port that another process takes
-// between the draw and the bind is replaced by the next one.
+// listenPeer returns a node that is bound to its UDP port. It tries the next port when
+// another process takes one between the draw and the bind.
 func listenPeer(c *qt.C) *peer.Node {
 	for {
 		port, err := freeUDPPorts()
 		c.Assert(err, qt.IsNil)
 		address := net.JoinHostPort(standin.Host, strconv.Itoa(port))
-		node, err := peer.Listen(membership.Identity{ID: "g", FailureDomain: "r", Address: address, Incarnation: 1}, logger(), tally.NoopScope)
+		node, err := peer.Listen(membership.Identity{ID: "g", FailureDomain: "r", Address: address, Incarnation: 1}, discardLogger(), tally.NoopScope)
 		if errors.Is(err, syscall.EADDRINUSE) {
 			continue
 		}
@@ -174,9 +174,9 @@
 	return address
 }
 
-// start runs the gateway.
-func (w *world) start() {
-	c := w.c
+// start starts the gateway and waits until it has loaded the configuration.
+func (f *fixture) start() {
+	c := f.c
 	node := listenPeer(c)
 	s := settings.Gateway{Instance: "g", Region: "r", FailureDomain: "d", Regions: map[string]string{"d": "r"}, PeerAddress: nodeAddress(node),
 		GraceSeconds: 8, RetryRatio: 20, RetrySlack: 1000, RetryWindowSeconds: 1}
@@ -186,24 +186,24 @@
 		c.Assert(err, qt.IsNil)
 		entries = append(entries, store.Entry{Key: key, Value: data, Version: 1})
 	}
-	if w.config.Version > 0 {
-		add("config", w.config)
+	if f.config.Version > 0 {
+		add("config", f.config)
 	}
-	for _, server := range w.servers {
+	for _, server := range f.servers {
 		add("server/"+server.ID, server)
 	}
 	protocol, client := fakeProtocol{}, peer.NewClient()
-	cluster := NewCluster(s, node, client, storetest.New(), logger())
-	views := view.NewSync(fakeSource{entries}, cluster, protocol, logger(), tally.NoopScope)
+	cluster := NewCluster(s, node, client, storetest.New(), discardLogger())
+	views := view.NewSync(fakeSource{entries}, cluster, protocol, discardLogger(), tally.NoopScope)
 	fleet := NewFleet(s, cluster)
 	connections := upstream.NewClient(tally.NoopScope)
-	freer := NewFreer(protocol, connections, serverByAddress(views), logger())
-	w.caller = NewStageCaller(protocol, connections, fleet, freer, logger(), tally.NoopScope)
-	w.drain = NewDrain(s.Grace())
-	w.gateway = New(protocol, views, fleet, connections, NewStages(cluster, client, w.caller, logger()), NewPlacer(cluster, client, fleet, connections, protocol, logger()), w.drain, logger(), tally.NoopScope)
+	freer := NewResultFreer(protocol, connections, serverByAddress(views), discardLogger())
+	f.scheduler = NewStageScheduler(protocol, connections, fleet, freer, discardLogger(), tally.NoopScope)
+	f.drain = NewDrain(s.Grace())
+	f.gateway = New(protocol, views, fleet, connections, NewStageRunner(cluster, client, f.scheduler, discardLogger()), NewPlacer(cluster, client, fleet, connections, protocol, discardLogger()), f.drain, discardLogger(), tally.NoopScope)
 	changed := make(chan struct{}, 10)
 	views.Observe(fleet.Update)
-	views.Observe(w.caller.Update)
+	views.Observe(f.scheduler.Update)
 	views.Observe(func(*view.View) { changed <- struct{}{} })
 	ctx, cancel := context.WithCancel(context.Background())
 	go node.Run(ctx)
@@ -211,41 +211,41 @@
 	if len(entries) > 0 {
 		<-changed
 	}
-	front := NewFront(w.gateway, w.drain, logger())
-	c.Assert(front.Listen(ctx, "127.0.0.1:0"), qt.IsNil)
+	frontend := NewFrontend(f.gateway, f.drain, discardLogger())
+	c.Assert(frontend.Listen(ctx, "127.0.0.1:0"), qt.IsNil)
 	if v := views.Current(); v != nil {
-		front.Update(v)
+		frontend.Update(v)
 	}
-	w.url = "http://" + front.listener.Addr().String()
+	f.url = "http://" + frontend.listener.Addr().String()
 	c.Cleanup(func() {
 		cancel()
-		front.Close()
+		frontend.Close()
 	})
 }
 
-// plain returns a world whose route leads to one plain service.
-func plain(c *qt.C, kind route.Kind) *world {
-	return &world{c: c, config: route.Configuration{Version: 1,
+// newPlainFixture returns a fixture with one route, to a plain service.
+func newPlainFixture(c *qt.C, kind route.Kind) *fixture {
+	return &fixture{c: c, config: route.Configuration{Version: 1,
 		Routes:   []route.Route{{Name: "r", Host: "h", Prefix: "/p/", Kind: kind, Split: []route.Weight{{Service: "x", Weight: 1}}, Timeout: 2 * time.Second, MaxAttempts: 2, Public: true}},
 		Services: []route.Service{{Name: "x"}},
 	}}
 }
 
-// generating returns a world whose route leads to model servers, with stages.
-func generating(c *qt.C, resumable bool, stages ...route.Stage) *world {
-	w := plain(c, route.Stream)
-	w.config.Routes[0].Resumable, w.config.Routes[0].Stages = resumable, stages
-	w.config.Routes[0].Target = time.Second
-	w.config.Services[0].Engine = &route.EngineShape{}
-	w.config.Services = append(w.config.Services, route.Service{Name: "stage",
-		Work: &stagework.Shape{Slots: 1, Batch: 4, CallTime: time.Millisecond, PieceTime: time.Millisecond, ResultLife: time.Second}})
-	return w
+// newEngineFixture returns a fixture with one route, with stages, to model servers.
+func newEngineFixture(c *qt.C, resumable bool, stages ...route.Stage) *fixture {
+	f := newPlainFixture(c, route.Stream)
+	f.config.Routes[0].Resumable, f.config.Routes[0].Stages = resumable, stages
+	f.config.Routes[0].Target = time.Second
+	f.config.Services[0].Engine = &route.EngineProfile{}
+	f.config.Services = append(f.config.Services, route.Service{Name: "stage",
+		StageProfile: &stagework.ServerProfile{Slots: 1, Batch: 4, CallTime: time.Millisecond, PieceTime: time.Millisecond, ResultLife: time.Second}})
+	return f
 }
 
 // do sends a request with an ID and other headers, given as pairs.
-func (w *world) do(method, target, body string, headers ...string) (*http.Response, string, error) {
-	request, err := http.NewRequest(method, w.url+target, strings.NewReader(body))
-	w.c.Assert(err, qt.IsNil)
+func (f *fixture) do(method, target, body string, headers ...string) (*http.Response, string, error) {
+	request, err := http.NewRequest(method, f.url+target, strings.NewReader(body))
+	f.c.Assert(err, qt.IsNil)
 	request.Host = "h"
 	request.Header.Set("Id", "a1")
 	for i := 0; i+1 < len(headers); i += 2 {
@@ -260,7 +260,7 @@
 	return response, string(data), err
 }
 
-// recorder collects what servers saw.
+// recorder collects texts from the handlers of servers. It is safe for concurrent use.
 type recorder struct {
 	mu   sync.Mutex
 	seen []string
@@ -279,5 +279,5 @@
 	return append([]string(nil), r.seen...)
 }
 
-// cut ends a connection without an answer.
-func cut(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+// abortConnection closes a connection without an answer.
+func abortConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
--- a/internal/gateway/shares.go
+++ b/internal/gateway/placementsharing.go
@@ -11,36 +11,37 @@
 )
 
 const (
-	// sharePause collects placements for the other regions.
-	sharePause = 200 * time.Millisecond
-	// shareTimeout bounds the message to one of them. A lost one costs a prompt that
-	// is read again.
+	// shareBatchDelay is how long placements are collected for one message to the other
+	// regions.
+	shareBatchDelay = 200 * time.Millisecond
+	// shareTimeout bounds the message to one region. A lost message only costs that a
+	// model server there computes prompt parts that it could have copied.
 	shareTimeout = time.Second
-	// maxShares bounds the placements of one message.
-	maxShares = 1024
+	// maxPendingShares bounds the placements in one message. Further ones are dropped.
+	maxPendingShares = 1024
 )
 
-// share tells the other regions soon what a model server will keep, so that their
-// servers copy it instead of reading it again.
-func (p *Placer) share(service string, placed engine.Placement) {
+// queueShare queues a placement for the next message to the other regions, so that
+// their servers copy the prompt parts instead of computing them again.
+func (p *Placer) queueShare(service string, placed engine.Placement) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	waiting := p.shares[service]
-	if len(waiting) >= maxShares {
+	pending := p.pendingShares[service]
+	if len(pending) >= maxPendingShares {
 		return
 	}
-	if len(waiting) == 0 {
-		time.AfterFunc(sharePause, func() { p.sendShares(service) })
+	if len(pending) == 0 {
+		time.AfterFunc(shareBatchDelay, func() { p.sendShares(service) })
 	}
-	p.shares[service] = append(waiting, &peerpb.SharedPlacement{Server: placed.Server, Parts: encodeParts(placed.New)})
+	p.pendingShares[service] = append(pending, &peerpb.SharedPlacement{Server: placed.Server, Parts: encodeParts(placed.NewParts)})
 }
 
 func (p *Placer) sendShares(service string) {
 	p.mu.Lock()
-	request := &peerpb.SharePlacementsRequest{Service: service, Placements: p.shares[service]}
-	delete(p.shares, service)
+	request := &peerpb.SharePlacementsRequest{Service: service, Placements: p.pendingShares[service]}
+	delete(p.pendingShares, service)
 	p.mu.Unlock()
-	for _, address := range p.cluster.Regions() {
+	for _, address := range p.cluster.RegionContacts() {
 		p.sendShare(address, request)
 	}
 }
@@ -53,19 +54,19 @@
 	}
 }
 
-// SharePlacements implements peer.PlacementHandler. The instance that places the
-// prompts of the region takes the message, or gets it from the one that was told.
+// SharePlacements implements peer.PlacementHandler. An instance that does not place the
+// prompts of the service forwards the message once to the one of its region that does.
 func (p *Placer) SharePlacements(request *peerpb.SharePlacementsRequest) {
-	address := p.cluster.Callers(placerKey(request.Service))[0]
+	address := p.cluster.Owners(placementKey(request.Service))[0]
 	if address != "" && !request.Forwarded {
 		request.Forwarded = true
 		go p.sendShare(address, request)
 		return
 	}
 	now := time.Now()
-	p.fleet.Engines(request.Service, func(s *engine.Set) {
+	p.fleet.WithEngines(request.Service, func(s *engine.Scheduler) {
 		for _, placed := range request.Placements {
-			s.Kept(now, placed.Server, decodeParts(placed.Parts))
+			s.RecordCached(now, placed.Server, decodeParts(placed.Parts))
 		}
 	})
 }
--- /dev/null
+++ b/internal/gateway/stagerunner.go
@@ -0,0 +1,142 @@
+package gateway
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"sync"
+	"time"
+
+	"github.com/coltsfootdrift/coltsfootdrift/internal/peer"
+	"github.com/coltsfootdrift/coltsfootdrift/internal/peer/peerpb"
+	"github.com/coltsfootdrift/coltsfootdrift/route"
+	"github.com/coltsfootdrift/coltsfootdrift/stagework"
+)
+
+const (
+	// assumedPieces is the number of pieces that is assumed for a stage without
+	// measurements.
+	assumedPieces = 6
+	// queueStateMaxAge is how long the reported state of a queue is used.
+	queueStateMaxAge = time.Second
+	// peerFreeDelay is how long the results to free are collected for one call.
+	peerFreeDelay = 3 * time.Millisecond
+)
+
+// RefusedError reports a stage that was refused.
+type RefusedError struct {
+	Stage  int
+	Reason stagework.Refusal
+	// Wait is how long a new piece waits in the queue of the stage's service.
+	Wait time.Duration
+}
+
+func (e *RefusedError) Error() string {
+	return fmt.Sprintf("stage %d was refused: %s", e.Stage, e.Reason)
+}
+
+// StageRunner runs the stages of requests. It sends each stage to the instance that
+// owns the stage's service.
+type StageRunner struct {
+	cluster   *Cluster
+	client    *peer.Client
+	scheduler *StageScheduler
+	logger    *slog.Logger
+
+	stageTimes *movingAverages
+
+	mu           sync.Mutex
+	pendingFrees map[string][]string
+	// queueStates holds the last reported state of the queue of each service.
+	queueStates map[string]queueState
+}
+
+// queueState is the state of the queue of a service at a point in time.
+type queueState struct {
+	// wait is how long a new piece waits.
+	wait time.Duration
+	// memoryShort is true when memory for results limited the calls.
+	memoryShort bool
+	reportedAt  time.Time
+}
+
+// NewStageRunner returns a StageRunner that uses the local scheduler and, through
+// client, those of peers.
+func NewStageRunner(cluster *Cluster, client *peer.Client, local *StageScheduler, logger *slog.Logger) *StageRunner {
+	return &StageRunner{cluster: cluster, client: client, scheduler: local, logger: logger, stageTimes: newMovingAverages(), pendingFrees: map[string][]string{}, queueStates: map[string]queueState{}}
+}
+
+// TypicalTime returns the mean duration of a stage of a service, or the duration by the
+// last state of its queue when that is longer: a burst fills the queue before the mean
+// follows.
+func (s *StageRunner) TypicalTime(table *route.Table, service string) time.Duration {
+	var call time.Duration
+	if configured := table.Service(service); configured != nil && configured.StageProfile != nil {
+		call = configured.StageProfile.CallDuration(min(assumedPieces, configured.StageProfile.Batch))
+	}
+	typical := s.stageTimes.mean(service)
+	if typical == 0 {
+		typical = call
+	}
+	s.mu.Lock()
+	queue := s.queueStates[service]
+	s.mu.Unlock()
+	if time.Since(queue.reportedAt) < queueStateMaxAge {
+		typical = max(typical, queue.wait+call)
+	}
+	return typical
+}
+
+// recordQueueState records the queue state in a response of the owner of a service.
+func (s *StageRunner) recordQueueState(service string, response *peerpb.RunStageResponse) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.queueStates[service] = queueState{time.Duration(response.WaitMs) * time.Millisecond, response.RoomShort, time.Now()}
+}
+
+// resultMemoryShort reports whether memory for the results of a service was short lately.
+func (s *StageRunner) resultMemoryShort(service string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	queue := s.queueStates[service]
+	return queue.memoryShort && time.Since(queue.reportedAt) < queueStateMaxAge
+}
+
+// Free frees results of a service after peerFreeDelay.
+func (s *StageRunner) Free(service string, results []string) {
+	if len(results) == 0 {
+		return
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.pendingFrees[service]) == 0 {
+		time.AfterFunc(peerFreeDelay, func() { s.flushFrees(service) })
+	}
+	s.pendingFrees[service] = append(s.pendingFrees[service], results...)
+}
+
+// FreeAll frees results, listed by the service that produced them, after
+// peerFreeDelay.
+func (s *StageRunner) FreeAll(results map[string][]string) {
+	for service, produced := range results {
+		s.Free(service, produced)
+	}
+}
+
+// flushFrees sends the pending results of a service to the instance that owns it, which
+// frees them and accounts for result memory. When that fails, this instance frees them.
+func (s *StageRunner) flushFrees(service string) {
+	s.mu.Lock()
+	request := &peerpb.FreeResultsRequest{Service: service, Results: s.pendingFrees[service]}
+	delete(s.pendingFrees, service)
+	s.mu.Unlock()
+	address := s.cluster.Owners(service)[0]
+	if address == "" {
+		s.scheduler.FreeResults(request)
+		return
+	}
+	if err := s.client.FreeResults(context.Background(), address, request); err != nil {
+		s.cluster.Avoid(address)
+		s.scheduler.FreeResults(request)
+	}
+}
--- a/membership/receive.go
+++ b/membership/receive.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Receive takes a message of another instance.
+// Receive handles a message from another instance and returns the resulting messages
+// and events. It ignores its own messages and those with an invalid sender.
 func (s *State) Receive(now time.Time, message Message) []Output {
 	s.outputs = nil
 	from := message.From
@@ -11,36 +12,37 @@
 	}
 	local := from.FailureDomain == s.self.FailureDomain
 	m, known := s.members[from.ID]
-	// A refuted suspicion raises the incarnation but keeps the counter.
-	fresh := !known || from.Incarnation > m.record.Incarnation && from.Counter < m.record.Counter
-	s.hearRevision(from.Revision, from.Address)
+	// A refuted suspicion also raises the incarnation, but keeps the counter.
+	started := !known || from.Incarnation > m.record.Incarnation && from.Counter < m.record.Counter
+	s.noteRevision(from.Revision, from.Address)
 	if local {
 		s.receiveLocal(now, message)
 	} else {
-		s.hearDomain(now, from)
+		s.noteDomainContact(now, from)
 		s.forwardLeave(message)
 	}
 	for _, summary := range message.Summaries {
 		s.mergeSummary(now, summary)
 	}
-	s.receiveMarkers(now, message, local)
+	s.mergeMarkers(now, message, local)
 	switch {
 	case !local || from.State == Left:
-	case fresh:
-		// A member that started just now may know nobody yet.
+	case started:
+		// A member that has just started may not know any other member yet.
 		s.send(from.Address, s.heartbeat(now))
 	case from.Incarnation < m.record.Incarnation:
-		// A clock that went back gave a restarted member too low an incarnation. It
-		// raises it when it hears of the higher one.
-		s.send(from.Address, s.urgent([]Record{m.record}, nil))
+		// The clock of a restarted member went back, so that its incarnation is lower
+		// than before. The member raises it when it receives its old record.
+		s.send(from.Address, s.urgentMessage([]Record{m.record}, nil))
 	}
 	return s.outputs
 }
 
-// forwardLeave tells the members that a contact in another failure domain left.
+// forwardLeave forwards to the members that an instance of another failure domain
+// left, because it may be one of their contacts.
 func (s *State) forwardLeave(message Message) {
-	if message.Urgent && message.From.State == Left && s.mayBroadcast() {
-		s.broadcast(s.urgent([]Record{message.From}, nil))
+	if message.Urgent && message.From.State == Left && s.reserveBroadcast() {
+		s.broadcast(s.urgentMessage([]Record{message.From}, nil))
 	}
 }
 
@@ -57,27 +59,27 @@
 			s.dropContact(record)
 		}
 	}
-	for _, beat := range message.Beats {
-		s.mergeBeat(now, beat)
+	for _, counter := range message.HeartbeatCounters {
+		s.mergeHeartbeatCounter(now, counter)
 	}
-	if len(message.Counts) > 0 {
-		s.outputs = append(s.outputs, CountsHeard{from.ID, message.Counts})
+	if len(message.InFlightCounts) > 0 {
+		s.outputs = append(s.outputs, InFlightCountsReceived{from.ID, message.InFlightCounts})
 	}
 	if len(message.Demand) > 0 {
 		s.mergeDemand(now, from.ID, message.Demand)
 	}
 }
 
-// hearRevision reports a revision that is new here.
-func (s *State) hearRevision(revision int64, address string) {
-	if revision <= s.highest {
+// noteRevision reports a revision that is higher than all known before.
+func (s *State) noteRevision(revision int64, address string) {
+	if revision <= s.highestRevision {
 		return
 	}
-	s.highest = revision
-	s.outputs = append(s.outputs, RevisionHeard{revision, address})
+	s.highestRevision = revision
+	s.outputs = append(s.outputs, NewRevision{revision, address})
 }
 
-// mergeRecord takes what another member knows of a member.
+// mergeRecord merges a received record into the own state.
 func (s *State) mergeRecord(now time.Time, record Record) {
 	if record.ID == s.self.ID {
 		s.refute(record)
@@ -85,59 +87,61 @@
 	}
 	m, known := s.members[record.ID]
 	if !known {
-		// A member that is only known as dead needs no entry.
+		// An unknown member that was removed or left needs no entry.
 		if record.State <= Suspected {
-			s.join(now, record)
+			s.addMember(now, record)
 		}
 		return
 	}
-	if record.Incarnation >= m.recorded {
-		m.recorded, m.record.Address = record.Incarnation, record.Address
+	if record.Incarnation >= m.addressIncarnation {
+		m.addressIncarnation, m.record.Address = record.Incarnation, record.Address
 	}
 	m.record.Revision = max(m.record.Revision, record.Revision)
-	fresh := record.newer(m.record)
-	if fresh {
+	newer := record.newer(m.record)
+	if newer {
 		m.record.Load = record.Load
-		s.advance(now, m, record.Incarnation, record.Counter)
+		s.noteHeartbeat(now, m, record.Incarnation, record.Counter)
 	}
-	// Suspicion spreads by silence: each member hears the counters itself. Only a
-	// leave is taken over, since it comes from the member.
-	if record.State == Left && (fresh || !m.record.newer(record)) {
+	// Received suspicions and removals are ignored: each instance decides on them
+	// by the heartbeat counters that it receives. Only Left is adopted, because the
+	// member itself reported it.
+	if record.State == Left && (newer || !m.record.newer(record)) {
 		s.setState(m, Left, now)
 	}
 }
 
-// mergeBeat takes a heartbeat counter that another member heard.
-func (s *State) mergeBeat(now time.Time, beat Beat) {
-	m, known := s.members[s.byHash[beat.Hash]]
-	if known && (Record{Incarnation: beat.Incarnation, Counter: beat.Counter}).newer(m.record) {
-		s.advance(now, m, beat.Incarnation, beat.Counter)
+// mergeHeartbeatCounter merges a heartbeat counter that another member forwarded.
+func (s *State) mergeHeartbeatCounter(now time.Time, counter HeartbeatCounter) {
+	m, known := s.members[s.idByHash[counter.IDHash]]
+	if known && (Record{Incarnation: counter.Incarnation, Counter: counter.Counter}).newer(m.record) {
+		s.noteHeartbeat(now, m, counter.Incarnation, counter.Counter)
 	}
 }
 
-// advance notes a later heartbeat. It brings a suspected or removed member back;
-// the heartbeat with which a member left is its last one.
-func (s *State) advance(now time.Time, m *member, incarnation, counter uint64) {
+// noteHeartbeat stores a newer heartbeat of a member. It makes a suspected or removed
+// member alive again, and also one that left: its leave was its last heartbeat, so
+// that a newer one is from a new process.
+func (s *State) noteHeartbeat(now time.Time, m *member, incarnation, counter uint64) {
 	m.record.Incarnation, m.record.Counter = incarnation, counter
-	m.heard = now
+	m.lastHeartbeat = now
 	s.setState(m, Alive, now)
 }
 
-func (s *State) join(now time.Time, record Record) {
+func (s *State) addMember(now time.Time, record Record) {
 	record.State = Alive
-	m := &member{record: record, heard: now, since: now, news: newsRepeats, recorded: record.Incarnation}
+	m := &member{record: record, lastHeartbeat: now, stateSince: now, repeatsLeft: changeRepeats, addressIncarnation: record.Incarnation}
 	s.members[record.ID] = m
-	s.byHash[hashID(record.ID)] = record.ID
-	s.sorted = nil
-	s.outputs = append(s.outputs, Changed{record})
+	s.idByHash[hashID(record.ID)] = record.ID
+	s.sortedLive = nil
+	s.outputs = append(s.outputs, MemberChanged{record})
 }
 
-// refute answers a suspicion of this instance, or an older incarnation of it,
-// with a higher incarnation.
+// refute raises the incarnation of this instance if another member suspects or
+// removed it, or has a record of it with a higher incarnation.
 func (s *State) refute(record Record) {
-	stale := record.Incarnation > s.self.Incarnation
-	accused := record.State != Alive && record.Incarnation == s.self.Incarnation
-	if s.self.State == Alive && (stale || accused) {
+	outranked := record.Incarnation > s.self.Incarnation
+	suspected := record.State != Alive && record.Incarnation == s.self.Incarnation
+	if s.self.State == Alive && (outranked || suspected) {
 		s.self.Incarnation = record.Incarnation + 1
 	}
 }
