--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -23,7 +23,7 @@
 // 16 KB/s, four times what an instance may use for control.
 const SettledPeriods = 10
 
-// callTimeout bounds one call to an engine. It is shorter than order.OrderLife,
+// callTimeout bounds one call to an engine. It is shorter than order.OrderTTL,
 // so that an order that arrives at all arrives before the next leader's wait ends.
 const callTimeout = time.Second
 
