--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -83,8 +83,8 @@
 	// ErrBrokenStream reports an ErrBadAnswer that ended before its end mark; what
 	// was received is sound.
 	ErrBrokenStream = fmt.Errorf("%w: stream broke before its end mark", ErrBadAnswer)
-	// ErrCrossedAnswer reports an ErrBadAnswer that belongs to another attempt.
-	ErrCrossedAnswer = fmt.Errorf("%w: it belongs to another attempt", ErrBadAnswer)
+	// ErrWrongAttempt reports an ErrBadAnswer that belongs to another attempt.
+	ErrWrongAttempt = fmt.Errorf("%w: it belongs to another attempt", ErrBadAnswer)
 )
 
 // DefinitelyNotRun reports whether err means that the stage did not run, so
--- a/internal/backend/orders.go
+++ b/internal/backend/orders.go
@@ -65,7 +65,7 @@
 // Send posts an order.
 func (h *HTTPEngines) Send(ctx context.Context, o order.Order) error {
 	body, err := json.Marshal(WireOrder{
-		ID: o.ID, Action: string(o.Action), Target: o.Target, Fencing: o.Fencing, LifeMS: o.Life.Milliseconds(),
+		ID: o.ID, Action: string(o.Action), Target: o.Target, FencingToken: o.Fencing, TTLMS: o.Life.Milliseconds(),
 	})
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrOrderRefused, err)
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -47,7 +47,7 @@
 		return nil, fmt.Errorf("%w: %w", ErrBadAnswer, err)
 	}
 	if answer.Attempt != request.Attempt {
-		return nil, fmt.Errorf("%w: attempt %q", ErrCrossedAnswer, answer.Attempt)
+		return nil, fmt.Errorf("%w: attempt %q", ErrWrongAttempt, answer.Attempt)
 	}
 	if len(answer.Output) == 0 {
 		return nil, fmt.Errorf("%w: no output", ErrBadAnswer)
@@ -131,7 +131,7 @@
 		return nil, fmt.Errorf("%w: %w", ErrBadAnswer, err)
 	}
 	if chunk.Attempt != s.request.Attempt {
-		return nil, fmt.Errorf("%w: chunk of attempt %q", ErrCrossedAnswer, chunk.Attempt)
+		return nil, fmt.Errorf("%w: chunk of attempt %q", ErrWrongAttempt, chunk.Attempt)
 	}
 	if chunk.Offset != s.offset {
 		return nil, fmt.Errorf("%w: chunk at offset %d, want %d", ErrBadAnswer, chunk.Offset, s.offset)
@@ -150,7 +150,7 @@
 		return fmt.Errorf("%w: %w", ErrBadAnswer, err)
 	}
 	if end.Attempt != s.request.Attempt {
-		return fmt.Errorf("%w: end mark of attempt %q", ErrCrossedAnswer, end.Attempt)
+		return fmt.Errorf("%w: end mark of attempt %q", ErrWrongAttempt, end.Attempt)
 	}
 	if end.Bytes != s.offset {
 		return fmt.Errorf("%w: %d bytes received, end mark says %d", ErrBadAnswer, s.offset, end.Bytes)
--- a/internal/backend/wire_engine.go
+++ b/internal/backend/wire_engine.go
@@ -40,10 +40,10 @@
 	// Action is "load", "unload" or "role".
 	Action string `json:"action"`
 	// Target is a model, adapter or version, or a role.
-	Target  string `json:"target"`
-	Fencing int64  `json:"fencing"`
-	// LifeMS is how long after its arrival the order may start, in milliseconds.
-	LifeMS int64 `json:"life_ms"`
+	Target       string `json:"target"`
+	FencingToken int64  `json:"fencing"`
+	// TTLMS is how long after its arrival the order may start, in milliseconds.
+	TTLMS int64 `json:"life_ms"`
 }
 
 // WireCacheEvent tells that a prefix entered or left an engine's cache. Numbers
--- a/internal/capacity/jobs.go
+++ b/internal/capacity/jobs.go
@@ -224,7 +224,7 @@
 		name := fmt.Sprint("entry-instance-", i)
 		keepers[i] = leases.New(leases.Config{
 			Store: fake, Key: job.HolderKey(name), Instance: name, Boot: func() time.Time { return now },
-			HeldEvent: events.JobLeaseHeld, LostEvent: events.JobLeaseLost, Log: slog.New(slog.DiscardHandler),
+			HeldEvent: events.JobLeaseAcquired, LostEvent: events.JobLeaseLost, Log: slog.New(slog.DiscardHandler),
 		})
 	}
 	for range leaseSeconds {
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -153,7 +153,7 @@
 
 // countCrossed counts an answer that belongs to another attempt.
 func (c *stageCall) countCrossed(err error) {
-	if errors.Is(err, backend.ErrCrossedAnswer) {
+	if errors.Is(err, backend.ErrWrongAttempt) {
 		c.Metrics.dropped.Inc(1)
 	}
 }
--- a/internal/events/orders.go
+++ b/internal/events/orders.go
@@ -4,7 +4,7 @@
 
 // Events of orders to model engines, 5000 to 5999.
 var (
-	LeadershipTaken        = define(5000, slog.LevelInfo, "instance leads its failure domain")
+	LeadershipAcquired     = define(5000, slog.LevelInfo, "instance leads its failure domain")
 	LeadershipLost         = define(5001, slog.LevelInfo, "instance no longer leads its failure domain")
 	OrderSent              = define(5100, slog.LevelInfo, "order sent to an engine")
 	OrderFailed            = define(5101, slog.LevelWarn, "order to an engine failed")
--- a/internal/events/state.go
+++ b/internal/events/state.go
@@ -6,10 +6,10 @@
 var (
 	ClaimsUnsettled = define(2000, slog.LevelWarn, "ends of claims are not recorded yet and are tried again")
 
-	JobLeaseHeld   = define(2100, slog.LevelInfo, "lease for durable jobs is held")
-	JobLeaseLost   = define(2101, slog.LevelWarn, "lease for durable jobs was lost, running jobs stop")
-	JobTakenOver   = define(2102, slog.LevelInfo, "job of an instance without a lease was taken over")
-	JobStopped     = define(2103, slog.LevelWarn, "job stopped because its record has another holder")
-	JobScanFailed  = define(2105, slog.LevelWarn, "job records could not be scanned")
-	JobRecordError = define(2106, slog.LevelWarn, "job record could not be written or read")
+	JobLeaseAcquired = define(2100, slog.LevelInfo, "lease for durable jobs is held")
+	JobLeaseLost     = define(2101, slog.LevelWarn, "lease for durable jobs was lost, running jobs stop")
+	JobTakenOver     = define(2102, slog.LevelInfo, "job of an instance without a lease was taken over")
+	JobStopped       = define(2103, slog.LevelWarn, "job stopped because its record has another holder")
+	JobScanFailed    = define(2105, slog.LevelWarn, "job records could not be scanned")
+	JobRecordError   = define(2106, slog.LevelWarn, "job record could not be written or read")
 )
--- a/internal/gateway/clientrequest.go
+++ b/internal/gateway/clientrequest.go
@@ -178,7 +178,7 @@
 func (c *clientRequest) endUnanswered() {
 	if c.clientGone() {
 		c.metrics.abandoned.Inc(1)
-		c.log(events.AttemptLeft)
+		c.log(events.AttemptAbandoned)
 		panic(http.ErrAbortHandler)
 	}
 	c.fail(http.StatusGatewayTimeout, "deadline", errDeadlinePassed)
@@ -188,7 +188,7 @@
 // http.ErrAbortHandler.
 func (c *clientRequest) abort(err error) {
 	c.metrics.aborted.Inc(1)
-	c.log(events.AttemptBroken, slog.Any("error", err))
+	c.log(events.AttemptAborted, slog.Any("error", err))
 	panic(http.ErrAbortHandler)
 }
 
--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -212,7 +212,7 @@
 			continue
 		}
 		lease = granted
-		events.Registration.Log(ctx, c.logger, slog.String("address", c.settings.PeerAddress))
+		events.Registered.Log(ctx, c.logger, slog.String("address", c.settings.PeerAddress))
 		c.rereadRegistrations(ctx)
 		clock.Sleep(ctx, registrationRenewInterval)
 	}
@@ -266,7 +266,7 @@
 		id := strings.TrimPrefix(e.Key, registrationPrefix)
 		var r registration
 		if err := json.Unmarshal(e.Value, &r); err != nil {
-			events.EntryRejected.Log(context.Background(), c.logger, slog.String("key", e.Key), slog.Any("error", err))
+			events.StoreEntryRejected.Log(context.Background(), c.logger, slog.String("key", e.Key), slog.Any("error", err))
 			continue
 		}
 		if id == c.settings.Instance {
--- a/internal/gateway/logwriter.go
+++ b/internal/gateway/logwriter.go
@@ -77,7 +77,7 @@
 func (w *LogWriter) ReportDropped(ctx context.Context, logger *slog.Logger) {
 	clock.Every(ctx, dropReportInterval, func() {
 		if n := w.dropped.Swap(0); n > 0 {
-			events.LinesDropped.Log(ctx, logger, slog.Int64("lines", n))
+			events.LogLinesDropped.Log(ctx, logger, slog.Int64("lines", n))
 		}
 	})
 }
--- a/internal/gateway/placementsharing.go
+++ b/internal/gateway/placementsharing.go
@@ -50,7 +50,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), shareTimeout)
 	defer cancel()
 	if err := p.client.SharePlacements(ctx, address, request); err != nil {
-		events.ShareFailed.Log(ctx, p.logger, slog.String("service", request.Service), slog.String("address", address), slog.Any("error", err))
+		events.PlacementShareFailed.Log(ctx, p.logger, slog.String("service", request.Service), slog.String("address", address), slog.Any("error", err))
 	}
 }
 
--- a/internal/gateway/resultfreer.go
+++ b/internal/gateway/resultfreer.go
@@ -71,7 +71,7 @@
 	// The results of a server that is no longer registered are gone with it.
 	if server, ok := f.serverAt(producer); ok {
 		if err := f.send(server, waiting.results); err != nil {
-			events.FreeFailed.Log(context.Background(), f.logger, slog.String("server", server.ID), slog.Int("results", len(waiting.results)), slog.Any("error", err))
+			events.FreeResultsFailed.Log(context.Background(), f.logger, slog.String("server", server.ID), slog.Int("results", len(waiting.results)), slog.Any("error", err))
 			return
 		}
 	}
--- a/internal/gateway/settingswatcher.go
+++ b/internal/gateway/settingswatcher.go
@@ -51,5 +51,5 @@
 	restart := next.ClientAddress != r.current.ClientAddress || next.ReadyAddress != r.current.ReadyAddress ||
 		next.PeerAddress != r.current.PeerAddress || next.StoreAddress != r.current.StoreAddress
 	r.current = next
-	events.SettingsReread.Log(context.Background(), r.logger, slog.Bool("restart_needed", restart))
+	events.SettingsReloaded.Log(context.Background(), r.logger, slog.Bool("restart_needed", restart))
 }
--- a/internal/gateway/stagerequest.go
+++ b/internal/gateway/stagerequest.go
@@ -46,7 +46,7 @@
 		}
 		if response.Refusal == string(stagework.RefusedMoved) {
 			r.cluster.Avoid(address)
-			events.StageMoved.Log(ctx, r.logger, slog.String("id", r.RequestID), slog.Int("stage", i), slog.String("address", address))
+			events.StageHandedBack.Log(ctx, r.logger, slog.String("id", r.RequestID), slog.Int("stage", i), slog.String("address", address))
 			continue
 		}
 		events.StageEnded.Log(ctx, r.logger, slog.String("id", r.RequestID), slog.Int("stage", i), slog.String("service", stage.Service),
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -133,7 +133,7 @@
 		Store: config.Store, Key: job.HolderKey(config.Instance), Instance: config.Instance,
 		Wanted: j.leaseWanted, ReleaseUnwanted: true,
 		Lost: j.stopAll, Boot: config.Boot, Log: config.Log,
-		HeldEvent: events.JobLeaseHeld, LostEvent: events.JobLeaseLost,
+		HeldEvent: events.JobLeaseAcquired, LostEvent: events.JobLeaseLost,
 	})
 	return j
 }
--- a/internal/orders/leader.go
+++ b/internal/orders/leader.go
@@ -30,7 +30,7 @@
 		Exclusive: true,
 		Wanted:    candidate,
 		Boot:      boot,
-		HeldEvent: events.LeadershipTaken,
+		HeldEvent: events.LeadershipAcquired,
 		LostEvent: events.LeadershipLost,
 		Log:       logger,
 	})}
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -152,15 +152,15 @@
 			order backend.WireOrder
 			want  int
 		}{
-			{backend.WireOrder{Action: "role", Target: "decode", Fencing: 5, LifeMS: 4000}, 202},
-			{backend.WireOrder{Action: "role", Target: "prefill", Fencing: 4, LifeMS: 4000}, old},
-			{backend.WireOrder{Action: "unload", Target: "m1", Fencing: 5}, 410},
-			{backend.WireOrder{Action: "reboot", Fencing: 5, LifeMS: 4000}, 400},
+			{backend.WireOrder{Action: "role", Target: "decode", FencingToken: 5, TTLMS: 4000}, 202},
+			{backend.WireOrder{Action: "role", Target: "prefill", FencingToken: 4, TTLMS: 4000}, old},
+			{backend.WireOrder{Action: "unload", Target: "m1", FencingToken: 5}, 410},
+			{backend.WireOrder{Action: "reboot", FencingToken: 5, TTLMS: 4000}, 400},
 		} {
 			test.order.ID = fmt.Sprint(i)
 			c.Assert(b.engine.order(test.order), qt.Equals, test.want)
 		}
-		c.Assert(b.engine.order(backend.WireOrder{ID: "0", Action: "unload", Target: "m1", Fencing: 5, LifeMS: 1}), qt.Equals, 200)
+		c.Assert(b.engine.order(backend.WireOrder{ID: "0", Action: "unload", Target: "m1", FencingToken: 5, TTLMS: 1}), qt.Equals, 200)
 		_, err := ask(c.Context(), server, backend.StageRequest{Type: pipeline.StageService, Model: "m1"})
 		c.Assert(err, qt.IsNil)
 		_, err = ask(c.Context(), server, backend.StageRequest{Type: pipeline.StageService, Model: "m2"})
@@ -175,7 +175,7 @@
 	weights := NewWeightStore(1)
 	for _, want := range []int{202, 429} {
 		b := NewBackend(BackendConfig{Slots: 1, Engine: EngineConfig{Weights: weights, LoadTime: time.Hour, Models: []string{"m1"}}})
-		c.Assert(b.engine.order(backend.WireOrder{ID: "1", Action: "load", Target: "m2", LifeMS: 4000}), qt.Equals, want)
+		c.Assert(b.engine.order(backend.WireOrder{ID: "1", Action: "load", Target: "m2", TTLMS: 4000}), qt.Equals, want)
 		c.Assert(b.engine.serves("m2"), qt.IsFalse)
 		b.engine.loaded("m2")
 		c.Assert(b.engine.serves("m2"), qt.IsTrue)
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -113,16 +113,16 @@
 		return http.StatusBadRequest
 	case e.done[order.ID]:
 		return http.StatusOK
-	case e.config.FencesOrders && order.Fencing < e.fencing:
+	case e.config.FencesOrders && order.FencingToken < e.fencing:
 		return http.StatusConflict
-	case order.LifeMS <= 0:
+	case order.TTLMS <= 0:
 		return http.StatusGone
 	case e.state.Loading:
 		return http.StatusTooManyRequests
 	case order.Action == actionLoad && !e.config.Weights.Allow():
 		return http.StatusTooManyRequests
 	}
-	e.fencing = max(e.fencing, order.Fencing)
+	e.fencing = max(e.fencing, order.FencingToken)
 	e.done[order.ID] = true
 	e.start(order)
 	return http.StatusAccepted
--- a/internal/view/sync.go
+++ b/internal/view/sync.go
@@ -271,7 +271,7 @@
 func (s *Sync) regained() {
 	if !s.reachable {
 		s.reachable = true
-		events.StoreReached.Log(context.Background(), s.logger, slog.Int64("version", int64(s.state.Position())))
+		events.StoreReachable.Log(context.Background(), s.logger, slog.Int64("version", int64(s.state.Position())))
 	}
 }
 
@@ -284,7 +284,7 @@
 	s.state.Outage(time.Now())
 	if s.reachable {
 		s.reachable = false
-		events.StoreLost.Log(ctx, s.logger, slog.Any("error", err), slog.Int64("version", int64(s.state.Position())))
+		events.StoreUnreachable.Log(ctx, s.logger, slog.Any("error", err), slog.Int64("version", int64(s.state.Position())))
 	}
 }
 
@@ -313,7 +313,7 @@
 
 func (s *Sync) logRejected(change Change) {
 	for _, r := range change.Rejected {
-		events.EntryRejected.Log(context.Background(), s.logger, slog.String("key", r.Key), slog.Any("error", r.Error))
+		events.StoreEntryRejected.Log(context.Background(), s.logger, slog.String("key", r.Key), slog.Any("error", r.Error))
 	}
 }
 
@@ -351,7 +351,7 @@
 	s.pulls.Inc(1)
 	changes, err := s.peers.Pull(ctx, address, have)
 	if err != nil {
-		events.PullFailed.Log(ctx, s.logger, slog.String("address", address), slog.Any("error", err))
+		events.ViewPullFailed.Log(ctx, s.logger, slog.String("address", address), slog.Any("error", err))
 		// The next try may go to any instance.
 		s.mu.Lock()
 		s.heardAddress = ""
