--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -8,20 +8,21 @@
 	"sync"
 )
 
-// errSealed reports a write after the call that it belongs to was given up.
-var errSealed = errors.New("connection is closed for writing")
+// errWriteClosed reports a write after the call that it belongs to has failed.
+var errWriteClosed = errors.New("connection is closed for writing")
 
-// countedConn counts writes, so that a call whose connection broke can tell
-// whether any byte left. httptrace alone can't: net/http reports WroteHeaders
-// before it flushes its buffer.
+// countedConn counts writes, so that after a connection error it is known whether
+// any byte of the call was sent. httptrace alone does not show this: net/http
+// reports WroteHeaders before it flushes its buffer.
 type countedConn struct {
 	net.Conn
-	mu     sync.Mutex
-	writes int
-	sealed bool
+	mu          sync.Mutex
+	writes      int
+	writeClosed bool
 }
 
-// dialCounted is the DialContext of a transport.
+// dialCounted is a DialContext function for http.Transport that returns a
+// countedConn.
 func dialCounted(ctx context.Context, network, address string) (net.Conn, error) {
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, network, address)
@@ -31,66 +32,70 @@
 	return &countedConn{Conn: conn}, nil
 }
 
-// Write counts before it writes: a write that has begun may send something.
+// Write counts the write before it starts it, because a write that has started may
+// send data even if it fails.
 func (c *countedConn) Write(data []byte) (int, error) {
 	c.mu.Lock()
-	if c.sealed {
+	if c.writeClosed {
 		c.mu.Unlock()
-		return 0, errSealed
+		return 0, errWriteClosed
 	}
 	c.writes++
 	c.mu.Unlock()
 	return c.Conn.Write(data)
 }
 
-func (c *countedConn) count() int {
+func (c *countedConn) writeCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writes
 }
 
-// seal forbids further writes and returns the number of those that have begun.
-func (c *countedConn) seal() int {
+// closeWrite makes further writes fail and returns the number of writes started so
+// far.
+func (c *countedConn) closeWrite() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sealed = true
+	c.writeClosed = true
 	return c.writes
 }
 
-// sending tracks the connections that a call was given. The transport moves on
-// to another one when the first broke before a byte left.
-type sending struct {
+// callConns holds the connections that the transport used for one call. The
+// transport takes another connection when the first one fails before a byte is
+// sent.
+type callConns struct {
 	mu    sync.Mutex
-	given []givenConn
-	// unknown is true for a connection that isn't counted.
-	unknown bool
+	conns []callConn
+	// uncounted is true when one of the connections is not a countedConn, so that its
+	// writes are not known.
+	uncounted bool
 }
 
-type givenConn struct {
+type callConn struct {
 	conn *countedConn
-	// before is the number of writes of earlier calls.
-	before int
+	// writesBefore is the number of writes by earlier calls on the connection.
+	writesBefore int
 }
 
-func (s *sending) gotConn(info httptrace.GotConnInfo) {
+func (s *callConns) gotConn(info httptrace.GotConnInfo) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	conn, ok := info.Conn.(*countedConn)
 	if !ok {
-		s.unknown = true
+		s.uncounted = true
 		return
 	}
-	s.given = append(s.given, givenConn{conn, conn.count()})
+	s.conns = append(s.conns, callConn{conn, conn.writeCount()})
 }
 
-// end reports whether bytes of a failed call may have left. None leaves
-// afterwards.
-func (s *sending) end() bool {
+// finish reports whether bytes of a failed call may have been sent. Later writes of
+// the call fail.
+func (s *callConns) finish() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	sent := s.unknown
-	for _, given := range s.given {
-		sent = given.conn.seal() > given.before || sent
+	sent := s.uncounted
+	for _, c := range s.conns {
+		sent = c.conn.closeWrite() > c.writesBefore || sent
 	}
 	return sent
 }
--- a/internal/backend/conn_test.go
+++ b/internal/backend/conn_test.go
@@ -12,8 +12,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// breakingTransport gives a pooled connection to a call and fails, after a write
-// or before any.
+// breakingTransport assigns a pooled connection to a call and then fails, after one
+// write or before any.
 type breakingTransport struct {
 	conn  net.Conn
 	write bool
@@ -27,9 +27,9 @@
 	return nil, errors.New("connection broke")
 }
 
-// Guards against a call that counts as one that may have run although its
-// connection broke before a byte left, against the reverse, and against bytes that
-// leave after the call was reported as not sent.
+// Guards against a call that is reported as possibly run although its connection
+// failed before a byte was sent, against the reverse, and against bytes that are
+// sent after the call was reported as not sent.
 func TestConnectionThatBreaksBeforeTheFirstByte(t *testing.T) {
 	c := qt.New(t)
 	request := StageRequest{Timeout: time.Minute, Input: []byte("1")}
@@ -43,7 +43,7 @@
 	pooled := &countedConn{Conn: near, writes: 3}
 	c.Assert(call(pooled, false), qt.ErrorIs, ErrNotSent)
 	_, err := pooled.Write([]byte("late"))
-	c.Assert(err, qt.ErrorIs, errSealed)
+	c.Assert(err, qt.ErrorIs, errWriteClosed)
 
 	c.Assert(call(&countedConn{Conn: near}, true), qt.ErrorIs, ErrMayHaveRun)
 	c.Assert(call(near, false), qt.ErrorIs, ErrMayHaveRun)
--- a/internal/backend/decode_test.go
+++ b/internal/backend/decode_test.go
@@ -8,8 +8,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Guards against a short way through the usual form of an answer that accepts or
-// reads another document than encoding/json does.
+// Guards against a fast path for the usual form of an answer that accepts documents
+// which encoding/json rejects, or decodes a document differently.
 func TestDecodeAnswerAsEncodingJSON(t *testing.T) {
 	for _, data := range []string{
 		`{"attempt":"a1","output":{"n":1}}`,
@@ -44,7 +44,7 @@
 	}
 }
 
-// The reference for BenchmarkDecodeAnswer.
+// The baseline for BenchmarkDecodeAnswer.
 func BenchmarkDecodeAnswerEncodingJSON(b *testing.B) {
 	data := []byte(`{"attempt":"a1","output":{"text":"` + strings.Repeat("lot 4711 ", 60) + `"}}`)
 	b.ReportAllocs()
--- a/internal/backend/http.go
+++ b/internal/backend/http.go
@@ -43,8 +43,8 @@
 // Call sends one attempt and returns its answer as a stream.
 func (h *HTTPCaller) Call(ctx context.Context, server Server, request StageRequest) (StageStream, error) {
 	ctx, cancel := context.WithTimeout(ctx, request.Timeout)
-	var sending sending
-	trace := &httptrace.ClientTrace{GotConn: sending.gotConn}
+	var conns callConns
+	trace := &httptrace.ClientTrace{GotConn: conns.gotConn}
 	httpRequest, err := newRequest(httptrace.WithClientTrace(ctx, trace), server, request)
 	if err != nil {
 		cancel()
@@ -53,7 +53,7 @@
 	response, err := h.transport.RoundTrip(httpRequest)
 	if err != nil {
 		cancel()
-		return nil, transportError(err, sending.end(), server)
+		return nil, transportError(err, conns.finish(), server)
 	}
 	stream, err := newStream(response, request)
 	if err != nil {
@@ -84,7 +84,7 @@
 	return httpRequest.WithContext(ctx), nil
 }
 
-// encodeBody appends the input as it is, since encoding/json would parse and
+// encodeBody appends the input unchanged, since encoding/json would parse and
 // compact a document that is known to be valid.
 func encodeBody(request StageRequest) ([]byte, error) {
 	head, err := json.Marshal(Body{
@@ -108,9 +108,9 @@
 	return append(body, '}'), nil
 }
 
-// transportError classifies an error without a response. Refusals and calls that were given up, such as
-// the slower one of a hedge, get no context: they are frequent, and the stack
-// trace of oops makes an error 20 times as expensive.
+// transportError classifies an error of a call that got no response. Cancelled
+// calls, such as the slower call of a hedge, and refusals get no oops context: they
+// are frequent, and the stack trace of oops makes an error 20 times as expensive.
 func transportError(err error, sent bool, server Server) error {
 	kind := ErrNotSent
 	if sent {
@@ -124,7 +124,8 @@
 	return failure.Wrap(err)
 }
 
-// newStream turns a response into a stream, or into the error it stands for.
+// newStream returns the answer in a response as a stream, or the error that the
+// response reports.
 func newStream(response *http.Response, request StageRequest) (StageStream, error) {
 	if response.StatusCode != http.StatusOK {
 		return nil, statusError(response)
@@ -145,9 +146,9 @@
 
 const maxRefusalBytes = 64 << 10
 
-// statusError maps a status other than 200. Only a body that says so makes a
-// 503 or 429 a refusal: an intermediary may send the same status after the
-// request ran.
+// statusError returns the error for a status other than 200. A 503 or 429 is a
+// refusal only if its body says so: an intermediary may send the same status after
+// the request ran.
 func statusError(response *http.Response) error {
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxRefusalBytes))
 	if err != nil {
@@ -171,7 +172,7 @@
 	}
 }
 
-// cancelStream releases the call's context when the stream is closed.
+// cancelStream cancels the context of the call when the stream is closed.
 type cancelStream struct {
 	StageStream
 	cancel func()
--- a/internal/backend/http_test.go
+++ b/internal/backend/http_test.go
@@ -51,8 +51,9 @@
 
 func event(name, data string) string { return fmt.Sprintf("event: %s\ndata: %s\n\n", name, data) }
 
-// Guards against an answer that is garbage, half, crossed or too large and is
-// taken for a whole one, and against an error that claims too much about what ran.
+// Guards against an answer that is malformed, truncated, too large or of another
+// attempt and is accepted as complete, and against an error that states wrongly
+// whether the stage may have run.
 func TestAnswers(t *testing.T) {
 	c := qt.New(t)
 	first := event(EventChunk, `{"attempt":"a1","offset":0,"data":"abc"}`)
@@ -101,8 +102,7 @@
 	}
 }
 
-// Guards against a connection that was refused and counts as a call that may
-// have run.
+// Guards against a refused connection that is reported as a call that may have run.
 func TestConnectionRefusedIsNotSent(t *testing.T) {
 	c := qt.New(t)
 	server := httptest.NewServer(nil)
--- a/internal/backend/load.go
+++ b/internal/backend/load.go
@@ -9,12 +9,14 @@
 	"time"
 )
 
-// LoadReport is what a backend server says about its load. It lags.
+// LoadReport is the load that a backend server reported last. It lags behind the
+// actual load.
 type LoadReport struct {
+	// Running and Waiting are numbers of requests.
 	Running int
 	Waiting int
 	Slots   int
-	// Age is how old the report was when it was sent.
+	// Age is the age of the report when it was sent.
 	Age time.Duration
 }
 
@@ -23,7 +25,7 @@
 	Load(ctx context.Context, server Server) (LoadReport, error)
 }
 
-// maxLoadBytes bounds a load report.
+// maxLoadBytes limits the size of a load report.
 const maxLoadBytes = 4 << 10
 
 // HTTPLoadReader reads load reports over HTTP.
--- a/internal/backend/orders.go
+++ b/internal/backend/orders.go
@@ -12,14 +12,14 @@
 	"github.com/coltsfootdrift/coltsfootdrift/order"
 )
 
-// Errors of an order.
+// Errors of Engines.
 var (
 	// ErrOrderRefused reports that the engine did not carry the order out: its
-	// fencing number is old, its life is over, or the engine is busy.
+	// fencing token is old, its time to live is over, or the engine is busy.
 	ErrOrderRefused = errors.New("engine refused the order")
 	// ErrOrderUnknown reports that the engine may have carried the order out.
 	ErrOrderUnknown = errors.New("effect of the order is unknown")
-	// ErrStateUnavailable reports that an engine's state could not be read.
+	// ErrStateUnavailable reports that the state of an engine could not be read.
 	ErrStateUnavailable = errors.New("engine state is unavailable")
 )
 
@@ -27,16 +27,16 @@
 type Engines interface {
 	// State returns what the engine at an address has loaded.
 	State(ctx context.Context, server, address string) (order.Observed, error)
-	// Send sends one order. An engine carries an order ID out once.
+	// Send sends one order. An engine carries out each order ID at most once.
 	Send(ctx context.Context, o order.Order) error
 }
 
-// HTTPEngines reaches model engines over HTTP with JSON.
+// HTTPEngines implements Engines over HTTP with JSON.
 type HTTPEngines struct {
 	Client *http.Client
 }
 
-// maxStateBytes bounds an engine's state document.
+// maxStateBytes limits the size of an engine's state document.
 const maxStateBytes = 1 << 20
 
 // State reads an engine's state.
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -13,7 +13,7 @@
 	"github.com/tmaxmax/go-sse"
 )
 
-// maxEventBytes bounds one server-sent event.
+// maxEventBytes limits the size of one server-sent event.
 const maxEventBytes = 4 << 20
 
 // answerStream is a whole JSON answer as a stream of one piece.
@@ -23,24 +23,25 @@
 	body   io.Closer
 }
 
-// envelopeBytes is allowed for what surrounds the output of an answer.
-const envelopeBytes = 4 << 10
+// maxEnvelopeBytes limits the size of an answer without its output.
+const maxEnvelopeBytes = 4 << 10
 
 func newAnswerStream(response *http.Response, request StageRequest) (StageStream, error) {
 	var data bytes.Buffer
-	limit := request.MaxAnswerBytes + envelopeBytes
+	limit := request.MaxAnswerBytes + maxEnvelopeBytes
 	if response.ContentLength > limit {
-		return nil, tooLarge(request)
+		return nil, tooLargeError(request)
 	}
 	if response.ContentLength > 0 {
-		// ReadFrom grows a buffer that has not MinRead bytes free at the end.
+		// With fewer than MinRead free bytes at the end ReadFrom would grow the buffer
+		// once more.
 		data.Grow(int(response.ContentLength) + bytes.MinRead)
 	}
 	if _, err := data.ReadFrom(io.LimitReader(response.Body, limit+1)); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrBadAnswer, err)
 	}
 	if int64(data.Len()) > limit {
-		return nil, tooLarge(request)
+		return nil, tooLargeError(request)
 	}
 	answer, err := decodeAnswer(data.Bytes(), request.Attempt)
 	if err != nil {
@@ -53,14 +54,14 @@
 		return nil, fmt.Errorf("%w: no output", ErrBadAnswer)
 	}
 	if int64(len(answer.Output)) > request.MaxAnswerBytes {
-		return nil, tooLarge(request)
+		return nil, tooLargeError(request)
 	}
 	return &answerStream{output: answer.Output, body: response.Body}, nil
 }
 
-// decodeAnswer reads an answer. The usual form, whose attempt comes first and
-// whose output comes last, is taken apart by its bytes: encoding/json would scan
-// the output several times.
+// decodeAnswer decodes an answer. The usual form, in which the attempt comes first
+// and the output last, is split by comparing its bytes, because encoding/json would
+// scan the output several times.
 func decodeAnswer(data []byte, attempt string) (answer Answer, err error) {
 	output, ok := bytes.CutPrefix(data, []byte(`{"attempt":"`+attempt+`","output":`))
 	if ok {
@@ -73,7 +74,7 @@
 	return answer, err
 }
 
-func tooLarge(request StageRequest) error {
+func tooLargeError(request StageRequest) error {
 	return fmt.Errorf("%w: answer exceeds %d bytes", ErrBadAnswer, request.MaxAnswerBytes)
 }
 
@@ -95,7 +96,8 @@
 	body    io.Closer
 	next    func() (sse.Event, error, bool)
 	stop    func()
-	// offset is the number of bytes of the whole stream received so far.
+	// offset is the number of bytes received so far of the whole stream, including
+	// those before a resume.
 	offset int64
 }
 
@@ -138,12 +140,12 @@
 	}
 	s.offset += int64(len(chunk.Data))
 	if s.offset > s.request.MaxAnswerBytes {
-		return nil, tooLarge(s.request)
+		return nil, tooLargeError(s.request)
 	}
 	return []byte(chunk.Data), nil
 }
 
-// end checks the end mark and returns io.EOF for a whole answer.
+// end checks the end mark and returns io.EOF when the answer is complete.
 func (s *eventStream) end(data string) error {
 	var end StreamEnd
 	if err := json.Unmarshal([]byte(data), &end); err != nil {
--- a/internal/backend/wire.go
+++ b/internal/backend/wire.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// Headers and paths of the HTTP wire form. The attempt is not sent as
+// Headers and paths of the HTTP protocol. The attempt is not sent as
 // Idempotency-Key, because net/http resends requests that carry that header.
 const (
 	HeaderAttempt  = "Attempt-Id"
@@ -47,8 +47,8 @@
 	Bytes   int64  `json:"bytes"`
 }
 
-// Refusal is the body of a response with status 503 or 429: the server did not
-// run the request.
+// Refusal is the body of a response, for example with status 503 or 429, that
+// reports that the server did not run the request.
 type Refusal struct {
 	Refused  bool `json:"refused"`
 	Draining bool `json:"draining,omitempty"`
