--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain finds the way of one request in the structured logs of several
-// instances.
+// Package explain finds the log lines of one request in the structured logs of
+// several instances and prints them in the order of time.
 package explain
 
 import (
@@ -15,10 +15,10 @@
 	"time"
 )
 
-// maxLineBytes bounds one line of a log.
+// maxLineBytes limits the length of one line of a log.
 const maxLineBytes = 1 << 20
 
-// ErrNotFound reports an ID that no line names.
+// ErrNotFound reports that no line has the ID of the request.
 var ErrNotFound = errors.New("no log line names the request")
 
 // Line is one line of a log.
@@ -27,14 +27,15 @@
 	Event   int
 	Level   string
 	Message string
-	// Source is the file that the line stands in, and what precedes the JSON there.
+	// Source is the name of the file and the text that precedes the JSON in the line.
 	Source string
-	// Fields holds the other attributes.
+	// Fields holds the other attributes by name.
 	Fields map[string]any
 }
 
-// Find returns the lines of a log that name a request. Text before the JSON of a
-// line, such as the name of the instance, is kept; lines without JSON are skipped.
+// Find returns the lines of a log that have the ID of a request. Text before the
+// JSON of a line, such as the name of the instance, becomes part of Source; lines
+// without JSON are skipped.
 func Find(source string, log io.Reader, id string) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(log)
@@ -98,7 +99,7 @@
 	return nil
 }
 
-// attributes returns the fields by name.
+// attributes formats the fields, sorted by name.
 func attributes(fields map[string]any) string {
 	var text strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(fields)) {
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -15,9 +15,9 @@
 const second = `{"time":"2026-01-01T00:00:00.002Z","level":"INFO","msg":"stage of a request ended","event":7210,"id":"a1","stage":0}
 `
 
-// Guards against lines of other requests, a wrong order, and a log that ends the
-// search because it holds more than JSON.
-func TestTheWayOfARequest(t *testing.T) {
+// Guards against lines of other requests, a wrong order, and a search that ends at
+// the first line that is not JSON.
+func TestLinesOfOneRequestInOrderOfTime(t *testing.T) {
 	c := qt.New(t)
 	lines, err := Find("x.log", strings.NewReader(first), "a1")
 	c.Assert(err, qt.IsNil)
