--- a/internal/events/catalogue_test.go
+++ b/internal/events/catalogue_test.go
@@ -8,8 +8,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Guards against an event of any part of the system that the catalogue lacks or
-// describes with another level or message.
+// Guards against an event that is missing in the catalogue or has another level or
+// message there.
 func TestEveryEventIsCatalogued(t *testing.T) {
 	c := qt.New(t)
 	catalogue, err := os.ReadFile("../../docs/EVENTS.md")
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -11,9 +11,9 @@
 	"github.com/samber/oops"
 )
 
-// Event is one kind of log line.
+// Event is one type of log line.
 type Event struct {
-	// ID never changes its meaning between releases.
+	// ID is the number of the event. Its meaning never changes between releases.
 	ID      int
 	Level   slog.Level
 	Message string
@@ -26,14 +26,15 @@
 	}
 	all := []slog.Attr{slog.Int("event", e.ID)}
 	for _, attr := range attrs {
-		all = append(all, expand(attr)...)
+		all = append(all, expandError(attr)...)
 	}
 	logger.LogAttrs(ctx, e.Level, e.Message, all...)
 }
 
-// expand adds the code and the context of an error from an adapter, wherever it
-// stands in the chain. The stack trace stays out of the log.
-func expand(attr slog.Attr) []slog.Attr {
+// expandError returns an attribute that is an error as its text and, if its chain
+// holds an error of an adapter, the code and the context of that one. The stack
+// trace is not logged. Other attributes are returned unchanged.
+func expandError(attr slog.Attr) []slog.Attr {
 	err, ok := attr.Value.Any().(error)
 	if !ok {
 		return []slog.Attr{attr}
@@ -54,8 +55,8 @@
 // registry holds every event by its number.
 var registry = map[int]Event{}
 
-// define registers an event. It panics when the number is taken, which is a
-// mistake in this package.
+// define registers an event. It panics when the number is already in use, which is
+// a programming error in this package.
 func define(id int, level slog.Level, message string) Event {
 	if _, taken := registry[id]; taken {
 		panic("events: duplicate event number")
--- a/internal/events/events_test.go
+++ b/internal/events/events_test.go
@@ -11,9 +11,8 @@
 	"github.com/samber/oops"
 )
 
-// Guards against log lines that lose the code and the context which an adapter
-// gave to its error once a layer above has wrapped it, and against stack traces
-// in the log.
+// Guards against log lines without the code and the context of an adapter's error
+// when a layer above has wrapped that error, and against stack traces in the log.
 func TestLogShowsContextOfWrappedErrors(t *testing.T) {
 	c := qt.New(t)
 	sentinel := errors.New("store is unavailable")
