--- a/internal/peer/advertise_test.go
+++ b/internal/peer/advertise_test.go
@@ -10,8 +10,8 @@
 	"github.com/coltsfootdrift/coltsfootdrift/membership"
 )
 
-// Guards against an instance behind address translation that binds the address
-// that others use, which it doesn't have.
+// Guards against an instance behind network address translation that binds its
+// advertised address, which no local interface has.
 func TestListenAtLocalAddress(t *testing.T) {
 	c := qt.New(t)
 	identity := membership.Identity{ID: "a", FailureDomain: "d", Address: "192.0.2.1:7000"}
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -12,7 +12,7 @@
 	"github.com/coltsfootdrift/coltsfootdrift/membership"
 )
 
-// Timeouts of calls. AwaitClaim is bounded by its context and maxAwait.
+// Timeouts of calls. AwaitClaim ends with its context or after maxAwait.
 const (
 	callTimeout  = 3 * time.Second
 	leaveTimeout = 500 * time.Millisecond
@@ -29,7 +29,8 @@
 	maxIdlePerPeer = 16
 )
 
-// maxResponseBytes leaves room for the framing of maxPartsBytes and of a head.
+// maxResponseBytes limits the size of a response. It leaves room for parts of
+// maxPartsBytes, or a head, and for the encoding around them.
 const maxResponseBytes = 1 << 20
 
 // Client calls other instances.
@@ -41,7 +42,7 @@
 func NewClient() *Client {
 	dialer := net.Dialer{
 		Timeout: dialTimeout,
-		// Probes notice connections that a partition has silenced.
+		// Probes detect connections that a network partition has interrupted.
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeInterval, Interval: probeInterval, Count: probeCount},
 	}
 	transport := &http.Transport{
@@ -53,7 +54,7 @@
 	return &Client{http: &http.Client{Transport: limitedTransport{transport}}}
 }
 
-// limitedTransport bounds the bodies of answers.
+// limitedTransport limits the size of response bodies.
 type limitedTransport struct{ next http.RoundTripper }
 
 func (t limitedTransport) RoundTrip(request *http.Request) (*http.Response, error) {
@@ -76,10 +77,10 @@
 
 // Head returns the encoded change from a revision to the head of a peer, nil when
 // there is none.
-func (c *Client) Head(ctx context.Context, address string, have int64) ([]byte, error) {
+func (c *Client) Head(ctx context.Context, address string, haveRevision int64) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	response, err := c.peer(address).PullConfiguration(ctx, &peerpb.PullConfigurationRequest{HaveRevision: have})
+	response, err := c.peer(address).PullConfiguration(ctx, &peerpb.PullConfigurationRequest{HaveRevision: haveRevision})
 	return response.GetHead(), fromTwirp(err, "pull_configuration", address)
 }
 
@@ -100,7 +101,7 @@
 	return response.GetResults(), fromTwirp(err, "append_claims", address)
 }
 
-// AwaitClaim waits at the holder of an attempt for its outcome.
+// AwaitClaim requests the outcome of an attempt from its holder and waits for it.
 func (c *Client) AwaitClaim(ctx context.Context, address string, claim []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, maxAwait)
 	defer cancel()
@@ -116,27 +117,28 @@
 	return response.GetAccepted(), fromTwirp(err, "hand_over_job", address)
 }
 
-// RunStage runs a stage at the instance that forms the calls of its service. The
-// context bounds it.
+// RunStage runs a stage at the instance that schedules the calls of its service. Its
+// only time limit is the context.
 func (c *Client) RunStage(ctx context.Context, address string, request *peerpb.RunStageRequest) (*peerpb.RunStageResponse, error) {
 	response, err := c.peer(address).RunStage(ctx, request)
 	return response, fromTwirp(err, "run_stage", address)
 }
 
-// AwaitStage goes on waiting for a pending job of RunStage. The context bounds it.
+// AwaitStage continues to wait for a pending job of RunStage. Its only time limit is
+// the context.
 func (c *Client) AwaitStage(ctx context.Context, address string, request *peerpb.AwaitStageRequest) (*peerpb.RunStageResponse, error) {
 	response, err := c.peer(address).AwaitStage(ctx, request)
 	return response, fromTwirp(err, "await_stage", address)
 }
 
-// PlacePrompt has an instance choose the model server for a prompt. The context
-// bounds it.
+// PlacePrompt requests the model server for a prompt from the instance that places
+// the prompts of the service. Its only time limit is the context.
 func (c *Client) PlacePrompt(ctx context.Context, address string, request *peerpb.PlacePromptRequest) (*peerpb.PlacePromptResponse, error) {
 	response, err := c.peer(address).PlacePrompt(ctx, request)
 	return response, fromTwirp(err, "place_prompt", address)
 }
 
-// ReportPlacement tells an instance what became of a placement.
+// ReportPlacement reports the result of a placement to the instance that made it.
 func (c *Client) ReportPlacement(ctx context.Context, address string, request *peerpb.ReportPlacementRequest) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -144,7 +146,8 @@
 	return fromTwirp(err, "report_placement", address)
 }
 
-// SharePlacements tells an instance of another region what model servers keep.
+// SharePlacements sends the cached prompt parts of model servers to an instance of
+// another region.
 func (c *Client) SharePlacements(ctx context.Context, address string, request *peerpb.SharePlacementsRequest) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -152,7 +155,7 @@
 	return fromTwirp(err, "share_placements", address)
 }
 
-// FreeResults gives up results at the instance that forms the calls of a service.
+// FreeResults frees results at the instance that schedules the calls of a service.
 func (c *Client) FreeResults(ctx context.Context, address string, request *peerpb.FreeResultsRequest) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -160,12 +163,12 @@
 	return fromTwirp(err, "free_results", address)
 }
 
-// PullView returns what a peer has read of the store after a version, or all of it. The
-// result has version 0 when the peer has nothing newer.
-func (c *Client) PullView(ctx context.Context, address string, have store.Version) (store.Changes, error) {
+// PullView returns the changes after a version that a peer has read from the store,
+// or all entries. The result has version 0 when the peer has nothing newer.
+func (c *Client) PullView(ctx context.Context, address string, haveVersion store.Version) (store.Changes, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	response, err := c.peer(address).PullView(ctx, &peerpb.PullViewRequest{HaveVersion: int64(have)})
+	response, err := c.peer(address).PullView(ctx, &peerpb.PullViewRequest{HaveVersion: int64(haveVersion)})
 	if err != nil {
 		return store.Changes{}, fromTwirp(err, "pull_view", address)
 	}
@@ -177,7 +180,7 @@
 	return changes, nil
 }
 
-// Leave reports that a member stops.
+// Leave reports to an instance that a member stops.
 func (c *Client) Leave(ctx context.Context, address string, member membership.Record) error {
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -1,5 +1,5 @@
-// Package peer is the way from instance to instance: heartbeats over UDP and a
-// twirp service for calls that need an answer.
+// Package peer implements the communication between instances: heartbeats over UDP
+// and a twirp service for calls that need an answer.
 package peer
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/coltsfootdrift/coltsfootdrift/membership"
 )
 
-// Encode returns the datagram of a message.
+// Encode encodes a message as a datagram.
 func Encode(m membership.Message) ([]byte, error) {
 	heartbeat := &peerpb.Heartbeat{From: encodeRecord(m.From), Urgent: m.Urgent}
 	for _, b := range m.HeartbeatCounters {
@@ -20,18 +20,18 @@
 		heartbeat.BeatIncarnations = append(heartbeat.BeatIncarnations, b.Incarnation)
 		heartbeat.BeatCounters = append(heartbeat.BeatCounters, b.Counter)
 	}
-	heartbeat.Records = encodeList(m.Records, encodeRecord)
-	heartbeat.Drains = encodeList(m.DrainMarkers, func(d membership.DrainMarker) *peerpb.DrainMarker {
+	heartbeat.Records = mapSlice(m.Records, encodeRecord)
+	heartbeat.Drains = mapSlice(m.DrainMarkers, func(d membership.DrainMarker) *peerpb.DrainMarker {
 		return &peerpb.DrainMarker{Server: d.Server, Incarnation: d.Incarnation, Cleared: d.Cleared, RemainingMs: d.Remaining.Milliseconds()}
 	})
-	heartbeat.Stragglers = encodeList(m.Stragglers, func(s membership.Straggler) *peerpb.Straggler {
+	heartbeat.Stragglers = mapSlice(m.Stragglers, func(s membership.Straggler) *peerpb.Straggler {
 		return &peerpb.Straggler{Server: s.Server, RemainingMs: s.Remaining.Milliseconds()}
 	})
-	heartbeat.Counts = encodeList(m.InFlightCounts, func(c membership.InFlightCount) *peerpb.Count {
+	heartbeat.Counts = mapSlice(m.InFlightCounts, func(c membership.InFlightCount) *peerpb.Count {
 		return &peerpb.Count{Server: c.Server, InFlight: int64(c.InFlight), Long: int64(c.Long)}
 	})
-	heartbeat.Demand = encodeList(m.Demand, encodeDemand)
-	heartbeat.Summaries = encodeList(m.Summaries, encodeSummary)
+	heartbeat.Demand = mapSlice(m.Demand, encodeDemand)
+	heartbeat.Summaries = mapSlice(m.Summaries, encodeSummary)
 	data, err := proto.Marshal(heartbeat)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
@@ -42,12 +42,13 @@
 	return data, nil
 }
 
-func encodeList[T, P any](items []T, encode func(T) P) []P {
-	var list []P
-	for _, item := range items {
-		list = append(list, encode(item))
+// mapSlice returns the converted items, nil when there are none.
+func mapSlice[T, P any](in []T, convert func(T) P) []P {
+	var out []P
+	for _, item := range in {
+		out = append(out, convert(item))
 	}
-	return list
+	return out
 }
 
 func encodeRecord(r membership.Record) *peerpb.Record {
@@ -61,13 +62,13 @@
 
 func encodeSummary(s membership.DomainSummary) *peerpb.Summary {
 	return &peerpb.Summary{FailureDomain: s.FailureDomain, Members: int64(s.Members), Load: int64(s.Load), Revision: s.Revision,
-		AgeMs: s.Age.Milliseconds(), Demand: encodeList(s.Demand, encodeDemand),
-		Contacts: encodeList(s.Contacts, func(c membership.Contact) *peerpb.Contact {
+		AgeMs: s.Age.Milliseconds(), Demand: mapSlice(s.Demand, encodeDemand),
+		Contacts: mapSlice(s.Contacts, func(c membership.Contact) *peerpb.Contact {
 			return &peerpb.Contact{Id: c.ID, Address: c.Address}
 		})}
 }
 
-// Decode reads a datagram.
+// Decode decodes a datagram.
 func Decode(data []byte) (membership.Message, error) {
 	var h peerpb.Heartbeat
 	if len(data) > membership.MaxMessageBytes {
@@ -77,29 +78,29 @@
 		return membership.Message{}, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	if len(h.BeatHashes) != len(h.BeatIncarnations) || len(h.BeatHashes) != len(h.BeatCounters) {
-		return membership.Message{}, fmt.Errorf("%w: lists of beats differ in length", ErrMalformed)
+		return membership.Message{}, fmt.Errorf("%w: lists of heartbeat counters differ in length", ErrMalformed)
 	}
 	m := membership.Message{From: decodeRecord(h.From), Urgent: h.Urgent}
 	for i, hash := range h.BeatHashes {
 		m.HeartbeatCounters = append(m.HeartbeatCounters, membership.HeartbeatCounter{IDHash: hash, Incarnation: h.BeatIncarnations[i], Counter: h.BeatCounters[i]})
 	}
-	m.Records = encodeList(h.Records, decodeRecord)
-	m.DrainMarkers = encodeList(h.Drains, func(d *peerpb.DrainMarker) membership.DrainMarker {
+	m.Records = mapSlice(h.Records, decodeRecord)
+	m.DrainMarkers = mapSlice(h.Drains, func(d *peerpb.DrainMarker) membership.DrainMarker {
 		return membership.DrainMarker{Server: d.GetServer(), Incarnation: d.GetIncarnation(), Cleared: d.GetCleared(), Remaining: millis(d.GetRemainingMs())}
 	})
-	m.Stragglers = encodeList(h.Stragglers, func(s *peerpb.Straggler) membership.Straggler {
+	m.Stragglers = mapSlice(h.Stragglers, func(s *peerpb.Straggler) membership.Straggler {
 		return membership.Straggler{Server: s.GetServer(), Remaining: millis(s.GetRemainingMs())}
 	})
-	m.InFlightCounts = encodeList(h.Counts, func(c *peerpb.Count) membership.InFlightCount {
+	m.InFlightCounts = mapSlice(h.Counts, func(c *peerpb.Count) membership.InFlightCount {
 		return membership.InFlightCount{Server: c.GetServer(), InFlight: int(c.GetInFlight()), Long: int(c.GetLong())}
 	})
-	m.Demand = encodeList(h.Demand, decodeDemand)
-	m.Summaries = encodeList(h.Summaries, decodeSummary)
+	m.Demand = mapSlice(h.Demand, decodeDemand)
+	m.Summaries = mapSlice(h.Summaries, decodeSummary)
 	return m, nil
 }
 
-// decodeRecord takes an unknown state for alive: only the member itself can say
-// that it left.
+// decodeRecord decodes a record. An unknown state is decoded as alive, because only
+// the member itself can report that it has left.
 func decodeRecord(r *peerpb.Record) membership.Record {
 	state := membership.MemberState(r.GetState())
 	if state < membership.Alive || state > membership.Left {
@@ -115,8 +116,8 @@
 
 func decodeSummary(s *peerpb.Summary) membership.DomainSummary {
 	return membership.DomainSummary{FailureDomain: s.GetFailureDomain(), Members: int(s.GetMembers()), Load: int(s.GetLoad()),
-		Revision: s.GetRevision(), Age: millis(s.GetAgeMs()), Demand: encodeList(s.GetDemand(), decodeDemand),
-		Contacts: encodeList(s.GetContacts(), func(c *peerpb.Contact) membership.Contact {
+		Revision: s.GetRevision(), Age: millis(s.GetAgeMs()), Demand: mapSlice(s.GetDemand(), decodeDemand),
+		Contacts: mapSlice(s.GetContacts(), func(c *peerpb.Contact) membership.Contact {
 			return membership.Contact{ID: c.GetId(), Address: c.GetAddress()}
 		})}
 }
--- a/internal/peer/errors.go
+++ b/internal/peer/errors.go
@@ -10,29 +10,29 @@
 
 // Errors of the package.
 var (
-	// ErrMalformed reports a message that can't be read.
+	// ErrMalformed reports a message that cannot be decoded.
 	ErrMalformed = errors.New("message between instances is malformed")
-	// ErrTooLarge reports a message over its bound.
+	// ErrTooLarge reports a message over its size limit.
 	ErrTooLarge = errors.New("message between instances is too large")
-	// ErrUnreachable reports a call without an answer. It may have been carried out.
+	// ErrUnreachable reports a call that got no answer. The peer may have carried it out.
 	ErrUnreachable = errors.New("peer is unreachable")
-	// ErrBusy reports a call that the peer refused because of too many others.
+	// ErrBusy reports a call that the peer refused because it serves too many others.
 	ErrBusy = errors.New("peer is busy")
-	// ErrUnsupported reports a call that the peer doesn't serve (yet).
+	// ErrUnsupported reports a call that the peer does not serve, or not yet.
 	ErrUnsupported = errors.New("peer does not serve this call")
 	// ErrRefused reports a call that the peer's handler refused.
 	ErrRefused = errors.New("peer refused the call")
 )
 
-// fromTwirp turns an error of a call into one of this package.
+// fromTwirp wraps the error of a call in one of this package.
 func fromTwirp(err error, call, address string) error {
 	if err == nil {
 		return nil
 	}
 	sentinel := ErrUnreachable
-	var answer twirp.Error
-	if errors.As(err, &answer) {
-		switch answer.Code() {
+	var twirpErr twirp.Error
+	if errors.As(err, &twirpErr) {
+		switch twirpErr.Code() {
 		case twirp.ResourceExhausted:
 			sentinel = ErrBusy
 		case twirp.Unimplemented, twirp.BadRoute:
@@ -44,7 +44,7 @@
 	return oops.In("peer").Code(call).With("address", address).Wrap(fmt.Errorf("%w: %w", sentinel, err))
 }
 
-// toTwirp turns an error of a handler into an answer.
+// toTwirp returns the twirp error for the error of a handler.
 func toTwirp(err error) error {
 	switch {
 	case err == nil:
--- a/internal/peer/fleet_test.go
+++ b/internal/peer/fleet_test.go
@@ -9,21 +9,21 @@
 	"github.com/coltsfootdrift/coltsfootdrift/membership"
 )
 
-// datagramHeader is the size of the IP and UDP headers.
-const datagramHeader = 28
+// datagramHeaderBytes is the size of the IP and UDP headers.
+const datagramHeaderBytes = 28
 
-// fleet runs instances in memory and passes on their encoded heartbeats.
+// fleet runs instances in memory and delivers their encoded heartbeats.
 type fleet struct {
-	tb      testing.TB
-	now     time.Time
-	random  *rand.Rand
-	loss    float64
-	nodes   map[string]*membership.State
-	order   []string
-	queue   []datagram
-	sent    int
-	bytes   int
-	largest int
+	tb           testing.TB
+	now          time.Time
+	random       *rand.Rand
+	loss         float64
+	nodes        map[string]*membership.State
+	order        []string
+	queue        []datagram
+	sent         int
+	bytes        int
+	largestBytes int
 }
 
 type datagram struct {
@@ -31,7 +31,7 @@
 	data    []byte
 }
 
-// newFleet starts instances that all report as much as fits.
+// newFleet starts instances whose messages hold as many entries as fit.
 func newFleet(tb testing.TB, instances, domains int, loss float64) *fleet {
 	f := &fleet{tb: tb, now: time.Unix(1_700_000_000, 0), random: rand.New(rand.NewPCG(1, uint64(instances))), loss: loss,
 		nodes: map[string]*membership.State{}}
@@ -70,8 +70,8 @@
 	return demand
 }
 
-// emit encodes the messages of one instance. Revisions that it hears of are in
-// force at once.
+// emit queues the messages of one instance. A new revision in the outputs is in force
+// at the instance immediately.
 func (f *fleet) emit(state *membership.State, outputs []membership.Output) {
 	for _, output := range outputs {
 		switch out := output.(type) {
@@ -92,8 +92,8 @@
 		f.tb.Fatalf("encoded message has %d bytes, its bound is %d", len(data), out.Message.Bytes())
 	}
 	f.sent++
-	f.bytes += len(data) + datagramHeader
-	f.largest = max(f.largest, len(data))
+	f.bytes += len(data) + datagramHeaderBytes
+	f.largestBytes = max(f.largestBytes, len(data))
 	if f.random.Float64() >= f.loss {
 		f.queue = append(f.queue, datagram{out.Address, data})
 	}
@@ -112,7 +112,8 @@
 	}
 }
 
-// round lets one interval pass; instances tick at different moments.
+// round advances the time by one interval, in which the instances tick one after
+// another.
 func (f *fleet) round() {
 	start := f.now
 	for i, address := range f.order {
@@ -123,7 +124,8 @@
 	f.now = start.Add(membership.Interval)
 }
 
-// roundsUntil counts rounds until all instances satisfy a condition.
+// roundsUntil returns the number of rounds until all instances satisfy a condition,
+// at most 100.
 func (f *fleet) roundsUntil(condition func(*membership.State) bool) int {
 	for n := range 100 {
 		reached := true
--- a/internal/peer/node.go
+++ b/internal/peer/node.go
@@ -18,7 +18,7 @@
 	"github.com/coltsfootdrift/coltsfootdrift/membership"
 )
 
-// Node drives the membership state machine over UDP.
+// Node runs the membership state machine and sends its messages over UDP.
 type Node struct {
 	conn      *net.UDPConn
 	logger    *slog.Logger
@@ -36,7 +36,8 @@
 	return ListenAt(identity.Address, identity, logger, scope)
 }
 
-// ListenAt binds a UDP address that others reach as the identity's address.
+// ListenAt binds the UDP address local. Other instances reach it at the identity's
+// address.
 func ListenAt(local string, identity membership.Identity, logger *slog.Logger, scope tally.Scope) (*Node, error) {
 	address, err := netip.ParseAddrPort(local)
 	if err != nil {
@@ -57,8 +58,8 @@
 	}, nil
 }
 
-// Observe adds a function that gets every output but Send. It must not block and
-// is called without locks; add observers before Run.
+// Observe adds a function that is called with every output except Send, without
+// locks held. It must not block. Observers must be added before Run.
 func (n *Node) Observe(observer func(membership.Output)) {
 	n.observers = append(n.observers, observer)
 }
@@ -66,24 +67,25 @@
 // Run sends and receives heartbeats until the context ends.
 func (n *Node) Run(ctx context.Context) {
 	var receiving sync.WaitGroup
-	receiving.Go(n.receiveAll)
-	n.tickAll(ctx)
+	receiving.Go(n.receiveLoop)
+	n.tickLoop(ctx)
 	n.conn.Close()
 	receiving.Wait()
 }
 
-// firstTicks follow each other faster, so that an instance that starts is known
-// within a second.
+// A starting instance ticks initialTicks times at a shorter interval, so that other
+// instances know it within a second.
 const (
-	firstTicks        = 6
-	firstTickInterval = membership.Interval / 6
+	initialTicks        = 6
+	initialTickInterval = membership.Interval / 6
 )
 
-// tickAll starts at a random phase: instances that tick in step spread their
-// heartbeats more slowly and suspect each other.
-func (n *Node) tickAll(ctx context.Context) {
-	for range firstTicks {
-		if !n.tickAfter(ctx, firstTickInterval/2+rand.N(firstTickInterval)) {
+// tickLoop ticks until the context ends, with a random offset at the start: if
+// instances tick at the same time, their heartbeats spread more slowly and they
+// suspect each other.
+func (n *Node) tickLoop(ctx context.Context) {
+	for range initialTicks {
+		if !n.tickAfter(ctx, initialTickInterval/2+rand.N(initialTickInterval)) {
 			return
 		}
 	}
@@ -102,10 +104,10 @@
 	}
 }
 
-// tickAfter ticks after a pause, or returns false when the context ends first.
-func (n *Node) tickAfter(ctx context.Context, pause time.Duration) bool {
+// tickAfter ticks after a delay, or returns false when the context ends first.
+func (n *Node) tickAfter(ctx context.Context, delay time.Duration) bool {
 	select {
-	case <-time.After(pause):
+	case <-time.After(delay):
 		n.tick()
 		return true
 	case <-ctx.Done():
@@ -117,8 +119,8 @@
 	n.Do(func(s *membership.State) []membership.Output { return s.Tick(time.Now()) })
 }
 
-// receiveAll reads datagrams until the connection is closed.
-func (n *Node) receiveAll() {
+// receiveLoop reads datagrams until the connection is closed.
+func (n *Node) receiveLoop() {
 	buffer := make([]byte, membership.MaxMessageBytes+1)
 	for {
 		size, err := n.conn.Read(buffer)
@@ -142,24 +144,24 @@
 	n.Do(func(s *membership.State) []membership.Output { return s.Receive(time.Now(), message) })
 }
 
-// Do changes the state and carries out the outputs.
+// Do calls change with the state and handles the outputs that it returns.
 func (n *Node) Do(change func(*membership.State) []membership.Output) {
 	n.mu.Lock()
 	outputs := change(n.state)
 	n.mu.Unlock()
 	for _, output := range outputs {
-		n.carryOut(output)
+		n.dispatch(output)
 	}
 }
 
-// View reads the state. The function must not keep it.
+// View calls read with the state. read must not keep a reference to the state.
 func (n *Node) View(read func(*membership.State)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	read(n.state)
 }
 
-func (n *Node) carryOut(output membership.Output) {
+func (n *Node) dispatch(output membership.Output) {
 	if send, ok := output.(membership.Send); ok {
 		n.send(send)
 		return
@@ -173,7 +175,8 @@
 	}
 }
 
-// send writes one datagram. A lost one is made up for by later heartbeats.
+// send sends one datagram. A lost datagram is not sent again, because later
+// heartbeats replace it.
 func (n *Node) send(send membership.Send) {
 	address, err := netip.ParseAddrPort(send.Address)
 	if err != nil {
@@ -194,11 +197,12 @@
 	n.sentBytes.Inc(int64(len(data)))
 }
 
-// leaveCalls is the number of members that are told of a leave by a call, in case
-// the datagrams are lost.
-const leaveCalls = 2
+// maxLeaveCalls is the number of members that a leaving instance also notifies by a
+// call, in case the datagrams are lost.
+const maxLeaveCalls = 2
 
-// Leave tells the others that this instance stops. End Run afterwards.
+// Leave notifies the other instances that this one stops. The context of Run must
+// end afterwards.
 func (n *Node) Leave(ctx context.Context, client *Client) {
 	var self membership.Record
 	var live []membership.Record
@@ -209,7 +213,7 @@
 	})
 	called := 0
 	for _, member := range live {
-		if member.ID != self.ID && called < leaveCalls {
+		if member.ID != self.ID && called < maxLeaveCalls {
 			called++
 			_ = client.Leave(ctx, member.Address, self)
 		}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -18,8 +18,8 @@
 	"github.com/coltsfootdrift/coltsfootdrift/membership"
 )
 
-// Guards against a field of a heartbeat that is lost on the wire, and against
-// datagrams that can't come from an instance.
+// Guards against a field of a heartbeat that is lost in encoding, and against
+// malformed or too large datagrams that are accepted.
 func TestHeartbeatEncoding(t *testing.T) {
 	c := qt.New(t)
 	record := membership.Record{ID: "a", FailureDomain: "d", Address: "10.0.0.1:1", Incarnation: 1 << 40, Counter: 3,
@@ -83,8 +83,8 @@
 	return listener.Listener.Addr().String()
 }
 
-// Guards against calls whose errors can't be told apart, and against answers that
-// grow with what was asked for.
+// Guards against errors of calls that callers cannot distinguish, and against answers
+// whose size grows with the request.
 func TestCallsBetweenInstances(t *testing.T) {
 	c := qt.New(t)
 	ctx, client, server := context.Background(), NewClient(), NewServer(nil)
@@ -126,7 +126,8 @@
 	c.Assert(err, qt.ErrorIs, ErrUnreachable)
 }
 
-// Guards against a failure domain whose members all pull from one instance at once.
+// Guards against a failure domain whose members all pull from one instance at the
+// same time.
 func TestPullsAtOnceAreBounded(t *testing.T) {
 	c := qt.New(t)
 	handler := fakeHandler{block: make(chan struct{}), entered: make(chan struct{}, maxPulls)}
@@ -146,8 +147,8 @@
 	pulls.Wait()
 }
 
-// Guards against instances that don't find each other over real sockets, and
-// against a leave that doesn't arrive.
+// Guards against instances that do not discover each other over real sockets, and
+// against a leave that is not received.
 func TestNodesOverLoopback(t *testing.T) {
 	c := qt.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -185,7 +186,7 @@
 
 func waitForLive(c *qt.C, nodes []*Node, want string) {
 	for range 1000 {
-		all := true
+		reached := true
 		for _, node := range nodes {
 			var ids []string
 			node.View(func(s *membership.State) {
@@ -193,12 +194,12 @@
 					ids = append(ids, r.ID)
 				}
 			})
-			all = all && strings.Join(ids, " ") == want
+			reached = reached && strings.Join(ids, " ") == want
 		}
-		if all {
+		if reached {
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	c.Fatalf("never became %q", want)
+	c.Fatalf("live members never became %q", want)
 }
--- a/internal/peer/peerpb/doc.go
+++ b/internal/peer/peerpb/doc.go
@@ -1,3 +1,3 @@
-// Package peerpb holds the generated messages and the generated service of calls
-// between entry instances.
+// Package peerpb holds the generated messages and the generated service for calls
+// between instances.
 package peerpb
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -10,26 +10,28 @@
 	"github.com/coltsfootdrift/coltsfootdrift/membership"
 )
 
-// Bounds of calls.
+// Limits of calls.
 const (
 	maxRequestBytes = 1 << 20
-	// maxPartsBytes bounds the parts of one answer. The first part is always
-	// returned; it has at most 512 KB.
+	// maxPartsBytes limits the total size of the parts in one answer. The first part
+	// is always returned; it has at most 512 KB.
 	maxPartsBytes = 768 << 10
-	// maxPulls bounds the pulls that are served at once; the others try another peer.
+	// maxPulls limits the pulls that are served at the same time. Callers whose pull
+	// is refused try another peer.
 	maxPulls = 4
 )
 
 // ConfigurationHandler serves the configuration in force.
 type ConfigurationHandler interface {
 	// HeadAfter returns the encoded change from a revision to the head in force, nil
-	// when there is none. For a revision that it doesn't know it is the whole head.
+	// when there is none. For an unknown revision the result is the whole head.
 	HeadAfter(revision int64) ([]byte, error)
 	// Part returns a part by its SHA-256.
 	Part(digest []byte) ([]byte, bool)
 }
 
-// ClaimHandler serves at-most-once claims. The bytes are those of its package.
+// ClaimHandler serves at-most-once claims. Records, results, claims and outcomes are
+// in the encoding of the claim package.
 type ClaimHandler interface {
 	AppendClaims(ctx context.Context, shard int, records [][]byte) (results [][]byte, err error)
 	// AwaitClaim waits for the outcome of an attempt that this instance holds.
@@ -41,7 +43,7 @@
 	HandOverJob(ctx context.Context, job []byte) (accepted bool, err error)
 }
 
-// StageHandler runs stages of requests that other instances handle.
+// StageHandler runs stages of requests that other instances serve.
 type StageHandler interface {
 	RunStage(ctx context.Context, request *peerpb.RunStageRequest) (*peerpb.RunStageResponse, error)
 	// AwaitStage waits for a job that RunStage returned as pending.
@@ -56,15 +58,15 @@
 	SharePlacements(request *peerpb.SharePlacementsRequest)
 }
 
-// ViewHandler serves what this instance has read of the store.
+// ViewHandler serves the entries that this instance has read from the store.
 type ViewHandler interface {
-	// ChangesAfter returns what changed after a version, or all entries when that is
-	// not known any more. The result has version 0 when nothing newer is known.
-	ChangesAfter(have store.Version) store.Changes
+	// ChangesAfter returns the changes after a version, or all entries when those
+	// changes are no longer known. The result has version 0 when nothing newer is known.
+	ChangesAfter(version store.Version) store.Changes
 }
 
-// Server serves the other instances. Handlers may be registered while it runs;
-// until then their calls end with ErrUnsupported.
+// Server serves the calls of other instances. Handlers may be registered while it
+// runs; until then their calls end with ErrUnsupported.
 type Server struct {
 	node  *Node
 	pulls chan struct{}
@@ -78,8 +80,8 @@
 	placements    PlacementHandler
 }
 
-// NewServer returns a server without handlers. The node learns who leaves; it
-// may be nil.
+// NewServer returns a server without handlers. It passes Leave calls to the node,
+// which may be nil.
 func NewServer(node *Node) *Server {
 	return &Server{node: node, pulls: make(chan struct{}, maxPulls)}
 }
@@ -105,14 +107,15 @@
 	s.jobs = h
 }
 
-// HandleStages registers the handler of RunStage and FreeResults.
+// HandleStages registers the handler of RunStage, AwaitStage and FreeResults.
 func (s *Server) HandleStages(h StageHandler) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stages = h
 }
 
-// HandlePlacements registers the handler of PlacePrompt and ReportPlacement.
+// HandlePlacements registers the handler of PlacePrompt, ReportPlacement and
+// SharePlacements.
 func (s *Server) HandlePlacements(h PlacementHandler) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,13 +158,14 @@
 	return &peerpb.PullConfigurationResponse{Head: head}, nil
 }
 
-// fittingParts returns the first of the parts that are held and fit.
+// fittingParts returns the parts up to the first one that is not found or does not
+// fit into the answer.
 func fittingParts(handler ConfigurationHandler, digests [][]byte) [][]byte {
 	var parts [][]byte
 	size := 0
 	for _, digest := range digests {
-		data, held := handler.Part(digest)
-		if !held || len(parts) > 0 && size+len(data) > maxPartsBytes {
+		data, found := handler.Part(digest)
+		if !found || len(parts) > 0 && size+len(data) > maxPartsBytes {
 			break
 		}
 		parts = append(parts, data)
@@ -299,7 +303,7 @@
 	changes := handler.ChangesAfter(store.Version(request.HaveVersion))
 	return &peerpb.PullViewResponse{
 		Version: int64(changes.Version), Base: int64(changes.Base),
-		Entries: encodeList(changes.Changed, encodeEntry), Deleted: changes.Deleted,
+		Entries: mapSlice(changes.Changed, encodeEntry), Deleted: changes.Deleted,
 	}, nil
 }
 
@@ -307,7 +311,7 @@
 	return &peerpb.StoreEntry{Key: e.Key, Value: e.Value, Version: int64(e.Version)}
 }
 
-// Leave implements peerpb.Peer. The record is taken as an urgent message of the
+// Leave implements peerpb.Peer. The record is handled like an urgent message of the
 // member itself.
 func (s *Server) Leave(_ context.Context, request *peerpb.LeaveRequest) (*peerpb.LeaveResponse, error) {
 	record := decodeRecord(request.GetMember())
