--- a/internal/store/budget.go
+++ b/internal/store/budget.go
@@ -13,7 +13,7 @@
 	"github.com/coltsfootdrift/coltsfootdrift/quota"
 )
 
-// classKey is the context key of a call's class.
+// classKey is the context key of the class of a call.
 type classKey struct{}
 
 // WithClass returns a context whose store calls belong to the class. Calls
@@ -29,9 +29,9 @@
 	return quota.StoreConfiguration
 }
 
-// Budgeted is a Store whose calls keep to the instance's share. A call waits for
-// its share until its context ends; during an outage it is refused at once with
-// ErrUnavailable.
+// Budgeted is a Store that limits the call rate to the instance's share. A call
+// waits until the share allows it or its context ends; during an outage it is
+// refused immediately with ErrUnavailable.
 type Budgeted struct {
 	store  Store
 	now    func() time.Time
@@ -43,10 +43,10 @@
 	budget *quota.StoreBudget
 }
 
-// NewBudgeted wraps a store.
-func NewBudgeted(inner Store, budget *quota.StoreBudget, now func() time.Time, scope tally.Scope) *Budgeted {
+// NewBudgeted returns a store that limits the calls to another one by a budget.
+func NewBudgeted(store Store, budget *quota.StoreBudget, now func() time.Time, scope tally.Scope) *Budgeted {
 	return &Budgeted{
-		store:  inner,
+		store:  store,
 		now:    now,
 		random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		calls:  [2]tally.Counter{scope.Counter("store_reads"), scope.Counter("store_writes")},
@@ -62,7 +62,8 @@
 	b.budget.SetInstances(n, b.now())
 }
 
-// do waits for the budget, runs the call and reports its result to the budget.
+// do waits until the budget allows the call, runs it and reports its result to the
+// budget.
 func (b *Budgeted) do(ctx context.Context, op quota.StoreOp, call func() error) error {
 	probe, err := b.admit(ctx, op)
 	if err != nil {
@@ -70,7 +71,7 @@
 	}
 	b.calls[op].Inc(1)
 	err = call()
-	b.finished(ctx, probe, err)
+	b.reportResult(ctx, probe, err)
 	return err
 }
 
@@ -80,8 +81,8 @@
 	if verdict.Granted {
 		return verdict.Probe, nil
 	}
-	b.wait(class, op, 1)
-	defer b.wait(class, op, -1)
+	b.addWaiting(class, op, 1)
+	defer b.addWaiting(class, op, -1)
 	for !verdict.Granted {
 		if verdict.Outage {
 			return false, fmt.Errorf("%w: backing off for %v", ErrUnavailable, verdict.RetryAfter)
@@ -102,13 +103,13 @@
 	return b.budget.Allow(b.now(), class, op)
 }
 
-func (b *Budgeted) wait(class quota.StoreClass, op quota.StoreOp, change int) {
+func (b *Budgeted) addWaiting(class quota.StoreClass, op quota.StoreOp, change int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.budget.AddWaiting(class, op, change)
 }
 
-func (b *Budgeted) finished(ctx context.Context, probe bool, err error) {
+func (b *Budgeted) reportResult(ctx context.Context, probe bool, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	failed := errors.Is(err, ErrUnavailable) || errors.Is(err, ErrUnknownOutcome)
@@ -141,17 +142,17 @@
 }
 
 // CompareAndSwap implements Store.
-func (b *Budgeted) CompareAndSwap(ctx context.Context, key string, expect Version, value []byte, lease LeaseID) (version Version, err error) {
+func (b *Budgeted) CompareAndSwap(ctx context.Context, key string, expected Version, value []byte, lease LeaseID) (version Version, err error) {
 	err = b.do(ctx, quota.StoreWrite, func() (err error) {
-		version, err = b.store.CompareAndSwap(ctx, key, expect, value, lease)
+		version, err = b.store.CompareAndSwap(ctx, key, expected, value, lease)
 		return err
 	})
 	return version, err
 }
 
 // Delete implements Store.
-func (b *Budgeted) Delete(ctx context.Context, key string, expect Version) error {
-	return b.do(ctx, quota.StoreWrite, func() error { return b.store.Delete(ctx, key, expect) })
+func (b *Budgeted) Delete(ctx context.Context, key string, expected Version) error {
+	return b.do(ctx, quota.StoreWrite, func() error { return b.store.Delete(ctx, key, expected) })
 }
 
 // GrantLease implements Store.
@@ -173,8 +174,9 @@
 	return b.do(ctx, quota.StoreWrite, func() error { return b.store.RevokeLease(ctx, lease) })
 }
 
-// Watch implements Store. A waiting watch counts as one read. During an outage a
-// short call probes first, since a watch can take longer than the longest backoff.
+// Watch implements Store. A watch counts as one read, however long it waits. During
+// an outage a short call is sent first as the probe, because a watch can take longer
+// than the longest backoff.
 func (b *Budgeted) Watch(ctx context.Context, prefix string, after Version) (result WatchResult, err error) {
 	if b.InOutage() {
 		if _, err := b.List(ctx, prefix, "", 1); err != nil {
@@ -195,7 +197,7 @@
 	return b.budget.Rates()
 }
 
-// InOutage reports whether the last call failed for want of an answer.
+// InOutage reports whether the last call failed because the store did not answer.
 func (b *Budgeted) InOutage() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/store/budget_test.go
+++ b/internal/store/budget_test.go
@@ -13,14 +13,14 @@
 	"github.com/coltsfootdrift/coltsfootdrift/quota"
 )
 
-// Guards against calls that keep hitting a store that is down, and against a
-// budget that never finds out that the store is back.
+// Guards against calls that are still sent to an unavailable store, and against a
+// budget that does not detect that the store has recovered.
 func TestBudgetedRefusesDuringOutageAndRecovers(t *testing.T) {
 	c := qt.New(t)
-	now, reached, down := time.Unix(1000, 0), 0, true
+	now, calls, down := time.Unix(1000, 0), 0, true
 	fake := storetest.New()
 	fake.Before = func(context.Context, storetest.Op, string) error {
-		reached++
+		calls++
 		if down {
 			return store.ErrUnavailable
 		}
@@ -32,10 +32,10 @@
 		_, err := s.Get(c.Context(), "k")
 		c.Assert(err, qt.ErrorIs, store.ErrUnavailable)
 	}
-	c.Assert(reached, qt.Equals, 1)
+	c.Assert(calls, qt.Equals, 1)
 	down = false
 	now = now.Add(time.Second)
 	_, err := s.CompareAndSwap(c.Context(), "k", 0, []byte("v"), 0)
 	c.Assert(err, qt.IsNil)
-	c.Assert(reached, qt.Equals, 2)
+	c.Assert(calls, qt.Equals, 2)
 }
--- a/internal/store/http.go
+++ b/internal/store/http.go
@@ -18,18 +18,19 @@
 	"github.com/samber/oops"
 )
 
-// maxIdleConnections bounds the idle connections to the store. An instance has
+// maxIdleConnections limits the idle connections to the store. An instance has
 // at most one write in flight per claim shard and few other calls.
 const maxIdleConnections = 32
 
-// maxAnswerBytes bounds one answer. A list returns whole values.
+// maxAnswerBytes limits the size of one answer. It is far above MaxValueBytes because
+// a list returns whole values.
 const maxAnswerBytes = 64 << 20
 
-// HTTP is the Store adapter for the HTTP wire form.
+// HTTP is the Store adapter for the HTTP protocol.
 type HTTP struct {
 	client  *http.Client
 	address string
-	// watchWait is how long a watch asks the service to wait.
+	// watchWait is the time that the service waits for a change before it ends a watch.
 	watchWait time.Duration
 }
 
@@ -37,15 +38,15 @@
 // commonly applies to connections.
 const defaultWatchWait = 30 * time.Second
 
-// dialTimeout bounds the time after which an unreachable store is noticed.
+// dialTimeout limits the time until an unreachable store is detected.
 const dialTimeout = time.Second
 
-// NewHTTP returns an adapter for the service at address, IP number and port.
+// NewHTTP returns an adapter for the service at address, an IP address and port.
 func NewHTTP(address string) *HTTP {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	client := &http.Client{
 		Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: maxIdleConnections, IdleConnTimeout: time.Minute},
-		// A redirect of kind 307 or 308 would send a write a second time.
+		// A redirect with status 307 or 308 would send a write a second time.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 	return &HTTP{client: client, address: address, watchWait: defaultWatchWait}
@@ -69,12 +70,12 @@
 }
 
 // CompareAndSwap writes value if the key has the expected version.
-func (s *HTTP) CompareAndSwap(ctx context.Context, key string, expect Version, value []byte, lease LeaseID) (Version, error) {
+func (s *HTTP) CompareAndSwap(ctx context.Context, key string, expected Version, value []byte, lease LeaseID) (Version, error) {
 	if len(value) > MaxValueBytes {
 		return 0, ErrTooLarge
 	}
 	var written WireWrite
-	query := url.Values{ParamExpect: {formatID(expect)}}
+	query := url.Values{ParamExpect: {formatID(expected)}}
 	if lease != 0 {
 		query.Set(ParamLease, formatID(lease))
 	}
@@ -83,12 +84,12 @@
 }
 
 // Delete removes the key if it has the expected version.
-func (s *HTTP) Delete(ctx context.Context, key string, expect Version) error {
-	query := url.Values{ParamExpect: {formatID(expect)}}
+func (s *HTTP) Delete(ctx context.Context, key string, expected Version) error {
+	query := url.Values{ParamExpect: {formatID(expected)}}
 	return s.write(ctx, http.MethodDelete, PathKeys+key, query, nil, nil)
 }
 
-// GrantLease creates a lease that lapses after ttl unless it is kept alive.
+// GrantLease creates a lease that expires after ttl unless it is kept alive.
 func (s *HTTP) GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	body, err := json.Marshal(WireGrant{TTLMS: ttl.Milliseconds()})
 	if err != nil {
@@ -123,23 +124,24 @@
 	return WatchResult{Changed: entries(watched.Changed), Deleted: watched.Deleted, Version: watched.Version}, nil
 }
 
-// read sends a call without effect: every failure but ErrNotFound is ErrUnavailable.
+// read sends a call that changes nothing in the store: every failure except
+// ErrNotFound is ErrUnavailable.
 func (s *HTTP) read(ctx context.Context, path string, query url.Values, answer any) error {
 	_, err := s.call(ctx, http.MethodGet, path, query, nil, answer)
 	if err == nil || errors.Is(err, ErrNotFound) || errors.Is(err, ErrUnavailable) {
 		return err
 	}
-	return s.failure(http.MethodGet, path, fmt.Errorf("%w: %w", ErrUnavailable, err))
+	return s.annotate(http.MethodGet, path, fmt.Errorf("%w: %w", ErrUnavailable, err))
 }
 
-// failure adds the call to an error. Answers of the store, such as conflicts, are
-// ordinary results and stay as they are.
-func (s *HTTP) failure(method, path string, err error) error {
+// annotate adds the store, method and path of a call to its error. It is not used
+// for answers of the store that are ordinary results, such as conflicts.
+func (s *HTTP) annotate(method, path string, err error) error {
 	return oops.In("store").Code("call_failed").With("store", s.address, "method", method, "path", path).Wrap(err)
 }
 
-// write sends a call with an effect. A failure after a connection was there is
-// ErrUnknownOutcome, unless the answer says that nothing was written.
+// write sends a call that changes the store. A failure after a connection was
+// established is ErrUnknownOutcome, unless the answer states that nothing was written.
 func (s *HTTP) write(ctx context.Context, method, path string, query url.Values, body []byte, answer any) error {
 	connected, err := s.call(ctx, method, path, query, body, answer)
 	var conflict *ConflictError
@@ -147,9 +149,9 @@
 	case err == nil, errors.As(err, &conflict), errors.Is(err, ErrNotFound), errors.Is(err, ErrTooLarge), errors.Is(err, ErrUnavailable):
 		return err
 	case !connected:
-		return s.failure(method, path, fmt.Errorf("%w: %w", ErrUnavailable, err))
+		return s.annotate(method, path, fmt.Errorf("%w: %w", ErrUnavailable, err))
 	default:
-		return s.failure(method, path, fmt.Errorf("%w: %w", ErrUnknownOutcome, err))
+		return s.annotate(method, path, fmt.Errorf("%w: %w", ErrUnknownOutcome, err))
 	}
 }
 
@@ -174,8 +176,8 @@
 	return true, decode(response, path, answer)
 }
 
-// onceReader hides the type of the body from net/http, which could otherwise
-// rewind it and send a write again by itself.
+// onceReader hides the type of the body from net/http, which could otherwise rewind
+// the body and send a write again on its own.
 func onceReader(body []byte) io.Reader {
 	if len(body) == 0 {
 		return nil
@@ -183,7 +185,8 @@
 	return io.MultiReader(bytes.NewReader(body))
 }
 
-// decode turns an answer into a value or into one of the package's errors.
+// decode decodes an answer into a value, or returns the error of the package that its
+// status stands for.
 func decode(response *http.Response, path string, answer any) error {
 	body := io.LimitReader(response.Body, maxAnswerBytes)
 	switch response.StatusCode {
--- a/internal/store/http_test.go
+++ b/internal/store/http_test.go
@@ -13,7 +13,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Guards against a write that net/http sends again by itself: after the server
+// Guards against a write that net/http sends again on its own: after the server
 // closed a reused connection without an answer, and after a redirect.
 func TestWriteIsNeverSentTwice(t *testing.T) {
 	for _, mode := range []string{"close", "redirect"} {
@@ -52,7 +52,8 @@
 	}
 }
 
-// Guards against a refusal that is reported as a possible write, and the reverse.
+// Guards against a refusal that is reported as a write that may have taken effect, and
+// the reverse.
 func TestStatusMapping(t *testing.T) {
 	for status, want := range map[int]error{
 		http.StatusNotFound: ErrNotFound, http.StatusRequestEntityTooLarge: ErrTooLarge,
@@ -78,7 +79,7 @@
 	c.Assert(err, qt.DeepEquals, error(&ConflictError{Key: "claim/3/7", Current: 12}))
 }
 
-// Guards against a write to an unreachable store that is taken for possibly sent.
+// Guards against a write to an unreachable store that is reported as possibly sent.
 func TestDialFailureIsUnavailable(t *testing.T) {
 	c := qt.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/store/standin_test.go
+++ b/internal/store/standin_test.go
@@ -11,7 +11,7 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/store"
 )
 
-// Guards against an adapter and a stand-in that differ on the wire form.
+// Guards against an adapter and a stand-in that implement the protocol differently.
 func TestAdapterAgainstStandIn(t *testing.T) {
 	c := qt.New(t)
 	service := standin.NewStore()
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,6 +1,6 @@
-// Package store reaches the platform's key-value service: compare-and-swap,
-// leases and watches. Store is the interface the rest of the system uses; one
-// adapter per wire form implements it.
+// Package store is the client of the platform's key-value service, which has
+// compare-and-swap, leases and watches. Store is the interface that the rest of the
+// system uses; each wire protocol has one adapter that implements it.
 package store
 
 import (
@@ -10,50 +10,50 @@
 	"time"
 )
 
-// MaxValueBytes is the largest value the service holds.
+// MaxValueBytes is the size of the largest value that the service stores.
 const MaxValueBytes = 1 << 20
 
-// Version orders writes over the whole store. 0 means that the key is absent.
+// Version orders all writes of the store. 0 means that the key is absent.
 type Version int64
 
-// LeaseID names a lease. 0 means no lease.
+// LeaseID identifies a lease. 0 means no lease.
 type LeaseID int64
 
-// Entry is one key with its value.
+// Entry is a key with its value.
 type Entry struct {
 	Key     string
 	Value   []byte
 	Version Version
-	// Lease deletes the key when it lapses; 0 for a key without a lease.
+	// Lease is the lease whose end deletes the key; 0 for a key without a lease.
 	Lease LeaseID
 }
 
-// WatchResult is what one long poll returned.
+// WatchResult is the result of one long poll.
 type WatchResult struct {
 	// Changed holds the entries written after the version that was asked for.
 	Changed []Entry
 	// Deleted holds the keys deleted after that version.
 	Deleted []string
-	// Version is where the next poll starts.
+	// Version is the version from which the next poll starts.
 	Version Version
 }
 
-// Changes is what an instance tells another one of its copy of the store.
+// Changes is what an instance sends to another one from its copy of the store.
 type Changes struct {
 	WatchResult
-	// Base is the version from which the result leads to its version; 0 when it holds
-	// all entries.
+	// Base is the version that the changes apply to; 0 when the result holds all
+	// entries.
 	Base Version
 }
 
-// Errors of a store call. Each says what is known of the write.
+// Errors of a store call. Each states what is known about the write.
 var (
-	// ErrNotFound reports an absent key or a lapsed lease.
+	// ErrNotFound reports an absent key or an expired lease.
 	ErrNotFound = errors.New("key or lease does not exist")
 	// ErrUnavailable reports a call that did not take effect.
 	ErrUnavailable = errors.New("store is unavailable")
-	// ErrUnknownOutcome reports a write that may have taken effect. The caller
-	// reads back to find out.
+	// ErrUnknownOutcome reports a write that may have taken effect. The caller reads
+	// the key to find out.
 	ErrUnknownOutcome = errors.New("outcome of the write is unknown")
 	// ErrTooLarge reports a value over MaxValueBytes.
 	ErrTooLarge = errors.New("value exceeds the store's limit")
@@ -63,7 +63,7 @@
 // key has another version.
 type ConflictError struct {
 	Key string
-	// Current is the version the key has, 0 when it is absent.
+	// Current is the version that the key has, 0 when it is absent.
 	Current Version
 }
 
@@ -78,12 +78,12 @@
 	// List returns up to limit entries with the prefix and a key after the given
 	// one, in key order.
 	List(ctx context.Context, prefix, after string, limit int) ([]Entry, error)
-	// CompareAndSwap writes value if the key has the expected version. Expect 0
-	// creates the key. It returns the new version.
-	CompareAndSwap(ctx context.Context, key string, expect Version, value []byte, lease LeaseID) (Version, error)
+	// CompareAndSwap writes value if the key has the expected version, where 0 means
+	// that the key is absent. It returns the new version.
+	CompareAndSwap(ctx context.Context, key string, expected Version, value []byte, lease LeaseID) (Version, error)
 	// Delete removes the key if it has the expected version.
-	Delete(ctx context.Context, key string, expect Version) error
-	// GrantLease creates a lease that lapses after ttl unless it is kept alive.
+	Delete(ctx context.Context, key string, expected Version) error
+	// GrantLease creates a lease that expires after ttl unless it is kept alive.
 	GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error)
 	// KeepAlive extends a lease by its ttl, or returns ErrNotFound.
 	KeepAlive(ctx context.Context, lease LeaseID) error
--- a/internal/store/storetest/fake.go
+++ b/internal/store/storetest/fake.go
@@ -1,4 +1,4 @@
-// Package storetest gives tests a Store in memory whose calls can be made to
+// Package storetest provides a Store in memory for tests. Its calls can be made to
 // fail before or after they take effect.
 package storetest
 
@@ -12,10 +12,10 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/store"
 )
 
-// Op names a call of the store.
+// Op is the name of a call of the store.
 type Op string
 
-// Calls that a hook sees.
+// Calls that run hooks.
 const (
 	Get    Op = "get"
 	List   Op = "list"
@@ -35,11 +35,12 @@
 	expires time.Duration
 }
 
-// Fake is a Store in memory. Its leases lapse by Advance only.
+// Fake is a Store in memory. Its leases expire only in Advance.
 type Fake struct {
-	// Before runs ahead of a call; with an error the call has no effect.
+	// Before runs before a call takes effect. After an error of Before the call has no
+	// effect.
 	Before Hook
-	// After runs once the call took effect; with an error its answer is lost.
+	// After runs when the call has taken effect. An error of After replaces the answer.
 	After Hook
 
 	mu      sync.Mutex
@@ -55,7 +56,7 @@
 	return &Fake{entries: map[string]store.Entry{}, leases: map[store.LeaseID]lease{}, counts: map[Op]int{}}
 }
 
-// Count returns how many calls took effect.
+// Count returns the number of calls that Before did not stop.
 func (f *Fake) Count(op Op) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -71,19 +72,19 @@
 	return total
 }
 
-// Advance lets time pass for leases.
+// Advance advances the time and ends the leases that expire.
 func (f *Fake) Advance(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.now += d
 	for id, l := range f.leases {
 		if l.expires < f.now {
-			f.drop(id)
+			f.deleteLease(id)
 		}
 	}
 }
 
-func (f *Fake) drop(id store.LeaseID) {
+func (f *Fake) deleteLease(id store.LeaseID) {
 	delete(f.leases, id)
 	for key, entry := range f.entries {
 		if entry.Lease == id {
@@ -137,12 +138,12 @@
 }
 
 // CompareAndSwap implements store.Store.
-func (f *Fake) CompareAndSwap(ctx context.Context, key string, expect store.Version, value []byte, id store.LeaseID) (version store.Version, err error) {
+func (f *Fake) CompareAndSwap(ctx context.Context, key string, expected store.Version, value []byte, id store.LeaseID) (version store.Version, err error) {
 	if len(value) > store.MaxValueBytes {
 		return 0, store.ErrTooLarge
 	}
 	err = f.do(ctx, Swap, key, func() error {
-		if current := f.entries[key].Version; current != expect {
+		if current := f.entries[key].Version; current != expected {
 			return &store.ConflictError{Key: key, Current: current}
 		}
 		if _, ok := f.leases[id]; id != 0 && !ok {
@@ -157,13 +158,13 @@
 }
 
 // Delete implements store.Store.
-func (f *Fake) Delete(ctx context.Context, key string, expect store.Version) error {
+func (f *Fake) Delete(ctx context.Context, key string, expected store.Version) error {
 	return f.do(ctx, Delete, key, func() error {
 		current, ok := f.entries[key]
 		if !ok {
 			return store.ErrNotFound
 		}
-		if current.Version != expect {
+		if current.Version != expected {
 			return &store.ConflictError{Key: key, Current: current.Version}
 		}
 		delete(f.entries, key)
@@ -198,12 +199,12 @@
 // RevokeLease implements store.Store.
 func (f *Fake) RevokeLease(ctx context.Context, id store.LeaseID) error {
 	return f.do(ctx, Revoke, "", func() error {
-		f.drop(id)
+		f.deleteLease(id)
 		return nil
 	})
 }
 
-// Watch is not simulated: it reports an unavailable store.
+// Watch is not simulated. It reports an unavailable store.
 func (f *Fake) Watch(context.Context, string, store.Version) (store.WatchResult, error) {
 	return store.WatchResult{}, store.ErrUnavailable
 }
--- a/internal/store/wire.go
+++ b/internal/store/wire.go
@@ -1,7 +1,7 @@
 package store
 
-// Paths and query parameters of the HTTP wire form. A key follows PathKeys as
-// it is, slashes included, each of its parts path-escaped.
+// Paths and query parameters of the HTTP protocol. A key follows PathKeys with its
+// slashes; the parts between them are path-escaped.
 const (
 	PathKeys   = "/v1/kv/"
 	PathList   = "/v1/kv"
@@ -15,7 +15,7 @@
 	ParamPrefix = "prefix"
 	ParamAfter  = "after"
 	ParamLimit  = "limit"
-	// ParamWaitMS bounds a watch in milliseconds.
+	// ParamWaitMS is the longest wait of a watch in milliseconds.
 	ParamWaitMS = "wait_ms"
 )
 
@@ -27,7 +27,7 @@
 	Lease   LeaseID `json:"lease,omitempty"`
 }
 
-// Entry returns the entry that w stands for.
+// Entry returns w as an Entry.
 func (w WireEntry) Entry() Entry {
 	return Entry(w)
 }
@@ -54,7 +54,7 @@
 	Version Version     `json:"version"`
 }
 
-// WireGrant asks for a lease.
+// WireGrant is the request for a lease.
 type WireGrant struct {
 	TTLMS int64 `json:"ttl_ms"`
 }
