--- a/internal/cli/audit.go
+++ b/internal/cli/audit.go
@@ -14,13 +14,13 @@
 const auditHelp = `Prints the last 200 changes of the configuration, oldest first, with author,
 reason, time, revisions and difference.`
 
-// readTimeout bounds the commands that only read.
+// readTimeout limits the commands that only read.
 const readTimeout = 10 * time.Second
 
 // auditCommand prints the audit trail.
 type auditCommand struct {
 	streams
-	Store string `long:"store" required:"true" value-name:"ADDRESS" description:"store, IP number and port"`
+	Store string `long:"store" required:"true" value-name:"ADDRESS" description:"store, IP address and port"`
 	JSON  bool   `long:"json" description:"print the trail as JSON"`
 }
 
--- a/internal/cli/capacity.go
+++ b/internal/cli/capacity.go
@@ -12,11 +12,11 @@
 this process and on loopback, in about two minutes. The roles are request,
 routing, limits, membership, configuration, claims, jobs, orders and metrics.`
 
-// capacityCommand measures the slopes of the roles.
+// capacityCommand measures what each role costs at several sizes.
 type capacityCommand struct {
 	streams
 	Only    string `long:"only" value-name:"ROLE" description:"measure one role only"`
-	Repeats int    `long:"repeats" default:"3" description:"number of repetitions, of which the median counts"`
+	Repeats int    `long:"repeats" default:"3" description:"number of repetitions; the report shows the median"`
 	JSON    bool   `long:"json" description:"print the report as JSON"`
 }
 
@@ -44,12 +44,12 @@
 			fmt.Fprintf(table, "figure\tunit\tmeasured\tbase\tslope\tR2\tat %g\n", line.Target)
 		}
 		fmt.Fprintf(table, "%s\t%s\t%s\t%.4g\t%.4g\t%.3f\t%s\n",
-			line.Figure, line.Unit, values(line.Values), line.Base, line.Slope, line.R2, atTarget(line))
+			line.Figure, line.Unit, formatValues(line.Values), line.Base, line.Slope, line.R2, formatAtTarget(line))
 	}
 	return table.Flush()
 }
 
-func values(all []float64) string {
+func formatValues(all []float64) string {
 	text := ""
 	for i, value := range all {
 		if i > 0 {
@@ -60,8 +60,9 @@
 	return text
 }
 
-// atTarget marks a value that was not measured at the target's size.
-func atTarget(line capacity.Line) string {
+// formatAtTarget returns the value at the target's size, marked if it was not measured
+// at that size.
+func formatAtTarget(line capacity.Line) string {
 	if line.Extrapolated {
 		return fmt.Sprintf("%.4g (line)", line.AtTarget)
 	}
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -52,8 +52,8 @@
 	return nil
 }
 
-// printMistakes prints the mistakes of a settings file and returns ErrInvalid, or
-// returns another error as it is.
+// printMistakes prints the mistakes of a settings file and returns ErrInvalid. It
+// returns other errors unchanged.
 func (s streams) printMistakes(err error) error {
 	var mistakes *settings.MistakesError
 	if !errors.As(err, &mistakes) {
@@ -63,8 +63,8 @@
 	return ErrInvalid
 }
 
-// checkFolder returns the set of a folder, or prints its mistakes and returns
-// ErrInvalid.
+// checkFolder returns the set of the files in a folder, or prints their mistakes and
+// returns ErrInvalid.
 func checkFolder(s streams, folder string) (*pipeline.Set, error) {
 	set, mistakes, err := pipeline.Check(os.DirFS(folder))
 	if err != nil {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -37,10 +37,10 @@
 	return []command{
 		{"entry", "run an entry instance", entryHelp, &entryCommand{streams: s}},
 		{"gateway", "run a gateway on the users' platform", gatewayHelp, &gatewayCommand{streams: s}},
-		{"explain", "print the way of a request from logs", explainHelp, &explainCommand{streams: s}},
+		{"explain", "print the log lines of a request", explainHelp, &explainCommand{streams: s}},
 		{"check", "check settings or operators' files", checkHelp, &checkCommand{streams: s}},
 		{"publish", "put operators' files in force", publishHelp, &publishCommand{streams: s}},
-		{"status", "show what an instance sees", statusHelp, &statusCommand{streams: s}},
+		{"status", "show the state of an instance", statusHelp, &statusCommand{streams: s}},
 		{"audit", "show the changes of the configuration", auditHelp, &auditCommand{streams: s}},
 		{"standin", "run stand-ins of the platform on loopback", standinHelp, &standinCommand{streams: s}},
 		{"demo", "serve requests of two example deployments", demoHelp, &demoCommand{streams: s}},
@@ -61,7 +61,7 @@
 	return exitCode(err, stdout, stderr)
 }
 
-// exitCode reports err to the user and maps it to an exit code.
+// exitCode prints err and returns its exit code.
 func exitCode(err error, stdout, stderr io.Writer) int {
 	var usage *flags.Error
 	switch {
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -9,7 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Guards against a settings file with mistakes that starts a daemon or exits with
+// Guards against a daemon that starts with a settings file with mistakes or exits with
 // another code than ExitInvalid.
 func TestInvalidSettings(t *testing.T) {
 	c := qt.New(t)
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -13,7 +13,7 @@
 const demoHelp = `Serves requests of two example deployments in one process on loopback, with
 stand-ins of the platform and entry instances of two regions each, and ends by
 itself in under 30 s. Some backend servers are slow, leave, refuse or answer
-wrongly meanwhile.
+wrongly in the meantime.
 
 The report compares what callers got with what the backend servers recorded. lost,
 doubled, mixed_up and not_run_but_ran must be 0; otherwise the exit code is 1.`
--- a/internal/cli/entry.go
+++ b/internal/cli/entry.go
@@ -11,17 +11,17 @@
 const entryHelp = `Runs an entry instance until SIGTERM or SIGINT. It then withdraws its
 readiness, finishes running requests and exits with 0.`
 
-// entryCommand runs the daemon.
+// entryCommand runs an entry instance.
 type entryCommand struct {
 	streams
 	Settings string `long:"settings" required:"true" value-name:"FILE" description:"settings file, JSON with comments"`
 }
 
-// Execute runs the daemon until a signal stops it.
+// Execute runs the instance until a signal stops it.
 func (c *entryCommand) Execute([]string) error {
-	read, err := settings.Read(c.Settings)
+	entrySettings, err := settings.Read(c.Settings)
 	if err != nil {
 		return c.printMistakes(err)
 	}
-	return entry.Run(context.Background(), read, slog.New(slog.NewJSONHandler(c.stderr, nil)))
+	return entry.Run(context.Background(), entrySettings, slog.New(slog.NewJSONHandler(c.stderr, nil)))
 }
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -10,7 +10,7 @@
 const explainHelp = `Prints the log lines of one request from the logs of several instances in the
 order of time. Without files, or for the file -, it reads standard input.`
 
-// explainCommand finds a request in logs.
+// explainCommand prints the log lines of a request.
 type explainCommand struct {
 	streams
 	ID   string `long:"id" required:"true" value-name:"ID" description:"ID of the request"`
@@ -19,7 +19,7 @@
 	} `positional-args:"true"`
 }
 
-// Execute prints the way of the request.
+// Execute finds the lines in all files and prints them.
 func (c *explainCommand) Execute([]string) error {
 	files := c.Args.Files
 	if len(files) == 0 {
--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -21,19 +21,19 @@
 
 // Execute runs the gateway until a signal stops it.
 func (c *gatewayCommand) Execute([]string) error {
-	read, err := settings.ReadGateway(c.Settings)
+	gatewaySettings, err := settings.ReadGateway(c.Settings)
 	if err != nil {
 		return c.printMistakes(err)
 	}
-	lines := gateway.NewLogWriter(c.stdout)
-	defer lines.Close()
+	logWriter := gateway.NewLogWriter(c.stdout)
+	defer logWriter.Close()
 	adapter := gateway.Adapter{
 		Protocol: platform.Wire{},
 		Store:    func(address string) gateway.Store { return platform.NewStore(address) },
 	}
-	logger := slog.New(slog.NewJSONHandler(lines, nil))
+	logger := slog.New(slog.NewJSONHandler(logWriter, nil))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go lines.ReportDropped(ctx, logger)
-	return gateway.Run(c.Settings, read, adapter, logger)
+	go logWriter.ReportDropped(ctx, logger)
+	return gateway.Run(c.Settings, gatewaySettings, adapter, logger)
 }
--- a/internal/cli/publish.go
+++ b/internal/cli/publish.go
@@ -16,13 +16,13 @@
 difference to the configuration in force and puts the set in force. When another
 operator's change came first, it shows that change and exits with 1.`
 
-// publishTimeout bounds one publish. A first one writes some hundred parts.
+// publishTimeout limits one publish. The first publish writes some hundred parts.
 const publishTimeout = time.Minute
 
-// publishCommand puts operators' files in force.
+// publishCommand checks operators' files and puts them in force.
 type publishCommand struct {
 	streams
-	Store  string `long:"store" required:"true" value-name:"ADDRESS" description:"store, IP number and port"`
+	Store  string `long:"store" required:"true" value-name:"ADDRESS" description:"store, IP address and port"`
 	Author string `long:"author" required:"true" description:"who makes the change"`
 	Reason string `long:"reason" required:"true" description:"why the change is made"`
 	Base   int64  `long:"base" value-name:"REVISION" description:"refuse unless this revision is in force"`
--- a/internal/cli/script_test.go
+++ b/internal/cli/script_test.go
@@ -19,8 +19,8 @@
 }
 
 // Guards against commands whose output or exit code differs from docs/OPERATIONS.md.
-// $STORE is the address of a stand-in store, $ADMIN that of a status with two
-// sections.
+// $STORE is the address of a stand-in store, $ADMIN that of a server whose status has
+// two sections.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata",
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -14,8 +14,8 @@
 
 const standinHelp = `Runs stand-ins of the platform on loopback until SIGTERM or SIGINT: the
 key-value service, the instance list, the weight store and every backend server
-of a deployment folder. They keep nothing when they stop. How many servers each
-pool has, and how fast they are, is in standin.jsonc beside deployment.jsonc.
+of a deployment folder. They lose all data when they stop. The number of servers
+of each pool and their speed are set in standin.jsonc beside deployment.jsonc.
 
 Faults are set with --fault or, while it runs, with PUT /admin/faults of the
 store, the list or a backend server; GET shows the names and values. GET
@@ -37,7 +37,7 @@
 	} `positional-args:"true" required:"true"`
 }
 
-// standinAddresses is what the command prints once everything listens.
+// standinAddresses is what the command prints when all stand-ins listen.
 type standinAddresses struct {
 	Deployment string            `json:"deployment"`
 	Store      string            `json:"store"`
@@ -67,15 +67,15 @@
 			return err
 		}
 	}
-	if err := c.announce(cluster); err != nil {
+	if err := c.reportAddresses(cluster); err != nil {
 		return err
 	}
 	<-ctx.Done()
 	return nil
 }
 
-// announce writes the settings files and prints the addresses.
-func (c *standinCommand) announce(cluster *standin.Cluster) error {
+// reportAddresses writes the settings files and prints the addresses.
+func (c *standinCommand) reportAddresses(cluster *standin.Cluster) error {
 	addresses := standinAddresses{
 		Deployment: cluster.Set.Deployment.Name,
 		Store:      cluster.StoreAddress,
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -14,16 +14,16 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/entry"
 )
 
-const statusHelp = `Shows what one instance sees: configuration revision, peers, backend servers and
-limits. ADDRESS is the admin address of the instance.`
+const statusHelp = `Shows the state of one instance: configuration revision, peers, backend servers
+and limits. ADMIN is the admin address of the instance.`
 
-// maxStatusBytes bounds the answer.
+// maxStatusBytes limits the size of the response.
 const maxStatusBytes = 16 << 20
 
 // statusCommand shows the status of one instance.
 type statusCommand struct {
 	streams
-	Address string `long:"address" required:"true" value-name:"ADMIN" description:"admin address of an instance, IP number and port"`
+	Address string `long:"address" required:"true" value-name:"ADMIN" description:"admin address of an instance, IP address and port"`
 	JSON    bool   `long:"json" description:"print the status as JSON"`
 }
 
