--- a/internal/capacity/claims.go
+++ b/internal/capacity/claims.go
@@ -197,9 +197,9 @@
 func measureAdapter(n int) ([]figure, error) {
 	fake := storetest.New()
 	c := claims.New(claims.Config{
-		Instance: "entry-instance-001", Store: fake, Forwarder: claims.Alone{}, Awaiter: claims.Alone{},
-		Boot: time.Now, Wall: time.Now, Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
-		WriteInterval: claims.WriteInterval / 10, SettleInterval: time.Second,
+		Instance: "entry-instance-001", Store: fake, Forwarder: claims.NoPeers{}, Awaiter: claims.NoPeers{},
+		BootTime: time.Now, WallTime: time.Now, Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
+		WriteInterval: claims.WriteInterval / 10, RecordRetryInterval: time.Second,
 	})
 	took, err := processorTime(func() error {
 		var group errgroup.Group
--- a/internal/capacity/jobs.go
+++ b/internal/capacity/jobs.go
@@ -64,8 +64,8 @@
 	stop   func()
 }
 
-// Domain implements jobs.Members: the failure domain has one instance.
-func (w *worker) Domain() []string { return []string{"entry-instance-001"} }
+// FailureDomainInstances implements jobs.Members: the failure domain has one instance.
+func (w *worker) FailureDomainInstances() []string { return []string{"entry-instance-001"} }
 
 // JobsReleased implements jobs.Members.
 func (w *worker) JobsReleased(context.Context, []string) {}
@@ -89,12 +89,12 @@
 func newWorker(stages int, held chan struct{}) (*worker, error) {
 	w := &worker{store: storetest.New(), held: held, stages: stages}
 	w.Jobs = jobs.New(jobs.Config{
-		Instance: "entry-instance-001", Store: w.store, Members: w, Runner: w, Boot: time.Now, Wall: time.Now,
+		Instance: "entry-instance-001", Store: w.store, Members: w, Runner: w, BootTime: time.Now, WallTime: time.Now,
 		Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	w.stop = cancel
-	go w.Work(ctx)
+	go w.Serve(ctx)
 	for waited := stopwatch(); ; time.Sleep(time.Millisecond) {
 		_, err := w.submit()
 		if err == nil || waited() > leaseWait {
@@ -219,11 +219,11 @@
 // measureLeases keeps the lease of each instance for its jobs.
 func measureLeases(instances int) ([]figure, error) {
 	now, fake := simulatedStart, storetest.New()
-	keepers := make([]*leases.Keeper, instances)
+	keepers := make([]*leases.Manager, instances)
 	for i := range keepers {
 		name := fmt.Sprint("entry-instance-", i)
 		keepers[i] = leases.New(leases.Config{
-			Store: fake, Key: job.HolderKey(name), Instance: name, Boot: func() time.Time { return now },
+			Store: fake, Key: job.HolderKey(name), Instance: name, BootTime: func() time.Time { return now },
 			HeldEvent: events.JobLeaseHeld, LostEvent: events.JobLeaseLost, Log: slog.New(slog.DiscardHandler),
 		})
 	}
--- a/internal/claims/attempt.go
+++ b/internal/claims/attempt.go
@@ -30,7 +30,7 @@
 		Kind:       kind,
 		ID:         a.request.ID,
 		Token:      a.token,
-		BodySHA256: a.request.Body,
+		BodySHA256: a.request.BodySHA256,
 		Holder:     holder,
 		Retention:  a.request.Retention,
 	}
@@ -44,7 +44,7 @@
 
 // Usable reports whether a non-idempotent call may still be sent.
 func (g *Grant) Usable() bool {
-	return g.claims.Boot().Sub(g.attempt.started) < GrantLife
+	return g.claims.BootTime().Sub(g.attempt.started) < GrantLifetime
 }
 
 // Finish records the outcome. When it can't be recorded it returns the error and
@@ -100,7 +100,7 @@
 	}
 	c.forget(a)
 	if decision.Verdict == claim.NotHeld {
-		return ErrLost
+		return ErrClaimLost
 	}
 	return nil
 }
@@ -141,7 +141,7 @@
 // settleAll tries to record what is unsettled until nothing is left.
 func (c *Claims) settleAll() {
 	for {
-		time.Sleep(c.SettleInterval)
+		time.Sleep(c.RecordRetryInterval)
 		attempts := c.takeUnsettled()
 		if attempts == nil {
 			return
@@ -162,7 +162,7 @@
 	defer c.mu.Unlock()
 	batch := map[*attempt]claim.Op{}
 	for a, op := range c.unsettled {
-		if c.Boot().Sub(a.started) > a.request.Retention+GrantLife {
+		if c.BootTime().Sub(a.started) > a.request.Retention+GrantLifetime {
 			c.forget(a)
 			continue
 		}
@@ -236,7 +236,7 @@
 
 // Settle waits until no operation is unsettled, or until ctx ends. It returns how
 // many are left.
-func (c *Claims) Settle(ctx context.Context) int {
+func (c *Claims) WaitRecorded(ctx context.Context) int {
 	for {
 		c.mu.Lock()
 		left := len(c.unsettled)
@@ -245,7 +245,7 @@
 			return 0
 		}
 		select {
-		case <-time.After(c.SettleInterval):
+		case <-time.After(c.RecordRetryInterval):
 		case <-ctx.Done():
 			return left
 		}
--- a/internal/claims/bench_test.go
+++ b/internal/claims/bench_test.go
@@ -82,8 +82,8 @@
 		}
 		budget := quota.NewStoreBudget(quota.DefaultStoreLimits, instances, time.Now())
 		f.instances[name] = New(Config{
-			Instance: name, Store: store.NewBudgeted(fake, budget, time.Now, tally.NoopScope), Forwarder: peers, Awaiter: peers, Boot: time.Now, Wall: time.Now,
-			Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler), WriteInterval: WriteInterval, SettleInterval: time.Second,
+			Instance: name, Store: store.NewBudgeted(fake, budget, time.Now, tally.NoopScope), Forwarder: peers, Awaiter: peers, BootTime: time.Now, WallTime: time.Now,
+			Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler), WriteInterval: WriteInterval, RecordRetryInterval: time.Second,
 		})
 	}
 	var done atomic.Int64
--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -18,11 +18,11 @@
 
 // GrantLife is how long after it was asked for a claim may be used, on the
 // boot-time clock.
-const GrantLife = 10 * time.Second
+const GrantLifetime = 10 * time.Second
 
 // SettleInterval is the time between two tries to record the ends of claims that
 // the store did not take.
-const SettleInterval = time.Second
+const RecordRetryInterval = time.Second
 
 // Tries to read a recorded answer, and the time between them.
 const (
@@ -42,15 +42,15 @@
 	Forwarder Forwarder
 	Awaiter   Awaiter
 	// Boot gives the boot-time clock, Wall the time that records carry.
-	Boot  func() time.Time
-	Wall  func() time.Time
-	Scope tally.Scope
-	Log   *slog.Logger
+	BootTime func() time.Time
+	WallTime func() time.Time
+	Scope    tally.Scope
+	Log      *slog.Logger
 	// WriteInterval is the least time between two writes of a busy shard,
 	// SettleInterval that between two tries to record the ends of claims. They are
 	// the constants of the same names, but for tests.
-	WriteInterval  time.Duration
-	SettleInterval time.Duration
+	WriteInterval       time.Duration
+	RecordRetryInterval time.Duration
 }
 
 // Claims grants claims and keeps those that this instance holds.
@@ -79,7 +79,7 @@
 	writes := config.Scope.Counter("claim_writes")
 	for shard := range c.appenders {
 		c.appenders[shard] = newAppender(&chain{
-			store: config.Store, shard: shard, boot: config.Boot, wall: config.Wall,
+			store: config.Store, shard: shard, boot: config.BootTime, wall: config.WallTime,
 			writes: writes, state: claim.NewShard(),
 		}, config.WriteInterval, shared)
 	}
@@ -110,7 +110,7 @@
 			return reply
 		}
 	}
-	return Reply{Refusal: RefusedUnknown}
+	return Reply{Refusal: RefusedOutcomeUnknown}
 }
 
 // join returns the running attempt of a key, or registers a new one.
@@ -120,7 +120,7 @@
 	if running, ok := c.attempts[request.ID]; ok {
 		return running, false
 	}
-	a = &attempt{request: request, started: c.Boot(), done: make(chan struct{})}
+	a = &attempt{request: request, started: c.BootTime(), done: make(chan struct{})}
 	// crypto/rand.Read never fails.
 	_, _ = rand.Read(a.token[:])
 	c.attempts[request.ID] = a
@@ -129,13 +129,13 @@
 
 // joined waits for another attempt on this instance.
 func (c *Claims) joined(ctx context.Context, a *attempt, request Request) (reply Reply, again bool) {
-	if a.request.Body != request.Body {
-		return Reply{Refusal: RefusedBody}, false
+	if a.request.BodySHA256 != request.BodySHA256 {
+		return Reply{Refusal: RefusedBodyMismatch}, false
 	}
 	select {
 	case <-a.done:
 	case <-ctx.Done():
-		return Reply{Refusal: RefusedWaiting}, false
+		return Reply{Refusal: RefusedStillRunning}, false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -143,7 +143,7 @@
 	case a.answer != nil:
 		return Reply{Answer: a.answer}, false
 	case c.attempts[request.ID] == a:
-		return Reply{Refusal: RefusedReleasing}, false
+		return Reply{Refusal: RefusedReleasePending}, false
 	default:
 		return Reply{}, true
 	}
@@ -155,10 +155,10 @@
 	switch {
 	case errors.Is(err, ErrNotAppended):
 		c.drop(a)
-		return Reply{Refusal: RefusedStore}, false
+		return Reply{Refusal: RefusedStoreUnavailable}, false
 	case err != nil:
 		c.abandon(a)
-		return Reply{Refusal: RefusedStore}, false
+		return Reply{Refusal: RefusedStoreUnavailable}, false
 	case decision.Verdict == claim.Granted:
 		return Reply{Grant: &Grant{claims: c, attempt: a}}, false
 	}
@@ -170,7 +170,7 @@
 func (c *Claims) decided(ctx context.Context, call *call, decision claim.Decision) (reply Reply, again bool) {
 	switch decision.Verdict {
 	case claim.BodyMismatch:
-		return Reply{Refusal: RefusedBody}, false
+		return Reply{Refusal: RefusedBodyMismatch}, false
 	case claim.AlreadyFinished:
 		return c.recorded(ctx, call.request.ID, decision), false
 	case claim.Running:
@@ -183,7 +183,7 @@
 func (c *Claims) recorded(ctx context.Context, id claim.ID, decision claim.Decision) Reply {
 	answer, err := c.readAnswer(ctx, id, decision)
 	if err != nil {
-		return Reply{Refusal: RefusedUnread}
+		return Reply{Refusal: RefusedAnswerUnavailable}
 	}
 	if answer.Body != nil || answer.SHA256 == sha256.Sum256(nil) {
 		return Reply{Answer: &answer}
@@ -232,18 +232,18 @@
 	response, err := c.awaitAt(ctx, decision.Holder, AwaitRequest{ID: call.request.ID, Token: decision.Token})
 	switch {
 	case ctx.Err() != nil:
-		return Reply{Refusal: RefusedWaiting}, false
+		return Reply{Refusal: RefusedStillRunning}, false
 	case err != nil:
-		return Reply{Refusal: RefusedUnknown}, false
+		return Reply{Refusal: RefusedOutcomeUnknown}, false
 	case response.State == AwaitFinished:
 		return Reply{Answer: &response.Answer}, false
 	case call.ended != decision.Token:
 		call.ended = decision.Token
 		return Reply{}, true
 	case response.State == AwaitReleased:
-		return Reply{Refusal: RefusedReleasing}, false
+		return Reply{Refusal: RefusedReleasePending}, false
 	}
-	return Reply{Refusal: RefusedUnknown}, false
+	return Reply{Refusal: RefusedOutcomeUnknown}, false
 }
 
 func (c *Claims) awaitAt(ctx context.Context, holder string, request AwaitRequest) (AwaitResponse, error) {
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -83,15 +83,15 @@
 	peers := Peers{Client: w, Directory: w}
 	for _, name := range names {
 		w.instances[name] = New(Config{
-			Instance: name, Store: w.fake, Forwarder: peers, Awaiter: peers, Boot: w.clock.Now, Wall: w.clock.Now,
-			Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler), SettleInterval: time.Millisecond,
+			Instance: name, Store: w.fake, Forwarder: peers, Awaiter: peers, BootTime: w.clock.Now, WallTime: w.clock.Now,
+			Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler), RecordRetryInterval: time.Millisecond,
 		})
 	}
 	return w
 }
 
 func (w *world) claim(ctx context.Context, instance string, body byte) Reply {
-	request := Request{ID: claim.NewID("acme", "p", "k", "key"), Body: claim.Digest{body}, Retention: time.Hour}
+	request := Request{ID: claim.NewID("acme", "p", "k", "key"), BodySHA256: claim.Digest{body}, Retention: time.Hour}
 	return w.instances[instance].Claim(ctx, request)
 }
 
@@ -104,7 +104,7 @@
 		w.appender = "b"
 		grant := w.claim(c.Context(), "a", 1).Grant
 		c.Assert(grant, qt.IsNotNil)
-		c.Assert(w.claim(c.Context(), "b", 2).Refusal, qt.Equals, RefusedBody)
+		c.Assert(w.claim(c.Context(), "b", 2).Refusal, qt.Equals, RefusedBodyMismatch)
 		replies := make(chan Reply, 2)
 		for _, name := range []string{"a", "b"} {
 			go func() { replies <- w.claim(c.Context(), name, 1) }()
@@ -145,7 +145,7 @@
 	}
 	c.Assert(string(w.claim(c.Context(), "b", 1).Answer.Body), qt.Equals, "answer")
 	failures = 100
-	c.Assert(w.claim(c.Context(), "b", 1).Refusal, qt.Equals, RefusedUnread)
+	c.Assert(w.claim(c.Context(), "b", 1).Refusal, qt.Equals, RefusedAnswerUnavailable)
 }
 
 // Guards against a key that runs again after its holder died.
@@ -154,7 +154,7 @@
 	w := newWorld("a", "b")
 	c.Assert(w.claim(c.Context(), "a", 1).Grant, qt.IsNotNil)
 	delete(w.instances, "a")
-	c.Assert(w.claim(c.Context(), "b", 1).Refusal, qt.Equals, RefusedUnknown)
+	c.Assert(w.claim(c.Context(), "b", 1).Refusal, qt.Equals, RefusedOutcomeUnknown)
 	w.clock.Advance(time.Hour)
 	c.Assert(w.claim(c.Context(), "b", 1).Grant, qt.IsNotNil)
 }
@@ -182,7 +182,7 @@
 		w := newWorld("a", "b")
 		w.appender = appender
 		w.fake.Before = func(context.Context, storetest.Op, string) error { return store.ErrUnavailable }
-		c.Assert(w.claim(c.Context(), "a", 1).Refusal, qt.Equals, RefusedStore)
+		c.Assert(w.claim(c.Context(), "a", 1).Refusal, qt.Equals, RefusedStoreUnavailable)
 		c.Assert(w.instances["a"].unsettled, qt.HasLen, 0)
 		w.fake.Before = nil
 		c.Assert(w.claim(c.Context(), "a", 1).Grant, qt.IsNotNil)
@@ -213,13 +213,13 @@
 		}
 		return nil
 	}
-	c.Assert(w.claim(c.Context(), "a", 1).Refusal, qt.Equals, RefusedStore)
-	c.Assert(w.claim(c.Context(), "a", 1).Refusal, qt.Equals, RefusedReleasing)
+	c.Assert(w.claim(c.Context(), "a", 1).Refusal, qt.Equals, RefusedStoreUnavailable)
+	c.Assert(w.claim(c.Context(), "a", 1).Refusal, qt.Equals, RefusedReleasePending)
 	mu.Lock()
 	w.fake.After = nil
 	down = false
 	mu.Unlock()
-	c.Assert(w.instances["a"].Settle(c.Context()), qt.Equals, 0)
+	c.Assert(w.instances["a"].WaitRecorded(c.Context()), qt.Equals, 0)
 	c.Assert(w.claim(c.Context(), "b", 1).Grant, qt.IsNotNil)
 }
 
@@ -246,12 +246,12 @@
 			c.Assert(string(w.claim(c.Context(), "a", 1).Answer.Body), qt.Equals, "{}")
 		} else {
 			c.Assert(grant.Release(c.Context()), qt.ErrorIs, ErrNotAppended)
-			c.Assert(w.claim(c.Context(), "a", 1).Refusal, qt.Equals, RefusedReleasing)
+			c.Assert(w.claim(c.Context(), "a", 1).Refusal, qt.Equals, RefusedReleasePending)
 		}
 		mu.Lock()
 		down = false
 		mu.Unlock()
-		c.Assert(w.instances["a"].Settle(c.Context()), qt.Equals, 0)
+		c.Assert(w.instances["a"].WaitRecorded(c.Context()), qt.Equals, 0)
 		repeat := w.claim(c.Context(), "b", 1)
 		c.Assert(repeat.Grant == nil, qt.Equals, finish)
 		if finish {
@@ -267,7 +267,7 @@
 	w := newWorld("a")
 	grant := w.claim(c.Context(), "a", 1).Grant
 	c.Assert(grant.Usable(), qt.IsTrue)
-	w.clock.Advance(GrantLife)
+	w.clock.Advance(GrantLifetime)
 	c.Assert(grant.Usable(), qt.IsFalse)
 }
 
--- a/internal/claims/ports.go
+++ b/internal/claims/ports.go
@@ -19,7 +19,7 @@
 	// ErrNotReached reports an instance that could not be called.
 	ErrNotReached = errors.New("instance was not reached")
 	// ErrLost reports that the claim expired before its outcome was recorded.
-	ErrLost = errors.New("claim is not held any more")
+	ErrClaimLost = errors.New("claim is not held any more")
 )
 
 // AppendRequest asks an instance to append one operation to the shard of its ID.
@@ -74,17 +74,17 @@
 }
 
 // Alone is the Forwarder and Awaiter of an instance that reaches no other.
-type Alone struct{}
+type NoPeers struct{}
 
 // Appender names no instance.
-func (Alone) Appender(int) string { return "" }
+func (NoPeers) Appender(int) string { return "" }
 
 // Append reports ErrNotReached.
-func (Alone) Append(context.Context, string, AppendRequest) (AppendResponse, error) {
+func (NoPeers) Append(context.Context, string, AppendRequest) (AppendResponse, error) {
 	return AppendResponse{}, ErrNotReached
 }
 
 // Await reports ErrNotReached.
-func (Alone) Await(context.Context, string, AwaitRequest) (AwaitResponse, error) {
+func (NoPeers) Await(context.Context, string, AwaitRequest) (AwaitResponse, error) {
 	return AwaitResponse{}, ErrNotReached
 }
--- a/internal/claims/reply.go
+++ b/internal/claims/reply.go
@@ -8,8 +8,8 @@
 
 // Request asks for a claim.
 type Request struct {
-	ID   claim.ID
-	Body claim.Digest
+	ID         claim.ID
+	BodySHA256 claim.Digest
 	// Retention is how long the key is kept after its last record.
 	Retention time.Duration
 }
@@ -20,20 +20,20 @@
 // Refusals.
 const (
 	// RefusedStore means that the store can't be reached: nothing ran.
-	RefusedStore Refusal = iota + 1
+	RefusedStoreUnavailable Refusal = iota + 1
 	// RefusedBody means that the key was used with another body.
-	RefusedBody
+	RefusedBodyMismatch
 	// RefusedUnknown means that an earlier attempt may have run and its outcome is
 	// not known.
-	RefusedUnknown
+	RefusedOutcomeUnknown
 	// RefusedReleasing means that an earlier attempt had no effect but its release
 	// is not recorded yet: nothing ran.
-	RefusedReleasing
+	RefusedReleasePending
 	// RefusedUnread means that an earlier attempt finished and that its answer can't
 	// be read now.
-	RefusedUnread
+	RefusedAnswerUnavailable
 	// RefusedWaiting means that an earlier attempt was still running when ctx ended.
-	RefusedWaiting
+	RefusedStillRunning
 )
 
 // Reply is the result of a request: one of its fields is set.
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -26,9 +26,9 @@
 // Claim implements Claims. It waits for a running attempt until the deadline.
 func (s StoreClaims) Claim(ctx context.Context, request *Request) (Claim, *RecordedAnswer, *Problem) {
 	reply := s.Claims.Claim(ctx, claims.Request{
-		ID:        claim.NewID(request.Organisation.Name, request.Pipeline.Name, request.Kind.Name, request.Key),
-		Body:      sha256.Sum256(request.Body),
-		Retention: claimRetention(request),
+		ID:         claim.NewID(request.Organisation.Name, request.Pipeline.Name, request.Kind.Name, request.Key),
+		BodySHA256: sha256.Sum256(request.Body),
+		Retention:  claimRetention(request),
 	})
 	switch {
 	case reply.Grant != nil:
@@ -43,7 +43,7 @@
 // claimRetention outlasts the request itself, so that a key does not expire while
 // its attempt runs.
 func claimRetention(request *Request) time.Duration {
-	return max(request.Kind.Retention(), request.Kind.MaxWait()+claims.GrantLife)
+	return max(request.Kind.Retention(), request.Kind.MaxWait()+claims.GrantLifetime)
 }
 
 func recordedAnswer(answer *claim.Answer) *RecordedAnswer {
@@ -57,20 +57,20 @@
 // claimRefusal is the answer to a caller whose key is neither granted nor recorded.
 func claimRefusal(reason claims.Refusal) *Problem {
 	switch reason {
-	case claims.RefusedBody:
+	case claims.RefusedBodyMismatch:
 		return notRun(http.StatusConflict, ProblemInvalid, "key used with another body",
 			"the idempotency key belongs to a request with another body")
-	case claims.RefusedStore:
+	case claims.RefusedStoreUnavailable:
 		return retryLater("the store cannot be reached", storeRetryAfter)
-	case claims.RefusedReleasing:
+	case claims.RefusedReleasePending:
 		return retryLater("an earlier attempt had no effect and its key is being freed", releaseRetryAfter)
-	case claims.RefusedUnread:
+	case claims.RefusedAnswerUnavailable:
 		return &Problem{
 			Type: ProblemUnavailable, Title: "the recorded answer cannot be read now", Status: http.StatusServiceUnavailable,
 			Detail: "an earlier request with the same key has finished", Outcome: OutcomeUnknown,
 			RetryAfterMS: storeRetryAfter.Milliseconds(),
 		}
-	case claims.RefusedWaiting:
+	case claims.RefusedStillRunning:
 		return &Problem{
 			Type: ProblemDeadline, Title: "deadline expired", Status: http.StatusGatewayTimeout,
 			Detail: "an earlier request with the same key is still running", Outcome: OutcomeUnknown,
--- a/internal/entry/claimwait_test.go
+++ b/internal/entry/claimwait_test.go
@@ -15,7 +15,7 @@
 
 func (waitingClaims) Claim(ctx context.Context, _ *Request) (Claim, *RecordedAnswer, *Problem) {
 	<-ctx.Done()
-	return nil, nil, claimRefusal(claims.RefusedWaiting)
+	return nil, nil, claimRefusal(claims.RefusedStillRunning)
 }
 
 // Guards against a repeated key that waits for a paused holder beyond the deadline
--- a/internal/entry/jobs.go
+++ b/internal/entry/jobs.go
@@ -220,7 +220,7 @@
 func (j JobRunner) admitted(ctx context.Context, request *Request, progress jobs.Progress) Result {
 	options := Options{Results: progress.Results, StageDone: progress.StageDone}
 	if request.Kind.AtMostOnce() {
-		options.Claim = jobClaim{allowed: progress.OnceAllowed}
+		options.Claim = jobClaim{allowed: progress.BeforeNonIdempotentCall}
 	}
 	if j.Admission == nil {
 		return j.Executor.Execute(ctx, request, options)
--- a/internal/entry/jobs_test.go
+++ b/internal/entry/jobs_test.go
@@ -26,7 +26,7 @@
 // alone is a failure domain of one instance.
 type alone struct{}
 
-func (alone) Domain() []string                       { return []string{"a"} }
+func (alone) FailureDomainInstances() []string       { return []string{"a"} }
 func (alone) JobsReleased(context.Context, []string) {}
 
 // newDurableHandler serves the durable kind k of pipeline read from a store.
@@ -36,16 +36,16 @@
 	set.Pipelines[0].Kinds = []pipeline.Kind{{Name: "k", Repeat: pipeline.RepeatIdempotent, MaxWaitMS: 60000, Durable: true}}
 	fake, log := storetest.New(), slog.New(slog.DiscardHandler)
 	h.Claims = StoreClaims{claims.New(claims.Config{
-		Instance: "a", Store: fake, Forwarder: claims.Alone{}, Awaiter: claims.Alone{}, Boot: time.Now, Wall: time.Now,
-		Scope: tally.NoopScope, Log: log, SettleInterval: time.Millisecond,
+		Instance: "a", Store: fake, Forwarder: claims.NoPeers{}, Awaiter: claims.NoPeers{}, BootTime: time.Now, WallTime: time.Now,
+		Scope: tally.NoopScope, Log: log, RecordRetryInterval: time.Millisecond,
 	})}
 	durable := jobs.New(jobs.Config{
-		Instance: "a", Store: fake, Members: alone{}, Boot: time.Now, Wall: time.Now, Scope: tally.NoopScope, Log: log,
+		Instance: "a", Store: fake, Members: alone{}, BootTime: time.Now, WallTime: time.Now, Scope: tally.NoopScope, Log: log,
 		Runner: JobRunner{Configuration: h.Configuration, Executor: h.Executor, Now: time.Now},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	c.Cleanup(cancel)
-	go durable.Work(ctx)
+	go durable.Serve(ctx)
 	h.Jobs = StoreJobs{Jobs: durable, Claims: h.Claims}
 	for {
 		if _, err := durable.Submit(ctx, jobs.Job{Organisation: "none"}); err == nil {
--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -70,7 +70,7 @@
 	}})
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
-			running.Go(func() { election.Work(ctx) })
+			running.Go(func() { election.Run(ctx) })
 			running.Go(func() { loop.Run(ctx) })
 			return nil
 		},
--- a/internal/entry/state.go
+++ b/internal/entry/state.go
@@ -88,8 +88,8 @@
 	peers := claims.Peers{Client: client, Directory: d}
 	return claims.New(claims.Config{
 		Instance: entry.Instance, Store: access.Store, Forwarder: peers, Awaiter: peers,
-		Boot: clock.Boot{}.Now, Wall: time.Now, Scope: m.Scope, Log: logger,
-		WriteInterval: claims.WriteInterval, SettleInterval: claims.SettleInterval,
+		BootTime: clock.Boot{}.Now, WallTime: time.Now, Scope: m.Scope, Log: logger,
+		WriteInterval: claims.WriteInterval, RecordRetryInterval: claims.RecordRetryInterval,
 	})
 }
 
@@ -113,8 +113,8 @@
 	}
 	return jobs.New(jobs.Config{
 		Instance: s.Entry.Instance, Store: s.Access.Store, Members: jobPeers{s.Members, s.Client},
-		Runner: JobRunner{Configuration: s.Configuration, Executor: s.Executor, Admission: s.Admission, Now: time.Now},
-		Boot:   clock.Boot{}.Now, Wall: time.Now, Scope: s.Metrics.Scope, Log: s.Logger,
+		Runner:   JobRunner{Configuration: s.Configuration, Executor: s.Executor, Admission: s.Admission, Now: time.Now},
+		BootTime: clock.Boot{}.Now, WallTime: time.Now, Scope: s.Metrics.Scope, Log: s.Logger,
 	})
 }
 
@@ -135,8 +135,8 @@
 	client  *peer.Client
 }
 
-// Domain implements jobs.Members.
-func (p jobPeers) Domain() []string { return p.members.Live() }
+// FailureDomainInstances implements jobs.Members.
+func (p jobPeers) FailureDomainInstances() []string { return p.members.Live() }
 
 // JobsReleased implements jobs.Members. The members get the jobs in turn.
 func (p jobPeers) JobsReleased(ctx context.Context, ids []string) {
@@ -171,7 +171,7 @@
 		return nil
 	}})
 	s.Steps.Add(StopStep{StopClaims, "claims", func(ctx context.Context) error {
-		if left := s.Claims.Settle(ctx); left > 0 {
+		if left := s.Claims.WaitRecorded(ctx); left > 0 {
 			return fmt.Errorf("%d ends of claims are not recorded", left)
 		}
 		return nil
@@ -180,7 +180,7 @@
 	var running sync.WaitGroup
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
-			running.Go(func() { s.Jobs.Work(ctx) })
+			running.Go(func() { s.Jobs.Serve(ctx) })
 			return nil
 		},
 		OnStop: func(context.Context) error {
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -47,7 +47,7 @@
 // Members knows the other instances.
 type Members interface {
 	// Domain returns the live instances of the own failure domain with this one.
-	Domain() []string
+	FailureDomainInstances() []string
 	// JobsReleased offers the jobs with the given IDs to the peers, whose HandOverJob
 	// takes them over. Jobs that nobody takes are found by a scan.
 	JobsReleased(ctx context.Context, ids []string)
@@ -77,7 +77,7 @@
 	StageDone func(ctx context.Context, stage string, result json.RawMessage) error
 	// OnceAllowed records that a non-idempotent call is about to be sent. It must
 	// not be sent when the result is false.
-	OnceAllowed func() bool
+	BeforeNonIdempotentCall func() bool
 }
 
 // Runner runs the stages of a job. It ends when ctx does.
@@ -92,16 +92,16 @@
 	Members  Members
 	Runner   Runner
 	// Boot gives the boot-time clock, Wall the time that records carry.
-	Boot  func() time.Time
-	Wall  func() time.Time
-	Scope tally.Scope
-	Log   *slog.Logger
+	BootTime func() time.Time
+	WallTime func() time.Time
+	Scope    tally.Scope
+	Log      *slog.Logger
 }
 
 // Jobs runs the durable work of one instance.
 type Jobs struct {
 	Config
-	keeper    *leases.Keeper
+	keeper    *leases.Manager
 	values    values
 	takeovers tally.Counter
 	lost      tally.Counter
@@ -132,15 +132,15 @@
 	j.keeper = leases.New(leases.Config{
 		Store: config.Store, Key: job.HolderKey(config.Instance), Instance: config.Instance,
 		Wanted: j.leaseWanted, ReleaseUnwanted: true,
-		Lost: j.stopAll, Boot: config.Boot, Log: config.Log,
+		OnLost: j.stopAll, BootTime: config.BootTime, Log: config.Log,
 		HeldEvent: events.JobLeaseHeld, LostEvent: events.JobLeaseLost,
 	})
 	return j
 }
 
 // Work keeps the lease and scans for jobs until ctx ends.
-func (j *Jobs) Work(ctx context.Context) {
-	go j.keeper.Work(ctx)
+func (j *Jobs) Serve(ctx context.Context) {
+	go j.keeper.Run(ctx)
 	ticker := time.NewTicker(ScanInterval)
 	defer ticker.Stop()
 	for {
@@ -218,7 +218,7 @@
 
 // leaseWanted reports whether this instance has or recently had jobs.
 func (j *Jobs) leaseWanted() bool {
-	now := j.Boot()
+	now := j.BootTime()
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if len(j.running) > 0 {
@@ -231,7 +231,7 @@
 // it is not held.
 func (j *Jobs) acquire(ctx context.Context) (job.Owner, bool) {
 	j.mu.Lock()
-	j.usedAt = j.Boot()
+	j.usedAt = j.BootTime()
 	j.mu.Unlock()
 	fence, ok := j.keeper.Acquire(ctx)
 	return job.Owner{Instance: j.Instance, Fence: fence}, ok
@@ -239,6 +239,6 @@
 
 // owner returns the fencing number under which this instance may act now.
 func (j *Jobs) owner() (job.Owner, bool) {
-	fence, ok := j.keeper.Fence()
+	fence, ok := j.keeper.FencingToken()
 	return job.Owner{Instance: j.Instance, Fence: fence}, ok
 }
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-func (w *world) Domain() []string { return w.members }
+func (w *world) FailureDomainInstances() []string { return w.members }
 func (w *world) JobsReleased(ctx context.Context, ids []string) {
 	for _, id := range ids {
 		_, _ = w.heir.HandOverJob(ctx, []byte(id))
@@ -77,7 +77,7 @@
 func (w *world) instance(c *qt.C, name string) *instance {
 	i := &instance{runs: make(chan *testRun, 8)}
 	i.Jobs = New(Config{
-		Instance: name, Store: w.fake, Members: w, Runner: i, Boot: w.now, Wall: w.now,
+		Instance: name, Store: w.fake, Members: w, Runner: i, BootTime: w.now, WallTime: w.now,
 		Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
 	})
 	return i
@@ -173,7 +173,7 @@
 		}
 		before, err := w.fake.Get(c.Context(), job.RecordKey(id))
 		c.Assert(err, qt.IsNil)
-		c.Assert(run.progress.OnceAllowed(), qt.IsFalse)
+		c.Assert(run.progress.BeforeNonIdempotentCall(), qt.IsFalse)
 		c.Assert(run.progress.StageDone(c.Context(), "s1", json.RawMessage(`1`)), qt.IsNotNil)
 		run.result <- Result{Outcome: "completed", Answer: []byte(`"a"`)}
 		a.waitStopped(id)
@@ -213,7 +213,7 @@
 		}
 		return nil
 	}
-	c.Assert(run.progress.OnceAllowed(), qt.IsFalse)
+	c.Assert(run.progress.BeforeNonIdempotentCall(), qt.IsFalse)
 	status, err := b.Status(c.Context(), id)
 	c.Assert(err, qt.IsNil)
 	c.Assert(status.Record.Holder, qt.Equals, "b")
@@ -229,7 +229,7 @@
 	a, b := w.instance(c, "a"), w.instance(c, "b")
 	id := a.submit(c)
 	run := <-a.runs
-	c.Assert(run.progress.OnceAllowed(), qt.IsTrue)
+	c.Assert(run.progress.BeforeNonIdempotentCall(), qt.IsTrue)
 	w.pass(c, leases.TTL+time.Second, b)
 	w.scan(c, b)
 	c.Assert(b.finished(c, id).Record.Outcome, qt.Equals, job.OutcomeUnknown)
@@ -301,7 +301,7 @@
 	a, b := w.instance(c, "a"), w.instance(c, "b")
 	ids := []string{a.submit(c), a.submit(c)}
 	sending, idle := <-a.runs, <-a.runs
-	c.Assert(sending.progress.OnceAllowed(), qt.IsTrue)
+	c.Assert(sending.progress.BeforeNonIdempotentCall(), qt.IsTrue)
 	sending.result <- Result{Outcome: "completed", Answer: []byte(`1`)}
 	w.heir = b
 	a.Close(c.Context())
--- a/internal/jobs/run.go
+++ b/internal/jobs/run.go
@@ -45,7 +45,7 @@
 	if !ok {
 		return "", ErrNotAccepted
 	}
-	now := j.Wall()
+	now := j.WallTime()
 	id = job.NewID(now, uuid.NewString())
 	body := job.NewValue(job.BodyName, owner.Fence, 0, request.Body)
 	if err := j.values.put(ctx, id, body, request.Body); err != nil {
@@ -76,7 +76,7 @@
 func (j *Jobs) step(ctx context.Context, r *run, input job.Input) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	outputs := r.machine.Step(j.Wall(), input)
+	outputs := r.machine.Step(j.WallTime(), input)
 	var result error
 	for len(outputs) > 0 {
 		var more []job.Output
@@ -84,7 +84,7 @@
 		case job.WriteRecord:
 			var answer job.Input
 			answer, result = j.write(ctx, r, out)
-			more = r.machine.Step(j.Wall(), answer)
+			more = r.machine.Step(j.WallTime(), answer)
 		case job.RunStages:
 			go j.execute(r, r.machine.Record(), out.Delay)
 		case job.StopRun:
@@ -216,7 +216,7 @@
 			}
 			return j.step(r.ctx, r, job.StageDone{Result: value})
 		},
-		OnceAllowed: func() bool { return j.step(r.ctx, r, job.NonIdempotentCallStarting{}) == nil },
+		BeforeNonIdempotentCall: func() bool { return j.step(r.ctx, r, job.NonIdempotentCallStarting{}) == nil },
 	}
 	return Job{
 		Organisation: record.Organisation, Pipeline: record.Pipeline, Kind: record.Kind, Body: body,
--- a/internal/jobs/scan.go
+++ b/internal/jobs/scan.go
@@ -32,7 +32,7 @@
 	defer j.scanning.Unlock()
 	ctx = jobContext(ctx)
 	for shard := range job.Shards {
-		if rendezvous.Choose(job.ShardPrefix(shard), j.Members.Domain()) != j.Instance {
+		if rendezvous.Choose(job.ShardPrefix(shard), j.Members.FailureDomainInstances()) != j.Instance {
 			continue
 		}
 		err := errors.Join(j.scanShard(ctx, shard), j.sweep(ctx, shard))
@@ -189,10 +189,10 @@
 		if err != nil {
 			return err
 		}
-		expired = record.Expired(j.Wall())
+		expired = record.Expired(j.WallTime())
 	} else {
 		_, created, err := job.ParseID(id)
-		if err != nil || j.Wall().Sub(created) < orphanAge {
+		if err != nil || j.WallTime().Sub(created) < orphanAge {
 			return err
 		}
 		_, err = j.Status(ctx, id)
--- a/internal/jobs/status.go
+++ b/internal/jobs/status.go
@@ -31,7 +31,7 @@
 		return Status{}, ErrNotFound
 	}
 	record, err := j.record(ctx, id)
-	if errors.Is(err, ErrNotFound) && j.Wall().Sub(created) < visibleAfter {
+	if errors.Is(err, ErrNotFound) && j.WallTime().Sub(created) < visibleAfter {
 		return Status{}, errors.Join(ErrUnavailable, errNotVisible)
 	}
 	if err != nil {
@@ -57,7 +57,7 @@
 		return job.Record{}, unavailable(err)
 	}
 	record, err := job.Decode(entry.Value)
-	if err == nil && record.Expired(j.Wall()) {
+	if err == nil && record.Expired(j.WallTime()) {
 		return job.Record{}, ErrNotFound
 	}
 	return record, err
--- a/internal/leases/leases.go
+++ b/internal/leases/leases.go
@@ -40,16 +40,16 @@
 	// that is held is kept.
 	ReleaseUnwanted bool
 	// Lost is called when the lease ends; nil for nothing.
-	Lost func()
+	OnLost func()
 	// Boot gives the boot-time clock.
-	Boot func() time.Time
+	BootTime func() time.Time
 	// Events that report the start and the end of a holding.
 	HeldEvent, LostEvent events.Event
 	Log                  *slog.Logger
 }
 
 // Keeper keeps one lease.
-type Keeper struct {
+type Manager struct {
 	config Config
 
 	// calls is held while calls to the store are made for the lease.
@@ -62,36 +62,36 @@
 }
 
 // Holding is the state of a lease.
-type Holding struct {
+type State struct {
 	// Fence is the fencing number; 0 when the holder may not act.
-	Fence int64
+	FencingToken int64
 	// Since is when the number was learned, Expires when the lease lapses, both on
 	// the boot-time clock.
 	Since, Expires time.Time
 }
 
 // New returns a keeper without a lease.
-func New(config Config) *Keeper {
-	return &Keeper{config: config, holder: lease.NewHolder(TTL, Margin)}
+func New(config Config) *Manager {
+	return &Manager{config: config, holder: lease.NewHolder(TTL, Margin)}
 }
 
 // Fence returns the fencing number under which this instance may act now.
-func (k *Keeper) Fence() (number int64, ok bool) {
+func (k *Manager) FencingToken() (number int64, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.holder.Valid(k.config.Boot())
+	return k.holder.Valid(k.config.BootTime())
 }
 
 // Holding returns the state of the lease.
-func (k *Keeper) Holding() Holding {
+func (k *Manager) State() State {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	fence, _ := k.holder.Valid(k.config.Boot())
-	return Holding{Fence: fence, Since: k.since, Expires: k.holder.Expires()}
+	fence, _ := k.holder.Valid(k.config.BootTime())
+	return State{FencingToken: fence, Since: k.since, Expires: k.holder.Expires()}
 }
 
 // Work looks after the lease until ctx ends.
-func (k *Keeper) Work(ctx context.Context) {
+func (k *Manager) Run(ctx context.Context) {
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
 	for {
@@ -105,7 +105,7 @@
 }
 
 // Tick lets time pass and carries out what the holder asks for.
-func (k *Keeper) Tick(ctx context.Context) {
+func (k *Manager) Tick(ctx context.Context) {
 	if !k.wanted() {
 		if k.config.ReleaseUnwanted {
 			k.Revoke(ctx)
@@ -116,17 +116,17 @@
 }
 
 // Acquire asks for a lease at once, wanted or not, unless one is held.
-func (k *Keeper) Acquire(ctx context.Context) (fence int64, ok bool) {
-	if fence, ok = k.Fence(); ok {
+func (k *Manager) Acquire(ctx context.Context) (fence int64, ok bool) {
+	if fence, ok = k.FencingToken(); ok {
 		return fence, ok
 	}
 	k.tick(ctx)
-	return k.Fence()
+	return k.FencingToken()
 }
 
 // tick makes the calls that are due, one caller at a time. A caller that waited
 // finds the lease that the one before it asked for.
-func (k *Keeper) tick(ctx context.Context) {
+func (k *Manager) tick(ctx context.Context) {
 	k.calls.Lock()
 	defer k.calls.Unlock()
 	ctx, cancel := context.WithTimeout(leaseContext(ctx), TTL-Margin)
@@ -141,7 +141,7 @@
 	}
 }
 
-func (k *Keeper) wanted() bool {
+func (k *Manager) wanted() bool {
 	if k.config.Wanted == nil || k.config.Wanted() {
 		return true
 	}
@@ -150,14 +150,14 @@
 	return k.holder.Lease() != 0 && !k.config.ReleaseUnwanted
 }
 
-func (k *Keeper) step(input lease.Input) []lease.Output {
+func (k *Manager) step(input lease.Input) []lease.Output {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.holder.Step(k.config.Boot(), input)
+	return k.holder.Step(k.config.BootTime(), input)
 }
 
 // perform carries out one output and returns the input that answers it.
-func (k *Keeper) perform(ctx context.Context, output lease.Output) lease.Input {
+func (k *Manager) perform(ctx context.Context, output lease.Output) lease.Input {
 	switch out := output.(type) {
 	case lease.Grant:
 		return k.grant(ctx, out)
@@ -167,15 +167,15 @@
 		return k.keepAlive(ctx, out.Lease)
 	case lease.LeaseLost:
 		k.config.LostEvent.Log(ctx, k.config.Log, slog.Int64("fence", out.FencingToken))
-		if k.config.Lost != nil {
-			k.config.Lost()
+		if k.config.OnLost != nil {
+			k.config.OnLost()
 		}
 	}
 	return nil
 }
 
-func (k *Keeper) grant(ctx context.Context, out lease.Grant) lease.Input {
-	asked := k.config.Boot()
+func (k *Manager) grant(ctx context.Context, out lease.Grant) lease.Input {
+	asked := k.config.BootTime()
 	if k.config.Exclusive {
 		// A lease that could not hold the key would only cost calls.
 		if _, err := k.config.Store.Get(ctx, k.config.Key); !errors.Is(err, store.ErrNotFound) {
@@ -189,8 +189,8 @@
 	return lease.Granted{Lease: lease.ID(id), RequestedAt: asked}
 }
 
-func (k *Keeper) keepAlive(ctx context.Context, id lease.ID) lease.Input {
-	asked := k.config.Boot()
+func (k *Manager) keepAlive(ctx context.Context, id lease.ID) lease.Input {
+	asked := k.config.BootTime()
 	err := k.config.Store.KeepAlive(ctx, store.LeaseID(id))
 	switch {
 	case err == nil:
@@ -204,7 +204,7 @@
 
 // writeKey writes the key, or finds that an earlier write took effect although
 // its answer was lost.
-func (k *Keeper) writeKey(ctx context.Context, id lease.ID) lease.Input {
+func (k *Manager) writeKey(ctx context.Context, id lease.ID) lease.Input {
 	entry, err := k.config.Store.Get(ctx, k.config.Key)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return nil
@@ -226,16 +226,16 @@
 	}
 }
 
-func (k *Keeper) fenced(ctx context.Context, id lease.ID, version store.Version) lease.Input {
+func (k *Manager) fenced(ctx context.Context, id lease.ID, version store.Version) lease.Input {
 	k.mu.Lock()
-	k.since = k.config.Boot()
+	k.since = k.config.BootTime()
 	k.mu.Unlock()
 	k.config.HeldEvent.Log(ctx, k.config.Log, slog.Int64("fence", int64(version)))
 	return lease.KeyWritten{Lease: id, FencingToken: int64(version)}
 }
 
 // Revoke ends the lease, so that others need not wait until it lapses.
-func (k *Keeper) Revoke(ctx context.Context) {
+func (k *Manager) Revoke(ctx context.Context) {
 	k.mu.Lock()
 	id := k.holder.Lease()
 	k.mu.Unlock()
--- a/internal/leases/leases_test.go
+++ b/internal/leases/leases_test.go
@@ -23,10 +23,10 @@
 	return &fixture{store: storetest.New(), now: time.Unix(1000, 0)}
 }
 
-func (f *fixture) keeper(name string) *Keeper {
+func (f *fixture) keeper(name string) *Manager {
 	return New(Config{
 		Store: f.store, Key: "leader/a", Instance: name, Exclusive: true,
-		Boot: func() time.Time { return f.now }, Log: slog.New(slog.DiscardHandler),
+		BootTime: func() time.Time { return f.now }, Log: slog.New(slog.DiscardHandler),
 	})
 }
 
@@ -45,21 +45,21 @@
 	for range 30 {
 		first.Tick(c.Context())
 		second.Tick(c.Context())
-		_, leads := first.Fence()
+		_, leads := first.FencingToken()
 		c.Assert(leads, qt.IsTrue)
-		_, alsoLeads := second.Fence()
+		_, alsoLeads := second.FencingToken()
 		c.Assert(alsoLeads, qt.IsFalse)
 		f.pass(time.Second)
 	}
-	old, _ := first.Fence()
+	old, _ := first.FencingToken()
 	// The first holder is paused while the second one goes on.
 	for range 30 {
 		second.Tick(c.Context())
 		f.pass(time.Second)
 	}
-	_, leads := first.Fence()
+	_, leads := first.FencingToken()
 	c.Assert(leads, qt.IsFalse)
-	fence, leads := second.Fence()
+	fence, leads := second.FencingToken()
 	c.Assert(leads, qt.IsTrue)
 	c.Assert(fence > old, qt.IsTrue)
 }
@@ -82,7 +82,7 @@
 		keeper.Tick(c.Context())
 		f.pass(time.Second)
 	}
-	_, leads := keeper.Fence()
+	_, leads := keeper.FencingToken()
 	c.Assert(leads, qt.IsTrue)
 	c.Assert(f.store.Count(storetest.Swap), qt.Equals, 1)
 }
@@ -94,10 +94,10 @@
 	first, second := f.keeper("one"), f.keeper("two")
 	first.Tick(c.Context())
 	first.Revoke(c.Context())
-	_, leads := first.Fence()
+	_, leads := first.FencingToken()
 	c.Assert(leads, qt.IsFalse)
 	second.Tick(c.Context())
-	_, leads = second.Fence()
+	_, leads = second.FencingToken()
 	c.Assert(leads, qt.IsTrue)
 }
 
@@ -109,7 +109,7 @@
 	wanted := false
 	keeper := New(Config{
 		Store: f.store, Key: "holder/a", Instance: "a", Wanted: func() bool { return wanted }, ReleaseUnwanted: true,
-		Boot: func() time.Time { return f.now }, Log: slog.New(slog.DiscardHandler),
+		BootTime: func() time.Time { return f.now }, Log: slog.New(slog.DiscardHandler),
 	})
 	keeper.Tick(c.Context())
 	c.Assert(f.store.Count(storetest.Grant), qt.Equals, 0)
@@ -129,7 +129,7 @@
 
 	wanted = false
 	keeper.Tick(c.Context())
-	_, ok := keeper.Fence()
+	_, ok := keeper.FencingToken()
 	c.Assert(ok, qt.IsFalse)
 	c.Assert(f.store.Count(storetest.Revoke), qt.Equals, 1)
 }
--- a/internal/orders/leader.go
+++ b/internal/orders/leader.go
@@ -16,7 +16,7 @@
 
 // Election keeps the leadership of a failure domain under a store lease.
 type Election struct {
-	keeper *leases.Keeper
+	keeper *leases.Manager
 }
 
 // NewElection returns an instance's part in the election of its failure domain.
@@ -29,7 +29,7 @@
 		Instance:  instance,
 		Exclusive: true,
 		Wanted:    candidate,
-		Boot:      boot,
+		BootTime:  boot,
 		HeldEvent: events.LeadershipTaken,
 		LostEvent: events.LeadershipLost,
 		Log:       logger,
@@ -37,7 +37,7 @@
 }
 
 // Work takes part in the election until ctx ends.
-func (e *Election) Work(ctx context.Context) { e.keeper.Work(ctx) }
+func (e *Election) Run(ctx context.Context) { e.keeper.Run(ctx) }
 
 // Resign gives up the leadership.
 func (e *Election) Resign(ctx context.Context) { e.keeper.Revoke(ctx) }
@@ -45,8 +45,8 @@
 // Leadership implements Leader. The keeper and order.Leadership both leave a
 // margin before the end of the lease; the earlier one counts.
 func (e *Election) Leadership(time.Time) order.Leadership {
-	holding := e.keeper.Holding()
+	holding := e.keeper.State()
 	return order.Leadership{
-		Held: holding.Fence != 0, Fencing: holding.Fence, Since: holding.Since, Until: holding.Expires,
+		Held: holding.FencingToken != 0, Fencing: holding.FencingToken, Since: holding.Since, Until: holding.Expires,
 	}
 }
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -16,7 +16,7 @@
 )
 
 // Period is the time between two comparisons of wanted and observed states.
-const Period = 2 * time.Second
+const ReconcileInterval = 2 * time.Second
 
 // SettledPeriods is the number of periods in which each engine that has its
 // wanted state is read once. Reading 117 engines in each period would take
@@ -56,7 +56,7 @@
 
 // Run runs the loop until ctx ends.
 func (l *Loop) Run(ctx context.Context) {
-	ticker := time.NewTicker(Period)
+	ticker := time.NewTicker(ReconcileInterval)
 	defer ticker.Stop()
 	for {
 		l.Step(ctx)
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -53,7 +53,7 @@
 	loop := newLoop(leader, engines, &now, order.Wanted{Server: "e", Address: address, Models: []string{"m@2"}, FencesOrders: true})
 	for range 200 {
 		loop.Step(c.Context())
-		now = now.Add(Period)
+		now = now.Add(ReconcileInterval)
 		time.Sleep(time.Millisecond) // lets the stand-in finish its load
 	}
 	observed, err := engines.State(c.Context(), "e", address)
--- a/internal/proof/crash_test.go
+++ b/internal/proof/crash_test.go
@@ -49,7 +49,7 @@
 	paused := time.Now()
 	l.repeatElsewhere(first)
 	// The pause itself is the fault: it outlasts the grant and the leases of 10 s.
-	f.wait("end of the pause", func() bool { return time.Since(paused) > claims.GrantLife+time.Second })
+	f.wait("end of the pause", func() bool { return time.Since(paused) > claims.GrantLifetime+time.Second })
 	victim.signal(syscall.SIGCONT)
 	running.Wait()
 	l.join(first)
