--- a/internal/claims/appender.go
+++ b/internal/claims/appender.go
@@ -15,34 +15,37 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/store"
 )
 
-// WriteInterval is the least time between two writes of a busy shard: 10 writes/s.
+// WriteInterval is the minimum time between two writes to a shard: at most 10
+// writes/s.
 const WriteInterval = 100 * time.Millisecond
 
-// Bounds on settling one batch.
+// Limits on appending one batch.
 const (
-	settleTimeout  = 5 * time.Second
-	settleAttempts = 16
+	batchTimeout     = 5 * time.Second
+	maxBatchAttempts = 16
 )
 
-// Pacing of a shard to which several instances append. Each step doubles the time
-// between two writes. Without disagreement every write is the only one, and with it
-// each write costs a conflict, so that the steps rise until the sum of all
-// instances is that of a few writes/s.
+// Backoff of an appender whose writes conflict with those of other instances. Each
+// step doubles the time between two writes. Normally the instances agree on the
+// appender of a shard and no write conflicts. If they disagree, writes conflict, and
+// the steps rise until all instances together make only a few writes/s.
 const (
-	conflictSteps = 3
-	successSteps  = 1
-	maxPaceStep   = 5 // 3.2 s between two writes
+	conflictBackoffSteps = 3
+	successBackoffSteps  = 1
+	maxBackoffStep       = 5 // 3.2 s between two writes, on average
 )
 
-// Intervals of housekeeping.
+// Intervals at which expired data is removed.
 const (
-	// cleanInterval bounds the writes that delete expired segments: 1/s per shard.
-	cleanInterval = time.Second
-	// purgeInterval is how often expired keys are dropped from memory.
+	// segmentDeletionInterval limits the deletions of expired segments to 1/s per
+	// shard.
+	segmentDeletionInterval = time.Second
+	// purgeInterval is the time between two removals of expired claims from memory.
 	purgeInterval = time.Minute
 )
 
-// Appender batches the appends of one shard: one write is in flight at a time.
+// Appender appends operations to one shard in batches, with at most one write in
+// flight.
 type Appender struct {
 	chain    *chain
 	interval time.Duration
@@ -51,27 +54,27 @@
 	mu      sync.Mutex
 	queue   []*pending
 	running bool
-	// The rest is used by the running goroutine only.
+	// The fields below are used only by the goroutine that runs run.
 	lastWrite time.Time
-	// paceStep is the number of times that the interval is doubled.
-	paceStep  int
-	lastClean time.Time
-	lastPurge time.Time
+	// backoffStep is the number of times that interval is doubled.
+	backoffStep  int
+	lastDeletion time.Time
+	lastPurge    time.Time
 }
 
 type counters struct {
-	ops, conflicts, lost tally.Counter
+	ops, conflicts, lostAnswers tally.Counter
 }
 
 func newCounters(scope tally.Scope) counters {
 	return counters{
-		ops:       scope.Counter("claim_operations"),
-		conflicts: scope.Counter("claim_conflicts"),
-		lost:      scope.Counter("claim_lost_answers"),
+		ops:         scope.Counter("claim_operations"),
+		conflicts:   scope.Counter("claim_conflicts"),
+		lostAnswers: scope.Counter("claim_lost_answers"),
 	}
 }
 
-// pending is an operation that waits for its decision.
+// pending is an operation without a decision yet.
 type pending struct {
 	op     claim.Op
 	direct bool
@@ -87,8 +90,8 @@
 	return &Appender{chain: chain, interval: interval, counters: counters}
 }
 
-// Append waits for the decision on an operation. direct is true when another
-// instance is the shard's appender. When ctx ends first the error is
+// Append queues an operation and waits for the decision on it. direct is true if
+// another instance is the shard's appender. If ctx ends first, the error is
 // ErrNotAppended if the operation was still queued, and ErrUnresolved otherwise.
 func (a *Appender) Append(ctx context.Context, op claim.Op, direct bool) (claim.Decision, error) {
 	p := &pending{op: op, direct: direct, result: make(chan result, 1)}
@@ -125,42 +128,43 @@
 	return true
 }
 
-// run writes batches until the queue is empty.
+// run appends batches until the queue is empty.
 func (a *Appender) run() {
 	for {
-		if wait := a.pause() - a.chain.boot().Sub(a.lastWrite); wait > 0 {
+		if wait := a.batchInterval() - a.chain.bootTime().Sub(a.lastWrite); wait > 0 {
 			time.Sleep(wait)
 		}
-		batch := a.take()
+		batch := a.takeBatch()
 		if batch == nil {
 			return
 		}
-		a.serve(batch)
+		a.processBatch(batch)
 	}
 }
 
-// pause is the least time between two batches. Part of it is random, so that
-// appenders that disagree don't write in step.
-func (a *Appender) pause() time.Duration {
-	if a.paceStep == 0 {
+// batchInterval returns the minimum time between two batches. With backoff, part
+// of it is random, so that conflicting appenders don't write at the same times.
+func (a *Appender) batchInterval() time.Duration {
+	if a.backoffStep == 0 {
 		return a.interval
 	}
-	paced := a.interval << a.paceStep
-	return paced/2 + rand.N(paced+1)
+	backoff := a.interval << a.backoffStep
+	return backoff/2 + rand.N(backoff+1)
 }
 
-// pace slows a shard down after a conflict and lets it recover after a batch
-// without any.
-func (a *Appender) pace(conflict bool) {
+// adjustBackoff increases the backoff after a conflict and decreases it after a
+// batch without one.
+func (a *Appender) adjustBackoff(conflict bool) {
 	if conflict {
-		a.paceStep = min(a.paceStep+conflictSteps, maxPaceStep)
+		a.backoffStep = min(a.backoffStep+conflictBackoffSteps, maxBackoffStep)
 		return
 	}
-	a.paceStep = max(a.paceStep-successSteps, 0)
+	a.backoffStep = max(a.backoffStep-successBackoffSteps, 0)
 }
 
-// take empties the queue, or ends the run when there is nothing in it.
-func (a *Appender) take() []*pending {
+// takeBatch removes all operations from the queue and returns them. It returns nil
+// and marks run as ended if the queue is empty.
+func (a *Appender) takeBatch() []*pending {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	batch := a.queue
@@ -169,13 +173,13 @@
 	return batch
 }
 
-// serve settles a batch, in several writes if it is too large for one.
-func (a *Appender) serve(batch []*pending) {
+// processBatch appends a batch, in several writes if it is too large for one.
+func (a *Appender) processBatch(batch []*pending) {
 	direct := !slices.ContainsFunc(batch, func(p *pending) bool { return !p.direct })
-	ctx, cancel := context.WithTimeout(appendContext(context.Background(), direct), settleTimeout)
+	ctx, cancel := context.WithTimeout(appendContext(context.Background(), direct), batchTimeout)
 	defer cancel()
 	for len(batch) > 0 {
-		decisions, err := a.settle(ctx, batch)
+		decisions, err := a.appendBatch(ctx, batch)
 		if err != nil {
 			deliver(batch, result{err: err})
 			return
@@ -187,7 +191,7 @@
 		batch = batch[len(decisions):]
 	}
 	if !direct {
-		a.housekeep(ctx)
+		a.removeExpired(ctx)
 	}
 }
 
@@ -197,69 +201,70 @@
 	}
 }
 
-// settle appends until the store has answered: a lost answer is settled by
-// reading the chain, where the token shows whether the write took effect, and a
-// conflict by deciding again on what the winner wrote.
-func (a *Appender) settle(ctx context.Context, batch []*pending) ([]claim.Decision, error) {
+// appendBatch retries an append until its outcome is known. After a lost answer it
+// reads the chain, where the token shows whether the write took effect. After a
+// conflict it reads what the other instance wrote and decides again.
+func (a *Appender) appendBatch(ctx context.Context, batch []*pending) ([]claim.Decision, error) {
 	ops := make([]claim.Op, len(batch))
 	for i, p := range batch {
 		ops[i] = p.op
 	}
-	sent, conflict := false, false
-	for attempt := range settleAttempts {
+	mayBeWritten, conflicted := false, false
+	for attempt := range maxBatchAttempts {
 		if attempt > 1 {
-			time.Sleep(a.pause() / 2)
+			time.Sleep(a.batchInterval() / 2)
 		}
-		decisions, err := a.attempt(ctx, ops)
-		var lost *store.ConflictError
+		decisions, err := a.tryAppend(ctx, ops)
+		var conflictErr *store.ConflictError
 		switch {
 		case err == nil:
-			if !conflict {
-				a.pace(false)
+			if !conflicted {
+				a.adjustBackoff(false)
 			}
 			return decisions, nil
-		case errors.As(err, &lost):
-			conflict = true
+		case errors.As(err, &conflictErr):
+			conflicted = true
 			a.counters.conflicts.Inc(1)
-			a.pace(true)
-		case errors.Is(err, errLate), errors.Is(err, store.ErrUnknownOutcome):
-			sent = true
-			a.counters.lost.Inc(1)
-		case errors.Is(err, errChanged), errors.Is(err, claim.ErrGap):
+			a.adjustBackoff(true)
+		case errors.Is(err, errLateWrite), errors.Is(err, store.ErrUnknownOutcome):
+			mayBeWritten = true
+			a.counters.lostAnswers.Inc(1)
+		case errors.Is(err, errTailChanged), errors.Is(err, claim.ErrGap):
 		default:
-			return nil, unsettled(sent, err)
+			return nil, batchError(mayBeWritten, err)
 		}
 	}
-	return nil, unsettled(sent, errors.New("too many conflicts"))
+	return nil, batchError(mayBeWritten, errors.New("too many conflicts"))
 }
 
-// unsettled returns the error of a batch without a decision.
-func unsettled(sent bool, err error) error {
-	if sent {
+// batchError returns the error of a batch without a decision.
+func batchError(mayBeWritten bool, err error) error {
+	if mayBeWritten {
 		return fmt.Errorf("%w: %w", ErrUnresolved, err)
 	}
 	return fmt.Errorf("%w: %w", ErrNotAppended, err)
 }
 
-func (a *Appender) attempt(ctx context.Context, ops []claim.Op) ([]claim.Decision, error) {
+func (a *Appender) tryAppend(ctx context.Context, ops []claim.Op) ([]claim.Decision, error) {
 	if !a.chain.fresh() {
 		if err := a.chain.refresh(ctx); err != nil {
 			return nil, err
 		}
 	}
-	a.lastWrite = a.chain.boot()
+	a.lastWrite = a.chain.bootTime()
 	return a.chain.append(ctx, ops)
 }
 
-// housekeep drops what has expired. A failure is repeated after the next batch.
-func (a *Appender) housekeep(ctx context.Context) {
-	now := a.chain.boot()
-	if now.Sub(a.lastClean) > cleanInterval {
-		a.lastClean = now
-		_ = a.chain.clean(ctx)
+// removeExpired deletes expired segments and removes expired claims from memory. A
+// deletion that fails is repeated after a later batch.
+func (a *Appender) removeExpired(ctx context.Context) {
+	now := a.chain.bootTime()
+	if now.Sub(a.lastDeletion) > segmentDeletionInterval {
+		a.lastDeletion = now
+		_ = a.chain.deleteExpiredSegment(ctx)
 	}
 	if now.Sub(a.lastPurge) > purgeInterval {
 		a.lastPurge = now
-		a.chain.state.PurgeExpired(a.chain.wall())
+		a.chain.state.PurgeExpired(a.chain.wallTime())
 	}
 }
--- a/internal/claims/attempt.go
+++ b/internal/claims/attempt.go
@@ -11,21 +11,21 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/events"
 )
 
-// attempt is a run under a claim, from before the claim is asked for until its
-// end is recorded.
+// attempt is a run of a request under a claim. It exists from before the claim is
+// requested until the end of the run is recorded in the store.
 type attempt struct {
 	request Request
 	token   claim.Token
-	// started is when the claim was asked for, on the boot-time clock.
-	started time.Time
-	// done is closed at the end of the run. ended and answer, which is nil for a
-	// release, are set before and guarded by the mutex of Claims.
+	// requestedAt is when the claim was requested, by the boot-time clock.
+	requestedAt time.Time
+	// done is closed at the end of the run. ended and answer are set before that and
+	// guarded by Claims.mu. answer is nil after a release.
 	done   chan struct{}
 	ended  bool
 	answer *claim.Answer
 }
 
-func (a *attempt) op(kind claim.OpKind, holder string) claim.Op {
+func (a *attempt) newOp(kind claim.OpKind, holder string) claim.Op {
 	return claim.Op{
 		Kind:       kind,
 		ID:         a.request.ID,
@@ -42,34 +42,36 @@
 	attempt *attempt
 }
 
-// Usable reports whether a non-idempotent call may still be sent.
+// Usable reports whether a non-idempotent call may still be sent under the claim.
 func (g *Grant) Usable() bool {
-	return g.claims.BootTime().Sub(g.attempt.started) < GrantLifetime
+	return g.claims.BootTime().Sub(g.attempt.requestedAt) < GrantLifetime
 }
 
-// Finish records the outcome. When it can't be recorded it returns the error and
-// goes on trying; until then this instance answers for the key.
+// Finish records the outcome. If that fails, it returns the error and retries in
+// the background. Until the outcome is recorded, this instance answers requests with
+// the key.
 func (g *Grant) Finish(ctx context.Context, outcome string, body []byte) error {
 	answer := claim.Answer{Outcome: outcome, Body: body, SHA256: sha256.Sum256(body)}
-	op := g.attempt.op(claim.OpFinish, g.claims.Instance)
+	op := g.attempt.newOp(claim.OpFinish, g.claims.Instance)
 	op.Outcome = outcome
 	op.AnswerSHA256 = answer.SHA256
 	if len(body) <= claim.MaxInlineAnswerBytes {
 		op.Answer = body
 	}
-	g.claims.end(g.attempt, &answer)
-	return g.claims.record(ctx, g.attempt, op)
+	g.claims.endAttempt(g.attempt, &answer)
+	return g.claims.recordEnd(ctx, g.attempt, op)
 }
 
-// Release frees the key. When the release can't be recorded it returns the error
-// and goes on trying; until then this instance answers for the key.
+// Release releases the key. If the release can't be recorded, it returns the error
+// and retries in the background. Until the release is recorded, this instance
+// answers requests with the key.
 func (g *Grant) Release(ctx context.Context) error {
-	g.claims.end(g.attempt, nil)
-	return g.claims.record(ctx, g.attempt, g.attempt.op(claim.OpRelease, g.claims.Instance))
+	g.claims.endAttempt(g.attempt, nil)
+	return g.claims.recordEnd(ctx, g.attempt, g.attempt.newOp(claim.OpRelease, g.claims.Instance))
 }
 
-// end makes the result known to those that wait for the attempt here.
-func (c *Claims) end(a *attempt, answer *claim.Answer) {
+// endAttempt passes the result to the calls that wait for the attempt on this instance.
+func (c *Claims) endAttempt(a *attempt, answer *claim.Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if a.ended {
@@ -80,113 +82,117 @@
 	close(a.done)
 }
 
-// record appends the end of an attempt, or has the background do it. The answer
-// to the caller does not wait for a store that is slow.
-func (c *Claims) record(ctx context.Context, a *attempt, op claim.Op) error {
+// recordEnd appends the end of an attempt. If that fails, the end is recorded in the
+// background, so that the answer to the caller need not wait for a slow store.
+func (c *Claims) recordEnd(ctx context.Context, a *attempt, op claim.Op) error {
 	decision, err := c.submit(ctx, op)
 	if err != nil {
-		c.unsettle(a, op)
+		c.recordInBackground(a, op)
 		return err
 	}
 	return c.close(a, op, decision)
 }
 
-// close forgets an attempt whose end is settled.
+// close removes an attempt whose end is recorded. It returns ErrClaimLost if the
+// claim expired before that.
 func (c *Claims) close(a *attempt, op claim.Op, decision claim.Decision) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if a.answer != nil && len(op.Answer) < len(a.answer.Body) {
 		c.answers.put(a.token, *a.answer)
 	}
-	c.forget(a)
+	c.removeLocked(a)
 	if decision.Verdict == claim.NotHeld {
 		return ErrClaimLost
 	}
 	return nil
 }
 
-// forget removes an attempt. The caller holds the mutex.
-func (c *Claims) forget(a *attempt) {
+// removeLocked removes an attempt. The caller holds c.mu.
+func (c *Claims) removeLocked(a *attempt) {
 	if c.attempts[a.request.ID] == a {
 		delete(c.attempts, a.request.ID)
 	}
-	delete(c.unsettled, a)
+	delete(c.unrecorded, a)
 }
 
-// drop removes an attempt that got no claim.
-func (c *Claims) drop(a *attempt) {
+// removeUngranted removes an attempt that got no claim.
+func (c *Claims) removeUngranted(a *attempt) {
 	c.mu.Lock()
-	c.forget(a)
+	c.removeLocked(a)
 	c.mu.Unlock()
-	c.end(a, nil)
+	c.endAttempt(a, nil)
 }
 
-// abandon releases a claim that may or may not have been granted.
-func (c *Claims) abandon(a *attempt) {
-	c.end(a, nil)
-	c.unsettle(a, a.op(claim.OpRelease, c.Instance))
+// releaseInBackground releases a claim that may have been granted.
+func (c *Claims) releaseInBackground(a *attempt) {
+	c.endAttempt(a, nil)
+	c.recordInBackground(a, a.newOp(claim.OpRelease, c.Instance))
 }
 
-// unsettle hands an operation to the background.
-func (c *Claims) unsettle(a *attempt, op claim.Op) {
+// recordInBackground has an operation retried in the background until it is
+// recorded.
+func (c *Claims) recordInBackground(a *attempt, op claim.Op) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.unsettled[a] = op
-	if !c.settling {
-		c.settling = true
-		go c.settleAll()
+	c.unrecorded[a] = op
+	if !c.retrying {
+		c.retrying = true
+		go c.retryUnrecorded()
 	}
 }
 
-// settleAll tries to record what is unsettled until nothing is left.
-func (c *Claims) settleAll() {
+// retryUnrecorded retries the unrecorded operations until none are left.
+func (c *Claims) retryUnrecorded() {
 	for {
 		time.Sleep(c.RecordRetryInterval)
-		attempts := c.takeUnsettled()
+		attempts := c.nextRetryBatch()
 		if attempts == nil {
 			return
 		}
 		events.ClaimsUnsettled.Log(context.Background(), c.Log, slog.Int("claims", len(attempts)))
-		c.settleEach(attempts)
+		c.retryBatch(attempts)
 	}
 }
 
-// settleBatch bounds the operations that are tried at once.
-const settleBatch = 256
+// maxRetryBatch limits the operations that are retried at the same time.
+const maxRetryBatch = 256
 
-// takeUnsettled returns some of the unsettled attempts with their operations, or
-// ends the background when there are none. Keys whose retention has passed are
-// forgotten: the store has forgotten them too.
-func (c *Claims) takeUnsettled() map[*attempt]claim.Op {
+// nextRetryBatch returns up to maxRetryBatch unrecorded attempts with their
+// operations. It returns nil and marks retryUnrecorded as ended if there are none.
+// Attempts whose retention has passed are removed, because their claims have expired
+// in the store too.
+func (c *Claims) nextRetryBatch() map[*attempt]claim.Op {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	batch := map[*attempt]claim.Op{}
-	for a, op := range c.unsettled {
-		if c.BootTime().Sub(a.started) > a.request.Retention+GrantLifetime {
-			c.forget(a)
+	for a, op := range c.unrecorded {
+		if c.BootTime().Sub(a.requestedAt) > a.request.Retention+GrantLifetime {
+			c.removeLocked(a)
 			continue
 		}
-		if batch[a] = op; len(batch) == settleBatch {
+		if batch[a] = op; len(batch) == maxRetryBatch {
 			break
 		}
 	}
 	if len(batch) == 0 {
-		c.settling = false
+		c.retrying = false
 		return nil
 	}
 	return batch
 }
 
-// settleEach tries a batch. The appenders merge the operations of one shard.
-func (c *Claims) settleEach(batch map[*attempt]claim.Op) {
+// retryBatch retries a batch and waits for the results. The appenders combine the
+// operations of a shard.
+func (c *Claims) retryBatch(batch map[*attempt]claim.Op) {
 	done := make(chan struct{})
 	for a, op := range batch {
 		go func() {
 			defer func() { done <- struct{}{} }()
-			ctx, cancel := context.WithTimeout(context.Background(), 2*settleTimeout)
+			ctx, cancel := context.WithTimeout(context.Background(), 2*batchTimeout)
 			defer cancel()
 			if decision, err := c.submit(ctx, op); err == nil {
-				c.settled.Inc(1)
+				c.recordedLater.Inc(1)
 				_ = c.close(a, op, decision)
 			}
 		}()
@@ -196,7 +202,8 @@
 	}
 }
 
-// Await waits for the end of an attempt that this instance holds.
+// Await waits for the end of an attempt that this instance holds. It returns an
+// error only if ctx ends first.
 func (c *Claims) Await(ctx context.Context, request AwaitRequest) (AwaitResponse, error) {
 	c.mu.Lock()
 	a, ok := c.attempts[request.ID]
@@ -221,9 +228,9 @@
 	return AwaitResponse{State: AwaitFinished, Answer: *a.answer}, nil
 }
 
-// Counts returns the attempts that run here, and those that have ended without a
-// record of their end.
-func (c *Claims) Counts() (running, unsettled int) {
+// Counts returns the number of attempts that run on this instance, and of those
+// that have ended and whose end is not recorded yet.
+func (c *Claims) Counts() (running, unrecorded int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, a := range c.attempts {
@@ -231,15 +238,15 @@
 			running++
 		}
 	}
-	return running, len(c.unsettled)
+	return running, len(c.unrecorded)
 }
 
-// Settle waits until no operation is unsettled, or until ctx ends. It returns how
-// many are left.
+// WaitRecorded waits until no operation is unrecorded, or until ctx ends. It returns
+// the number of operations that are left.
 func (c *Claims) WaitRecorded(ctx context.Context) int {
 	for {
 		c.mu.Lock()
-		left := len(c.unsettled)
+		left := len(c.unrecorded)
 		c.mu.Unlock()
 		if left == 0 {
 			return 0
--- a/internal/claims/bench_test.go
+++ b/internal/claims/bench_test.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	benchRate   = 2500 // requests per second of the whole fleet
-	benchTime   = 4 * time.Second
-	benchAnswer = 200 // bytes
-	storeDelay  = 5 * time.Millisecond
+	benchRequestsPerSecond = 2500 // of all instances together
+	benchDuration          = 4 * time.Second
+	benchAnswerBytes       = 200
+	storeDelay             = 5 * time.Millisecond
 )
 
-// fleet is a network in which every instance may append.
+// fleet is a network in which every instance may be an appender.
 type fleet struct {
 	*network
 	names []string
@@ -34,39 +34,39 @@
 
 func (f *fleet) Appenders() []string { return f.names }
 
-// BenchmarkFleet offers 2,500 requests/s, each a claim and a finish, to a store
-// that takes 5 ms per call.
+// BenchmarkFleet sends 2,500 requests/s, each with a claim and a finish, to instances
+// whose store takes 5 ms per call.
 func BenchmarkFleet(b *testing.B) {
 	for _, instances := range []int{3, 9, 40} {
 		b.Run(fmt.Sprint(instances), func(b *testing.B) {
 			for b.Loop() {
-				offer(b, instances, false)
+				runLoad(b, instances, false)
 			}
 		})
 	}
 }
 
-// BenchmarkDisagreement offers the same to instances that each take themselves
-// for the appender of every shard.
-func BenchmarkDisagreement(b *testing.B) {
+// BenchmarkConflictingAppenders sends the same load to instances each of which acts as
+// the appender of every shard.
+func BenchmarkConflictingAppenders(b *testing.B) {
 	for _, instances := range []int{3, 9} {
 		b.Run(fmt.Sprint(instances), func(b *testing.B) {
 			for b.Loop() {
-				offer(b, instances, true)
+				runLoad(b, instances, true)
 			}
 		})
 	}
 }
 
-// loner is a directory that knows one instance only.
-type loner struct {
+// soloDirectory is a directory with a single instance.
+type soloDirectory struct {
 	*fleet
 	name string
 }
 
-func (l loner) Appenders() []string { return []string{l.name} }
+func (l soloDirectory) Appenders() []string { return []string{l.name} }
 
-func offer(b *testing.B, instances int, disagree bool) {
+func runLoad(b *testing.B, instances int, disagree bool) {
 	fake := storetest.New()
 	fake.Before = func(context.Context, storetest.Op, string) error {
 		time.Sleep(storeDelay)
@@ -78,7 +78,7 @@
 		f.names = append(f.names, name)
 		peers := Peers{Client: f, Directory: f}
 		if disagree {
-			peers.Directory = loner{f, name}
+			peers.Directory = soloDirectory{f, name}
 		}
 		budget := quota.NewStoreBudget(quota.DefaultStoreLimits, instances, time.Now())
 		f.instances[name] = New(Config{
@@ -92,15 +92,15 @@
 	var group sync.WaitGroup
 	begin := time.Now()
 	offered := 0
-	for n := 0; time.Since(begin) < benchTime; n++ {
+	for n := 0; time.Since(begin) < benchDuration; n++ {
 		offered++
-		time.Sleep(time.Until(begin.Add(time.Duration(n) * time.Second / benchRate)))
+		time.Sleep(time.Until(begin.Add(time.Duration(n) * time.Second / benchRequestsPerSecond)))
 		group.Go(func() {
-			asked := time.Now()
+			requestedAt := time.Now()
 			request := Request{ID: claim.NewID("acme", "p", "k", fmt.Sprint(n)), Retention: time.Hour}
 			reply := f.instances[f.names[n%instances]].Claim(context.Background(), request)
-			waited := time.Since(asked)
-			if reply.Grant == nil || reply.Grant.Finish(context.Background(), "completed", make([]byte, benchAnswer)) != nil {
+			waited := time.Since(requestedAt)
+			if reply.Grant == nil || reply.Grant.Finish(context.Background(), "completed", make([]byte, benchAnswerBytes)) != nil {
 				return
 			}
 			done.Add(1)
@@ -115,7 +115,7 @@
 	claims, writes := float64(done.Load()), float64(fake.Count(storetest.Swap))
 	b.ReportMetric(claims/elapsed, "claims/s")
 	b.ReportMetric(writes/elapsed, "writes/s")
-	b.ReportMetric(float64(offered)/benchTime.Seconds(), "offered/s")
+	b.ReportMetric(float64(offered)/benchDuration.Seconds(), "offered/s")
 	b.ReportMetric(claims/float64(offered)*100, "%served")
 	b.ReportMetric(claims/writes, "claims/write")
 	b.ReportMetric(float64(waits[len(waits)/2].Milliseconds()), "p50-ms")
@@ -123,7 +123,7 @@
 	b.ReportMetric(float64(fake.Bytes(claim.Prefix))/claims, "stored-B/claim")
 }
 
-// BenchmarkIndex reports the memory of an index of a shard.
+// BenchmarkIndex reports the memory of a shard's index.
 func BenchmarkIndex(b *testing.B) {
 	const batch, batches = 500, 400
 	for b.Loop() {
--- a/internal/claims/cache.go
+++ b/internal/claims/cache.go
@@ -2,11 +2,12 @@
 
 import "github.com/coltsfootdrift/coltsfootdrift/claim"
 
-// answerCacheBytes bounds the memory of answers that are too large for the store.
+// answerCacheBytes limits the memory for answers that are too large to be stored in
+// full.
 const answerCacheBytes = 16 << 20
 
-// answerCache keeps the newest large answers. Its zero value is empty. It is
-// guarded by the mutex of Claims.
+// answerCache holds the newest large answers. Its zero value is empty. It is guarded
+// by Claims.mu.
 type answerCache struct {
 	answers map[claim.Token]claim.Answer
 	order   []claim.Token
--- a/internal/claims/chain.go
+++ b/internal/claims/chain.go
@@ -13,54 +13,57 @@
 	"github.com/coltsfootdrift/coltsfootdrift/quota"
 )
 
-// maxViewAge bounds the time between reading the chain and a write that builds
-// on it. A segment is deleted no sooner than claim.DeletionMargin after it was
-// created, so that within this bound the write can't recreate a deleted one.
-const maxViewAge = 10 * time.Second
+// maxStateAge limits the time between a read of the chain and the end of a write
+// that is based on it. A segment is deleted no sooner than claim.DeletionMargin
+// after it was created, so that within this time the write can't create a deleted
+// segment again.
+const maxStateAge = 10 * time.Second
 
-// listPage is the number of segments read at once: about 1 MB of full segments.
-const listPage = 64
+// listPageSize is the number of segments per read: about 1 MB of full segments.
+const listPageSize = 64
 
-// chain reads and writes the segments of one shard. One goroutine uses it.
+// chain reads and writes the segments of one shard. It is not safe for concurrent
+// use.
 type chain struct {
 	store store.Store
 	shard int
-	// boot gives the boot-time clock, wall the time that records carry.
-	boot func() time.Time
-	wall func() time.Time
+	// bootTime reads the boot-time clock, wallTime the wall clock for the times in
+	// records.
+	bootTime func() time.Time
+	wallTime func() time.Time
 
 	writes tally.Counter
 
 	state *claim.Shard
-	// viewAt is when the last read or write that state reflects began.
-	viewAt time.Time
-	loaded bool
+	// stateAsOf is when the last read or write that state reflects was started.
+	stateAsOf time.Time
+	loaded    bool
 }
 
-// fresh reports whether a write may build on the state.
+// fresh reports whether a write may be based on the state.
 func (c *chain) fresh() bool {
-	return c.loaded && c.boot().Sub(c.viewAt) < maxViewAge
+	return c.loaded && c.bootTime().Sub(c.stateAsOf) < maxStateAge
 }
 
-// refresh brings the state up to what the store holds.
+// refresh updates the state from the store.
 func (c *chain) refresh(ctx context.Context) error {
-	began := c.boot()
-	err := c.follow(ctx)
+	startedAt := c.bootTime()
+	err := c.loadNew(ctx)
 	if errors.Is(err, claim.ErrGap) {
-		err = c.reload(ctx)
+		err = c.loadAll(ctx)
 	}
 	c.loaded = err == nil
 	if err != nil {
 		return err
 	}
-	c.viewAt = began
+	c.stateAsOf = startedAt
 	return nil
 }
 
-// follow loads the segments from the known tail on.
-func (c *chain) follow(ctx context.Context) error {
+// loadNew loads the segments from the known tail on.
+func (c *chain) loadNew(ctx context.Context) error {
 	if c.state.TailNumber() == 0 {
-		return c.reload(ctx)
+		return c.loadAll(ctx)
 	}
 	segments, err := c.list(ctx, claim.SegmentKey(c.shard, c.state.TailNumber()-1))
 	if err != nil {
@@ -69,9 +72,9 @@
 	return c.state.Load(segments)
 }
 
-// reload loads all segments. Orphans are believed only when a second read finds
-// them unchanged, since a segment may have been sealed between two pages.
-func (c *chain) reload(ctx context.Context) error {
+// loadAll loads all segments. Orphans are deleted only if a second read finds them
+// unchanged, because a segment may have been sealed between the reads of two pages.
+func (c *chain) loadAll(ctx context.Context) error {
 	var orphans []claim.Segment
 	for {
 		c.state.Reset()
@@ -104,7 +107,8 @@
 	return true
 }
 
-// deleteOrphans is best effort: a orphan that stays is found again.
+// deleteOrphans ignores errors: an orphan that is not deleted is found again by the
+// next load of all segments.
 func (c *chain) deleteOrphans(ctx context.Context, orphans []claim.Segment) {
 	for _, orphan := range orphans {
 		_ = c.store.Delete(ctx, claim.SegmentKey(c.shard, orphan.Number), store.Version(orphan.Version))
@@ -114,45 +118,45 @@
 func (c *chain) list(ctx context.Context, after string) ([]claim.Segment, error) {
 	var segments []claim.Segment
 	for {
-		page, err := c.store.List(ctx, claim.ShardPrefix(c.shard), after, listPage)
+		page, err := c.store.List(ctx, claim.ShardPrefix(c.shard), after, listPageSize)
 		if err != nil {
 			return nil, err
 		}
 		for _, entry := range page {
-			segment, err := segmentOf(entry)
+			segment, err := segmentFromEntry(entry)
 			if err != nil {
 				return nil, err
 			}
 			segments = append(segments, segment)
 			after = entry.Key
 		}
-		if len(page) < listPage {
+		if len(page) < listPageSize {
 			return segments, nil
 		}
 	}
 }
 
-func segmentOf(entry store.Entry) (claim.Segment, error) {
+func segmentFromEntry(entry store.Entry) (claim.Segment, error) {
 	number, err := claim.SegmentNumber(entry.Key)
 	return claim.Segment{Number: number, Version: int64(entry.Version), Data: entry.Value}, err
 }
 
-// Errors of an append that has to be decided again on a newer state.
+// Errors of an append that must be decided again on a newer state.
 var (
-	// errChanged reports decisions without a write that rest on an old state.
-	errChanged = errors.New("chain has changed")
-	// errLate reports a write that took effect later than maxViewAge allows.
-	errLate = errors.New("write came too late")
+	// errTailChanged reports decisions without a write that are based on an old state.
+	errTailChanged = errors.New("claim chain has changed")
+	// errLateWrite reports a write that may have ended later than maxStateAge allows.
+	errLateWrite = errors.New("write of a claim segment took too long")
 )
 
-// append decides on operations and writes their records. It returns one decision
-// for each operation that it took.
+// append decides on operations and writes their records. It returns a decision for
+// each operation that fits into one write, in order.
 func (c *chain) append(ctx context.Context, ops []claim.Op) ([]claim.Decision, error) {
-	write, decisions := c.state.PrepareAppend(c.wall(), ops)
+	write, decisions := c.state.PrepareAppend(c.wallTime(), ops)
 	if write.Records == 0 {
-		return decisions, c.unchanged(ctx)
+		return decisions, c.confirmTail(ctx)
 	}
-	began := c.boot()
+	startedAt := c.bootTime()
 	key := claim.SegmentKey(c.shard, write.Segment.Number)
 	c.writes.Inc(1)
 	version, err := c.store.CompareAndSwap(ctx, key, store.Version(write.ExpectedVersion), write.Segment.Data, 0)
@@ -161,32 +165,33 @@
 		return nil, err
 	}
 	if !c.fresh() {
-		// The segment may have been deleted during a pause and is now outside the chain.
+		// While the process was paused, the segment may have been deleted, so that this
+		// write has created it again outside the chain.
 		c.state.Reset()
 		c.loaded = false
-		return nil, errLate
+		return nil, errLateWrite
 	}
 	c.state.CommitWrite(int64(version))
-	c.viewAt = began
+	c.stateAsOf = startedAt
 	return decisions, nil
 }
 
-// unchanged confirms that the tail is still the one that decisions without a
-// write rest on.
-func (c *chain) unchanged(ctx context.Context) error {
+// confirmTail returns errTailChanged if the newest segment is no longer the one that
+// decisions without a write are based on.
+func (c *chain) confirmTail(ctx context.Context) error {
 	before := c.state.TailVersion()
 	if err := c.refresh(ctx); err != nil {
 		return err
 	}
 	if c.state.TailVersion() != before {
-		return errChanged
+		return errTailChanged
 	}
 	return nil
 }
 
-// clean deletes the oldest segment once its records have expired.
-func (c *chain) clean(ctx context.Context) error {
-	oldest, ok := c.state.ExpiredSegment(c.wall())
+// deleteExpiredSegment deletes the oldest segment if all its records have expired.
+func (c *chain) deleteExpiredSegment(ctx context.Context) error {
+	oldest, ok := c.state.ExpiredSegment(c.wallTime())
 	if !ok {
 		return nil
 	}
@@ -198,7 +203,8 @@
 	return nil
 }
 
-// appendContext marks store calls as those of an appender.
+// appendContext sets the class of store calls: that of the shard's appender, or that
+// of other calls for claims if direct is true.
 func appendContext(ctx context.Context, direct bool) context.Context {
 	if direct {
 		return store.WithClass(ctx, quota.StoreClaims)
--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -16,119 +16,120 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/store"
 )
 
-// GrantLife is how long after it was asked for a claim may be used, on the
+// GrantLifetime is how long a claim may be used after it was requested, by the
 // boot-time clock.
 const GrantLifetime = 10 * time.Second
 
-// SettleInterval is the time between two tries to record the ends of claims that
-// the store did not take.
+// RecordRetryInterval is the time between two attempts to record the ends of claims
+// whose first write failed.
 const RecordRetryInterval = time.Second
 
-// Tries to read a recorded answer, and the time between them.
+// Attempts to read a recorded answer, and the time between them.
 const (
-	readAttempts = 3
-	readInterval = 150 * time.Millisecond
+	answerReadAttempts = 3
+	answerReadInterval = 150 * time.Millisecond
 )
 
-// claimRounds bounds how often one request asks again after an attempt that it
-// waited for was released.
-const claimRounds = 8
+// maxClaimRounds limits how often one call of Claim requests the claim, for example
+// again after an attempt that it waited for was released.
+const maxClaimRounds = 8
 
-// Config is what Claims needs.
+// Config holds the settings and dependencies of Claims.
 type Config struct {
 	// Instance is the name under which peers reach this instance.
 	Instance  string
 	Store     store.Store
 	Forwarder Forwarder
 	Awaiter   Awaiter
-	// Boot gives the boot-time clock, Wall the time that records carry.
+	// BootTime reads the boot-time clock, WallTime the wall clock for the times in
+	// records.
 	BootTime func() time.Time
 	WallTime func() time.Time
 	Scope    tally.Scope
 	Log      *slog.Logger
-	// WriteInterval is the least time between two writes of a busy shard,
-	// SettleInterval that between two tries to record the ends of claims. They are
-	// the constants of the same names, but for tests.
+	// WriteInterval and RecordRetryInterval have the values of the constants of the
+	// same names, except in tests and measurements.
 	WriteInterval       time.Duration
 	RecordRetryInterval time.Duration
 }
 
-// Claims grants claims and keeps those that this instance holds.
+// Claims grants claims and keeps track of those that this instance holds.
 type Claims struct {
 	Config
-	appenders [claim.Shards]*Appender
-	settled   tally.Counter
+	appenders     [claim.Shards]*Appender
+	recordedLater tally.Counter
 
 	mu       sync.Mutex
 	attempts map[claim.ID]*attempt
-	// unsettled holds the operations that the background records.
-	unsettled map[*attempt]claim.Op
-	settling  bool
-	answers   answerCache
+	// unrecorded holds the operations that are retried in the background.
+	unrecorded map[*attempt]claim.Op
+	retrying   bool
+	answers    answerCache
 }
 
-// New returns Claims without any state; it reads the store on the first use.
+// New returns Claims without state. A shard is read from the store on first use.
 func New(config Config) *Claims {
 	c := &Claims{
-		Config:    config,
-		settled:   config.Scope.Counter("claim_settled_later"),
-		attempts:  map[claim.ID]*attempt{},
-		unsettled: map[*attempt]claim.Op{},
+		Config:        config,
+		recordedLater: config.Scope.Counter("claim_settled_later"),
+		attempts:      map[claim.ID]*attempt{},
+		unrecorded:    map[*attempt]claim.Op{},
 	}
-	shared := newCounters(config.Scope)
+	shardCounters := newCounters(config.Scope)
 	writes := config.Scope.Counter("claim_writes")
 	for shard := range c.appenders {
 		c.appenders[shard] = newAppender(&chain{
-			store: config.Store, shard: shard, boot: config.BootTime, wall: config.WallTime,
+			store: config.Store, shard: shard, bootTime: config.BootTime, wallTime: config.WallTime,
 			writes: writes, state: claim.NewShard(),
-		}, config.WriteInterval, shared)
+		}, config.WriteInterval, shardCounters)
 	}
 	return c
 }
 
-// call is one call of Claim.
-type call struct {
+// claimCall is the state of one call of Claim.
+type claimCall struct {
 	request Request
-	// ended is the token of an attempt that its holder reported as not running.
-	ended claim.Token
+	// endedToken is the token of an attempt that is not running according to its holder.
+	endedToken claim.Token
 }
 
-// Claim grants a claim, or gives the answer of an earlier attempt with the same
-// key, for whose end it waits until ctx ends.
+// Claim grants a claim or returns the answer of an earlier attempt with the same
+// key. It waits for an attempt that is still running until ctx ends.
 func (c *Claims) Claim(ctx context.Context, request Request) Reply {
-	call := &call{request: request}
-	for range claimRounds {
-		a, own := c.join(request)
+	call := &claimCall{request: request}
+	for range maxClaimRounds {
+		a, created := c.findOrCreateAttempt(request)
 		var reply Reply
-		var again bool
-		if own {
-			reply, again = c.ask(ctx, call, a)
+		var retry bool
+		if created {
+			reply, retry = c.appendClaim(ctx, call, a)
 		} else {
-			reply, again = c.joined(ctx, a, request)
+			reply, retry = c.waitForLocal(ctx, a, request)
 		}
-		if !again {
+		if !retry {
 			return reply
 		}
 	}
 	return Reply{Refusal: RefusedOutcomeUnknown}
 }
 
-// join returns the running attempt of a key, or registers a new one.
-func (c *Claims) join(request Request) (a *attempt, own bool) {
+// findOrCreateAttempt returns the attempt of the key on this instance, or registers a
+// new one.
+func (c *Claims) findOrCreateAttempt(request Request) (a *attempt, created bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if running, ok := c.attempts[request.ID]; ok {
 		return running, false
 	}
-	a = &attempt{request: request, started: c.BootTime(), done: make(chan struct{})}
-	// crypto/rand.Read never fails.
+	a = &attempt{request: request, requestedAt: c.BootTime(), done: make(chan struct{})}
+	// crypto/rand.Read never returns an error.
 	_, _ = rand.Read(a.token[:])
 	c.attempts[request.ID] = a
 	return a, true
 }
 
-// joined waits for another attempt on this instance.
-func (c *Claims) joined(ctx context.Context, a *attempt, request Request) (reply Reply, again bool) {
+// waitForLocal waits for another attempt on this instance and returns its answer.
+func (c *Claims) waitForLocal(ctx context.Context, a *attempt, request Request) (reply Reply, retry bool) {
 	if a.request.BodySHA256 != request.BodySHA256 {
 		return Reply{Refusal: RefusedBodyMismatch}, false
 	}
@@ -149,38 +150,39 @@
 	}
 }
 
-// ask appends the claim of a new attempt.
-func (c *Claims) ask(ctx context.Context, call *call, a *attempt) (reply Reply, again bool) {
-	decision, err := c.submit(ctx, a.op(claim.OpClaim, c.Instance))
+// appendClaim requests the claim of a new attempt.
+func (c *Claims) appendClaim(ctx context.Context, call *claimCall, a *attempt) (reply Reply, retry bool) {
+	decision, err := c.submit(ctx, a.newOp(claim.OpClaim, c.Instance))
 	switch {
 	case errors.Is(err, ErrNotAppended):
-		c.drop(a)
+		c.removeUngranted(a)
 		return Reply{Refusal: RefusedStoreUnavailable}, false
 	case err != nil:
-		c.abandon(a)
+		c.releaseInBackground(a)
 		return Reply{Refusal: RefusedStoreUnavailable}, false
 	case decision.Verdict == claim.Granted:
 		return Reply{Grant: &Grant{claims: c, attempt: a}}, false
 	}
-	c.drop(a)
-	return c.decided(ctx, call, decision)
+	c.removeUngranted(a)
+	return c.replyToDecision(ctx, call, decision)
 }
 
-// decided turns the state of a key that another attempt has used into a reply.
-func (c *Claims) decided(ctx context.Context, call *call, decision claim.Decision) (reply Reply, again bool) {
+// replyToDecision returns the reply for a key that another attempt has used.
+func (c *Claims) replyToDecision(ctx context.Context, call *claimCall, decision claim.Decision) (reply Reply, retry bool) {
 	switch decision.Verdict {
 	case claim.BodyMismatch:
 		return Reply{Refusal: RefusedBodyMismatch}, false
 	case claim.AlreadyFinished:
-		return c.recorded(ctx, call.request.ID, decision), false
+		return c.recordedAnswer(ctx, call.request.ID, decision), false
 	case claim.Running:
-		return c.await(ctx, call, decision)
+		return c.awaitHolder(ctx, call, decision)
 	}
 	return Reply{}, true
 }
 
-// recorded fetches the answer of a finished attempt.
-func (c *Claims) recorded(ctx context.Context, id claim.ID, decision claim.Decision) Reply {
+// recordedAnswer returns the answer of a finished attempt. If only its digest was
+// stored, it asks the holder for the answer and otherwise returns the digest.
+func (c *Claims) recordedAnswer(ctx context.Context, id claim.ID, decision claim.Decision) Reply {
 	answer, err := c.readAnswer(ctx, id, decision)
 	if err != nil {
 		return Reply{Refusal: RefusedAnswerUnavailable}
@@ -188,28 +190,29 @@
 	if answer.Body != nil || answer.SHA256 == sha256.Sum256(nil) {
 		return Reply{Answer: &answer}
 	}
-	response, err := c.awaitAt(ctx, decision.Holder, AwaitRequest{ID: id, Token: decision.Token})
+	response, err := c.callHolder(ctx, decision.Holder, AwaitRequest{ID: id, Token: decision.Token})
 	if err == nil && response.State == AwaitFinished {
 		return Reply{Answer: &response.Answer}
 	}
 	return Reply{Answer: &answer}
 }
 
-// errNoRecord reports a segment without the record that the index names.
+// errNoRecord reports a segment without the record that it holds according to the index.
 var errNoRecord = errors.New("claim segment does not hold the record")
 
-// readAnswer reads a recorded answer. A store that just refused a call is often
-// back after the first backoff, so that a caller need not come again.
+// readAnswer reads a recorded answer. It retries a failed read, because a store that
+// refused a call is often available again after the first backoff; the caller then
+// need not repeat its request.
 func (c *Claims) readAnswer(ctx context.Context, id claim.ID, decision claim.Decision) (claim.Answer, error) {
 	key := claim.SegmentKey(id.Shard(), decision.Segment)
 	var err error
-	for range readAttempts {
+	for range answerReadAttempts {
 		var entry store.Entry
 		if entry, err = c.Store.Get(appendContext(ctx, true), key); err == nil {
 			return findAnswer(claim.Segment{Number: decision.Segment, Data: entry.Value}, decision.Token)
 		}
 		select {
-		case <-time.After(readInterval):
+		case <-time.After(answerReadInterval):
 		case <-ctx.Done():
 			return claim.Answer{}, ctx.Err()
 		}
@@ -225,11 +228,11 @@
 	return answer, err
 }
 
-// await joins an attempt at its holder. The first time that the holder reports
-// no running attempt, the claim is asked for again, because its end may have been
-// recorded since the decision.
-func (c *Claims) await(ctx context.Context, call *call, decision claim.Decision) (reply Reply, again bool) {
-	response, err := c.awaitAt(ctx, decision.Holder, AwaitRequest{ID: call.request.ID, Token: decision.Token})
+// awaitHolder waits at the holder of an attempt for its end. When the holder first
+// reports that the attempt is not running, the claim is requested again, because the
+// end may have been recorded since the decision.
+func (c *Claims) awaitHolder(ctx context.Context, call *claimCall, decision claim.Decision) (reply Reply, retry bool) {
+	response, err := c.callHolder(ctx, decision.Holder, AwaitRequest{ID: call.request.ID, Token: decision.Token})
 	switch {
 	case ctx.Err() != nil:
 		return Reply{Refusal: RefusedStillRunning}, false
@@ -237,8 +240,8 @@
 		return Reply{Refusal: RefusedOutcomeUnknown}, false
 	case response.State == AwaitFinished:
 		return Reply{Answer: &response.Answer}, false
-	case call.ended != decision.Token:
-		call.ended = decision.Token
+	case call.endedToken != decision.Token:
+		call.endedToken = decision.Token
 		return Reply{}, true
 	case response.State == AwaitReleased:
 		return Reply{Refusal: RefusedReleasePending}, false
@@ -246,15 +249,15 @@
 	return Reply{Refusal: RefusedOutcomeUnknown}, false
 }
 
-func (c *Claims) awaitAt(ctx context.Context, holder string, request AwaitRequest) (AwaitResponse, error) {
+func (c *Claims) callHolder(ctx context.Context, holder string, request AwaitRequest) (AwaitResponse, error) {
 	if holder == c.Instance {
 		return c.Await(ctx, request)
 	}
 	return c.Awaiter.Await(ctx, holder, request)
 }
 
-// submit has the shard's appender append an operation, or appends it directly
-// when the appender is not reached.
+// submit forwards an operation to the shard's appender, or appends it directly if
+// the appender returns an error.
 func (c *Claims) submit(ctx context.Context, op claim.Op) (claim.Decision, error) {
 	shard := op.ID.Shard()
 	appender := c.Forwarder.Appender(shard)
@@ -267,13 +270,14 @@
 	}
 	decision, directErr := c.appenders[shard].Append(ctx, op, true)
 	if errors.Is(directErr, ErrNotAppended) && !errors.Is(err, ErrNotAppended) && !errors.Is(err, ErrNotReached) {
-		// The other instance may still append it.
+		// The appender may still append the operation.
 		return decision, fmt.Errorf("%w: %s", ErrUnresolved, directErr)
 	}
 	return decision, directErr
 }
 
-// Append serves another instance that takes this one for the shard's appender.
+// Append appends an operation for an instance whose view has this instance as the
+// shard's appender.
 func (c *Claims) Append(ctx context.Context, request AppendRequest) (AppendResponse, error) {
 	decision, err := c.appenders[request.Op.ID.Shard()].Append(ctx, request.Op, false)
 	return AppendResponse{Decision: decision}, err
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -18,7 +18,7 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/store/storetest"
 )
 
-// manualClock is a boot-time and wall clock that tests advance.
+// manualClock is a boot-time and wall clock that a test advances.
 type manualClock struct {
 	mu  sync.Mutex
 	now time.Time
@@ -41,19 +41,20 @@
 func newTestAppender(s store.Store) *Appender {
 	clock := newClock()
 	return newAppender(&chain{
-		store: s, boot: clock.Now, wall: clock.Now, state: claim.NewShard(), writes: tally.NoopScope.Counter("w"),
+		store: s, bootTime: clock.Now, wallTime: clock.Now, state: claim.NewShard(), writes: tally.NoopScope.Counter("w"),
 	}, 0, newCounters(tally.NoopScope))
 }
 
-// network connects the instances of a test; an instance may be cut off.
+// network connects the instances of a test. An instance that is deleted from it can't
+// be reached.
 type network struct {
-	instances map[string]*Claims
-	appender  string
-	// loseAnswers makes forwarded appends take effect without an answer.
+	instances     map[string]*Claims
+	shardAppender string
+	// loseAnswers loses the answers to forwarded appends, which take effect.
 	loseAnswers bool
 }
 
-func (n *network) Appenders() []string { return []string{n.appender} }
+func (n *network) Appenders() []string { return []string{n.shardAppender} }
 
 // Address returns the name itself.
 func (n *network) Address(instance string) (string, bool) {
@@ -72,42 +73,42 @@
 	return n.instances[holder].AwaitClaim(ctx, claim)
 }
 
-type world struct {
+type testCluster struct {
 	*network
 	fake  *storetest.Fake
 	clock *manualClock
 }
 
-func newWorld(names ...string) *world {
-	w := &world{network: &network{instances: map[string]*Claims{}}, fake: storetest.New(), clock: newClock()}
-	peers := Peers{Client: w, Directory: w}
+func newTestCluster(names ...string) *testCluster {
+	cluster := &testCluster{network: &network{instances: map[string]*Claims{}}, fake: storetest.New(), clock: newClock()}
+	peers := Peers{Client: cluster, Directory: cluster}
 	for _, name := range names {
-		w.instances[name] = New(Config{
-			Instance: name, Store: w.fake, Forwarder: peers, Awaiter: peers, BootTime: w.clock.Now, WallTime: w.clock.Now,
+		cluster.instances[name] = New(Config{
+			Instance: name, Store: cluster.fake, Forwarder: peers, Awaiter: peers, BootTime: cluster.clock.Now, WallTime: cluster.clock.Now,
 			Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler), RecordRetryInterval: time.Millisecond,
 		})
 	}
-	return w
+	return cluster
 }
 
-func (w *world) claim(ctx context.Context, instance string, body byte) Reply {
+func (cluster *testCluster) claim(ctx context.Context, instance string, body byte) Reply {
 	request := Request{ID: claim.NewID("acme", "p", "k", "key"), BodySHA256: claim.Digest{body}, Retention: time.Hour}
-	return w.instances[instance].Claim(ctx, request)
+	return cluster.instances[instance].Claim(ctx, request)
 }
 
-// Guards against a key that runs at two instances, and a repeat that gets
-// neither the answer of the running attempt nor the recorded one.
+// Guards against two instances that run the same key, and against a repeated request
+// that gets neither the answer of the running attempt nor the recorded one.
 func TestTwoInstancesWithOneKey(t *testing.T) {
 	for _, size := range []int{2, claim.MaxInlineAnswerBytes + 1} {
 		c := qt.New(t)
-		w := newWorld("a", "b", "c")
-		w.appender = "b"
-		grant := w.claim(c.Context(), "a", 1).Grant
+		cluster := newTestCluster("a", "b", "c")
+		cluster.shardAppender = "b"
+		grant := cluster.claim(c.Context(), "a", 1).Grant
 		c.Assert(grant, qt.IsNotNil)
-		c.Assert(w.claim(c.Context(), "b", 2).Refusal, qt.Equals, RefusedBodyMismatch)
+		c.Assert(cluster.claim(c.Context(), "b", 2).Refusal, qt.Equals, RefusedBodyMismatch)
 		replies := make(chan Reply, 2)
 		for _, name := range []string{"a", "b"} {
-			go func() { replies <- w.claim(c.Context(), name, 1) }()
+			go func() { replies <- cluster.claim(c.Context(), name, 1) }()
 		}
 		answer := strings.Repeat("x", size)
 		c.Assert(grant.Finish(c.Context(), "completed", []byte(answer)), qt.IsNil)
@@ -116,11 +117,11 @@
 			c.Assert(reply.Answer, qt.IsNotNil)
 			c.Assert(string(reply.Answer.Body) == answer, qt.IsTrue)
 		}
-		late := w.claim(c.Context(), "c", 1).Answer
+		late := cluster.claim(c.Context(), "c", 1).Answer
 		c.Assert(late, qt.IsNotNil)
 		c.Assert(string(late.Body) == answer, qt.IsTrue)
-		delete(w.instances, "a")
-		gone := w.claim(c.Context(), "c", 1).Answer
+		delete(cluster.instances, "a")
+		gone := cluster.claim(c.Context(), "c", 1).Answer
 		c.Assert(gone, qt.IsNotNil)
 		c.Assert(gone.Outcome, qt.Equals, "completed")
 		c.Assert(gone.SHA256, qt.Equals, late.SHA256)
@@ -128,75 +129,75 @@
 	}
 }
 
-// Guards against a recorded answer that counts as one whose digest alone was
-// kept, because the store refused the read: the caller would never get it.
-func TestUnreadAnswerIsNotTakenForADigest(t *testing.T) {
+// Guards against a recorded answer that is reported as one of which only the digest
+// was stored, because the store refused the read. The caller would never get it.
+func TestUnreadAnswerIsNotReportedAsDigest(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld("a", "b")
-	grant := w.claim(c.Context(), "a", 1).Grant
+	cluster := newTestCluster("a", "b")
+	grant := cluster.claim(c.Context(), "a", 1).Grant
 	c.Assert(grant.Finish(c.Context(), "completed", []byte("answer")), qt.IsNil)
 	failures := 1
-	w.fake.Before = func(_ context.Context, op storetest.Op, _ string) error {
+	cluster.fake.Before = func(_ context.Context, op storetest.Op, _ string) error {
 		if op == storetest.Get && failures > 0 {
 			failures--
 			return store.ErrUnavailable
 		}
 		return nil
 	}
-	c.Assert(string(w.claim(c.Context(), "b", 1).Answer.Body), qt.Equals, "answer")
+	c.Assert(string(cluster.claim(c.Context(), "b", 1).Answer.Body), qt.Equals, "answer")
 	failures = 100
-	c.Assert(w.claim(c.Context(), "b", 1).Refusal, qt.Equals, RefusedAnswerUnavailable)
+	c.Assert(cluster.claim(c.Context(), "b", 1).Refusal, qt.Equals, RefusedAnswerUnavailable)
 }
 
-// Guards against a key that runs again after its holder died.
-func TestDeadHolderLeavesUnknown(t *testing.T) {
+// Guards against a key that runs again after its holder failed.
+func TestFailedHolderLeavesOutcomeUnknown(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld("a", "b")
-	c.Assert(w.claim(c.Context(), "a", 1).Grant, qt.IsNotNil)
-	delete(w.instances, "a")
-	c.Assert(w.claim(c.Context(), "b", 1).Refusal, qt.Equals, RefusedOutcomeUnknown)
-	w.clock.Advance(time.Hour)
-	c.Assert(w.claim(c.Context(), "b", 1).Grant, qt.IsNotNil)
+	cluster := newTestCluster("a", "b")
+	c.Assert(cluster.claim(c.Context(), "a", 1).Grant, qt.IsNotNil)
+	delete(cluster.instances, "a")
+	c.Assert(cluster.claim(c.Context(), "b", 1).Refusal, qt.Equals, RefusedOutcomeUnknown)
+	cluster.clock.Advance(time.Hour)
+	c.Assert(cluster.claim(c.Context(), "b", 1).Grant, qt.IsNotNil)
 }
 
-// Guards against a claim that is appended twice when the answer of the shard's
-// appender is lost, or not at all when it can't be reached.
-func TestAppenderNotReached(t *testing.T) {
+// Guards against a claim that is appended twice if the answer of the shard's appender
+// is lost, or not at all if the appender can't be reached.
+func TestAppenderUnreachable(t *testing.T) {
 	for _, lost := range []bool{true, false} {
 		c := qt.New(t)
-		w := newWorld("a", "b")
-		w.appender, w.loseAnswers = "b", lost
+		cluster := newTestCluster("a", "b")
+		cluster.shardAppender, cluster.loseAnswers = "b", lost
 		if !lost {
-			w.appender = "nobody"
+			cluster.shardAppender = "nobody"
 		}
-		c.Assert(w.claim(c.Context(), "a", 1).Grant, qt.IsNotNil)
-		c.Assert(w.fake.Count(storetest.Swap), qt.Equals, 1)
+		c.Assert(cluster.claim(c.Context(), "a", 1).Grant, qt.IsNotNil)
+		c.Assert(cluster.fake.Count(storetest.Swap), qt.Equals, 1)
 	}
 }
 
-// Guards against a keyed request that waits, or is told anything but not_run,
-// while the store is down, and against a claim left behind by it.
+// Guards against a request with a key that, while the store is down, waits or gets
+// another outcome than not_run, or that leaves a claim behind.
 func TestStoreDownBeforeTheClaim(t *testing.T) {
 	for _, appender := range []string{"a", "b"} {
 		c := qt.New(t)
-		w := newWorld("a", "b")
-		w.appender = appender
-		w.fake.Before = func(context.Context, storetest.Op, string) error { return store.ErrUnavailable }
-		c.Assert(w.claim(c.Context(), "a", 1).Refusal, qt.Equals, RefusedStoreUnavailable)
-		c.Assert(w.instances["a"].unsettled, qt.HasLen, 0)
-		w.fake.Before = nil
-		c.Assert(w.claim(c.Context(), "a", 1).Grant, qt.IsNotNil)
+		cluster := newTestCluster("a", "b")
+		cluster.shardAppender = appender
+		cluster.fake.Before = func(context.Context, storetest.Op, string) error { return store.ErrUnavailable }
+		c.Assert(cluster.claim(c.Context(), "a", 1).Refusal, qt.Equals, RefusedStoreUnavailable)
+		c.Assert(cluster.instances["a"].unrecorded, qt.HasLen, 0)
+		cluster.fake.Before = nil
+		c.Assert(cluster.claim(c.Context(), "a", 1).Grant, qt.IsNotNil)
 	}
 }
 
-// Guards against a key that stays blocked, or is granted while its claim is
-// unresolved, when the answer of the claim is lost and the store then goes down.
+// Guards against a key that stays claimed, or is granted while the outcome of its
+// claim is unknown, if the answer to the claim is lost and the store then goes down.
 func TestStoreDownDuringTheClaim(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld("a", "b")
+	cluster := newTestCluster("a", "b")
 	var down bool
 	var mu sync.Mutex
-	w.fake.Before = func(context.Context, storetest.Op, string) error {
+	cluster.fake.Before = func(context.Context, storetest.Op, string) error {
 		mu.Lock()
 		defer mu.Unlock()
 		if down {
@@ -204,7 +205,7 @@
 		}
 		return nil
 	}
-	w.fake.After = func(_ context.Context, op storetest.Op, _ string) error {
+	cluster.fake.After = func(_ context.Context, op storetest.Op, _ string) error {
 		mu.Lock()
 		defer mu.Unlock()
 		if op == storetest.Swap && !down {
@@ -213,27 +214,27 @@
 		}
 		return nil
 	}
-	c.Assert(w.claim(c.Context(), "a", 1).Refusal, qt.Equals, RefusedStoreUnavailable)
-	c.Assert(w.claim(c.Context(), "a", 1).Refusal, qt.Equals, RefusedReleasePending)
+	c.Assert(cluster.claim(c.Context(), "a", 1).Refusal, qt.Equals, RefusedStoreUnavailable)
+	c.Assert(cluster.claim(c.Context(), "a", 1).Refusal, qt.Equals, RefusedReleasePending)
 	mu.Lock()
-	w.fake.After = nil
+	cluster.fake.After = nil
 	down = false
 	mu.Unlock()
-	c.Assert(w.instances["a"].WaitRecorded(c.Context()), qt.Equals, 0)
-	c.Assert(w.claim(c.Context(), "b", 1).Grant, qt.IsNotNil)
+	c.Assert(cluster.instances["a"].WaitRecorded(c.Context()), qt.Equals, 0)
+	c.Assert(cluster.claim(c.Context(), "b", 1).Grant, qt.IsNotNil)
 }
 
-// Guards against an outcome that is forgotten, or a key that runs again, when
-// the store is down at the end of the run.
+// Guards against an outcome that is lost, or a key that runs again, if the store is
+// down at the end of the run.
 func TestStoreDownAfterTheClaim(t *testing.T) {
 	for _, finish := range []bool{true, false} {
 		c := qt.New(t)
-		w := newWorld("a", "b")
-		grant := w.claim(c.Context(), "a", 1).Grant
+		cluster := newTestCluster("a", "b")
+		grant := cluster.claim(c.Context(), "a", 1).Grant
 		c.Assert(grant, qt.IsNotNil)
 		var mu sync.Mutex
 		down := true
-		w.fake.Before = func(context.Context, storetest.Op, string) error {
+		cluster.fake.Before = func(context.Context, storetest.Op, string) error {
 			mu.Lock()
 			defer mu.Unlock()
 			if down {
@@ -243,16 +244,16 @@
 		}
 		if finish {
 			c.Assert(grant.Finish(c.Context(), "completed", []byte("{}")), qt.ErrorIs, ErrNotAppended)
-			c.Assert(string(w.claim(c.Context(), "a", 1).Answer.Body), qt.Equals, "{}")
+			c.Assert(string(cluster.claim(c.Context(), "a", 1).Answer.Body), qt.Equals, "{}")
 		} else {
 			c.Assert(grant.Release(c.Context()), qt.ErrorIs, ErrNotAppended)
-			c.Assert(w.claim(c.Context(), "a", 1).Refusal, qt.Equals, RefusedReleasePending)
+			c.Assert(cluster.claim(c.Context(), "a", 1).Refusal, qt.Equals, RefusedReleasePending)
 		}
 		mu.Lock()
 		down = false
 		mu.Unlock()
-		c.Assert(w.instances["a"].WaitRecorded(c.Context()), qt.Equals, 0)
-		repeat := w.claim(c.Context(), "b", 1)
+		c.Assert(cluster.instances["a"].WaitRecorded(c.Context()), qt.Equals, 0)
+		repeat := cluster.claim(c.Context(), "b", 1)
 		c.Assert(repeat.Grant == nil, qt.Equals, finish)
 		if finish {
 			c.Assert(string(repeat.Answer.Body), qt.Equals, "{}")
@@ -260,24 +261,25 @@
 	}
 }
 
-// Guards against a call that is sent long after its claim was granted, because
-// the process was paused.
+// Guards against a call that is sent long after its claim was granted because the
+// process was paused.
 func TestGrantIsUnusableAfterAPause(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld("a")
-	grant := w.claim(c.Context(), "a", 1).Grant
+	cluster := newTestCluster("a")
+	grant := cluster.claim(c.Context(), "a", 1).Grant
 	c.Assert(grant.Usable(), qt.IsTrue)
-	w.clock.Advance(GrantLifetime)
+	cluster.clock.Advance(GrantLifetime)
 	c.Assert(grant.Usable(), qt.IsFalse)
 }
 
-// Guards against an appender that wakes after its segment was sealed, expired
-// and deleted, creates it again and takes its own write for part of the chain.
+// Guards against an appender that is paused until its segment was sealed, expired and
+// deleted, and that then creates the segment again and treats its own write as part of
+// the chain.
 func TestWriteOutsideTheChainDoesNotCount(t *testing.T) {
 	c := qt.New(t)
 	fake, clock := storetest.New(), newClock()
 	appender := func(s store.Store) *chain {
-		return &chain{store: s, boot: clock.Now, wall: clock.Now, state: claim.NewShard(), writes: tally.NoopScope.Counter("w")}
+		return &chain{store: s, bootTime: clock.Now, wallTime: clock.Now, state: claim.NewShard(), writes: tally.NoopScope.Counter("w")}
 	}
 	fill := func(a *Appender, n byte) {
 		op := claim.Op{Kind: claim.OpClaim, ID: claim.ID{0, n}, Token: claim.Token{n}, Retention: time.Second,
@@ -288,23 +290,23 @@
 	}
 	other := newAppender(appender(fake), 0, newCounters(tally.NoopScope))
 	fill(other, 1)
-	asleep := &pausingStore{Fake: fake}
-	sleeper := newAppender(appender(asleep), 0, newCounters(tally.NoopScope))
-	wanted := claim.Op{Kind: claim.OpClaim, ID: claim.ID{0, 99}, Token: claim.Token{98}, Holder: "other", Retention: time.Hour}
-	asleep.pause = func() {
+	pausing := &pausingStore{Fake: fake}
+	paused := newAppender(appender(pausing), 0, newCounters(tally.NoopScope))
+	contested := claim.Op{Kind: claim.OpClaim, ID: claim.ID{0, 99}, Token: claim.Token{98}, Holder: "other", Retention: time.Hour}
+	pausing.pause = func() {
 		fill(other, 2)
 		clock.Advance(2 * claim.DeletionMargin)
 		fill(other, 3)
 		fill(other, 4)
 		for range 2 {
 			clock.Advance(2 * time.Second)
-			_, err := other.Append(c.Context(), wanted, false)
+			_, err := other.Append(c.Context(), contested, false)
 			c.Assert(err, qt.IsNil)
-			wanted.Token[1]++
+			contested.Token[1]++
 		}
 	}
-	decision, err := sleeper.Append(c.Context(), claim.Op{
-		Kind: claim.OpClaim, ID: wanted.ID, Token: claim.Token{97}, Holder: "sleeper", Retention: time.Hour}, false)
+	decision, err := paused.Append(c.Context(), claim.Op{
+		Kind: claim.OpClaim, ID: contested.ID, Token: claim.Token{97}, Holder: "paused", Retention: time.Hour}, false)
 	c.Assert(err, qt.IsNil)
 	c.Assert(decision.Verdict, qt.Equals, claim.Running)
 	c.Assert(decision.Token, qt.Equals, claim.Token{98})
@@ -312,7 +314,7 @@
 	c.Assert(err, qt.ErrorIs, store.ErrNotFound)
 }
 
-// pausingStore runs pause before its first write.
+// pausingStore calls pause before its first write.
 type pausingStore struct {
 	*storetest.Fake
 	pause func()
@@ -326,25 +328,25 @@
 	return s.Fake.CompareAndSwap(ctx, key, expect, value, lease)
 }
 
-// Guards against appenders that disagree on the owner of a shard and write at the
-// full rate each, which exceeds the store's limit.
-func TestConflictsSlowAnAppenderDown(t *testing.T) {
+// Guards against instances that disagree on the appender of a shard and each write at
+// the full rate, which together exceeds the store's limit.
+func TestConflictsIncreaseBackoff(t *testing.T) {
 	c := qt.New(t)
 	fake := storetest.New()
 	first, second := newTestAppender(fake), newTestAppender(fake)
 	first.interval, second.interval = time.Microsecond, time.Microsecond
 	write := func(a *Appender, key string) {
 		op := claim.Op{Kind: claim.OpClaim, ID: claim.NewID("acme", "p", "k", key), Retention: time.Hour}
-		_, err := a.settle(c.Context(), []*pending{{op: op}})
+		_, err := a.appendBatch(c.Context(), []*pending{{op: op}})
 		c.Assert(err, qt.IsNil)
 	}
 	for i := range 4 {
 		write(first, fmt.Sprint("first", i))
 		write(second, fmt.Sprint("second", i))
 	}
-	c.Assert(second.pause() >= second.interval<<(maxPaceStep-successSteps)/2, qt.IsTrue)
-	for i := range maxPaceStep {
+	c.Assert(second.batchInterval() >= second.interval<<(maxBackoffStep-successBackoffSteps)/2, qt.IsTrue)
+	for i := range maxBackoffStep {
 		write(second, fmt.Sprint("alone", i))
 	}
-	c.Assert(second.pause(), qt.Equals, second.interval)
+	c.Assert(second.batchInterval(), qt.Equals, second.interval)
 }
--- a/internal/claims/linear_test.go
+++ b/internal/claims/linear_test.go
@@ -24,7 +24,7 @@
 	finished bool
 }
 
-// output is what an operation returned; unresolved ones may have happened.
+// output is the result of an operation. An unresolved operation may have taken effect.
 type output struct {
 	decision   claim.Decision
 	unresolved bool
@@ -79,8 +79,8 @@
 	return []any{after}
 }
 
-// slowStore lets one appender's writes wait until others have written, so that
-// it wakes with old state.
+// slowStore delays every write whose number is a multiple of every until others have
+// written, so that the write is based on an old state. 0 delays none.
 type slowStore struct {
 	*storetest.Fake
 	every int64
@@ -97,9 +97,9 @@
 	return s.Fake.CompareAndSwap(ctx, key, expect, value, lease)
 }
 
-// Guards against a history of claims that no single store could have produced:
-// a key granted twice, a record lost or a token that comes back, when appenders
-// race, one of them is paused, and answers of writes are lost.
+// Guards against a history of claims that is not linearizable: a key that is granted
+// twice, a lost record, or a token that holds the key again after its release. Several
+// appenders write concurrently, one of them is paused, and answers to writes are lost.
 func TestClaimHistoryIsLinearizable(t *testing.T) {
 	const appenders, rounds, keys = 4, 60, 6
 	c := qt.New(t)
--- a/internal/claims/peers.go
+++ b/internal/claims/peers.go
@@ -12,9 +12,9 @@
 	"github.com/coltsfootdrift/coltsfootdrift/rendezvous"
 )
 
-// awaitRound is how long one call waits at a holder before it is repeated. It is
-// shorter than the bound of the client on such a call.
-const awaitRound = 20 * time.Second
+// awaitCallTimeout is how long one call waits at a holder before it is repeated. It
+// is shorter than the timeout of the client for such a call.
+const awaitCallTimeout = 20 * time.Second
 
 // PeerClient calls other instances; peer.Client implements it.
 type PeerClient interface {
@@ -22,15 +22,16 @@
 	AwaitClaim(ctx context.Context, address string, claim []byte) ([]byte, error)
 }
 
-// Directory knows the other instances.
+// Directory lists the live instances.
 type Directory interface {
-	// Appenders returns the live instances in the store's region.
+	// Appenders returns the live instances in the store's region, of which one is
+	// chosen for each shard.
 	Appenders() []string
 	// Address returns the peer address of a live instance.
 	Address(instance string) (address string, ok bool)
 }
 
-// Peers is the Forwarder and Awaiter over the service between instances.
+// Peers is the Forwarder and Awaiter that calls other instances over the network.
 type Peers struct {
 	Client    PeerClient
 	Directory Directory
@@ -45,7 +46,7 @@
 }
 
 // awaitResult is the answer of a holder. Running means that the attempt had not
-// ended after awaitRound.
+// ended after awaitCallTimeout.
 type awaitResult struct {
 	Running  bool          `json:"running,omitempty"`
 	Response AwaitResponse `json:"response"`
@@ -114,7 +115,9 @@
 	}
 }
 
-// AppendClaims serves forwarded operations. They are appended together.
+// AppendClaims appends operations that another instance forwarded, and returns their
+// results in the same order. They are queued together, so that they can share a
+// write.
 func (c *Claims) AppendClaims(ctx context.Context, shard int, records [][]byte) ([][]byte, error) {
 	ops := make([]claim.Op, len(records))
 	for i, record := range records {
@@ -149,15 +152,16 @@
 	return appendResult{Decision: response.Decision, NotAppended: notAppended, Unresolved: err != nil && !notAppended}
 }
 
-// AwaitClaim serves instances that wait for an attempt of this one.
+// AwaitClaim waits for the end of an attempt on this instance on behalf of another
+// instance.
 func (c *Claims) AwaitClaim(ctx context.Context, encoded []byte) ([]byte, error) {
 	var request AwaitRequest
 	if err := json.Unmarshal(encoded, &request); err != nil {
 		return nil, fmt.Errorf("await request: %w", err)
 	}
-	round, cancel := context.WithTimeout(ctx, awaitRound)
+	callCtx, cancel := context.WithTimeout(ctx, awaitCallTimeout)
 	defer cancel()
-	response, err := c.Await(round, request)
+	response, err := c.Await(callCtx, request)
 	if err != nil && ctx.Err() != nil {
 		return nil, err
 	}
--- a/internal/claims/ports.go
+++ b/internal/claims/ports.go
@@ -1,5 +1,7 @@
-// Package claims grants and records at-most-once claims in the store. It batches
-// appends by shard, settles lost answers and answers for running attempts.
+// Package claims grants and records claims of idempotency keys in the store, so that
+// a request with a key runs at most once. It batches the writes of each shard, finds
+// out the outcome of writes whose answer was lost, and lets repeated requests wait
+// for a running attempt.
 package claims
 
 import (
@@ -11,18 +13,19 @@
 
 // Errors of an append.
 var (
-	// ErrNotAppended reports an operation that is not in the store and will not be.
+	// ErrNotAppended reports an operation that is not in the store and will not get
+	// there.
 	ErrNotAppended = errors.New("claim operation was not appended")
 	// ErrUnresolved reports an operation that may be in the store or may still get
-	// there. A claim with this error is released before its token is forgotten.
+	// there. A claim with this error is released before its token is dropped.
 	ErrUnresolved = errors.New("claim operation is unresolved")
 	// ErrNotReached reports an instance that could not be called.
 	ErrNotReached = errors.New("instance was not reached")
-	// ErrLost reports that the claim expired before its outcome was recorded.
+	// ErrClaimLost reports that the claim expired before its outcome was recorded.
 	ErrClaimLost = errors.New("claim is not held any more")
 )
 
-// AppendRequest asks an instance to append one operation to the shard of its ID.
+// AppendRequest is a request to append one operation to the shard of its ID.
 type AppendRequest struct {
 	Op claim.Op
 }
@@ -32,59 +35,61 @@
 	Decision claim.Decision
 }
 
-// Forwarder reaches the appenders of other instances.
+// Forwarder calls the appenders of other instances.
 type Forwarder interface {
-	// Appender names the instance that appends for a shard; empty when none is known.
+	// Appender returns the instance that appends for a shard, or "" if none is known.
 	Appender(shard int) string
-	// Append has an instance append. After any error the caller appends directly
-	// under the same token, which is safe whether or not the instance appended.
-	// ErrNotReached and ErrNotAppended say that the instance never will.
+	// Append sends an operation to an instance, which appends it. After any error the
+	// caller appends the operation directly with the same token, which is safe whether
+	// or not the instance has appended it. ErrNotReached and ErrNotAppended mean that
+	// the instance has not appended it and never will.
 	Append(ctx context.Context, instance string, request AppendRequest) (AppendResponse, error)
 }
 
-// AwaitRequest asks the holder of a claim for the end of its attempt.
+// AwaitRequest is a request to the holder of a claim to report the end of its attempt.
 type AwaitRequest struct {
 	ID    claim.ID
 	Token claim.Token
 }
 
-// AwaitState tells how an attempt ended.
+// AwaitState is the way in which an attempt ended.
 type AwaitState int
 
 // States of an awaited attempt.
 const (
 	// AwaitFinished means that the outcome is known.
 	AwaitFinished AwaitState = iota + 1
-	// AwaitReleased means that the key is free or about to be.
+	// AwaitReleased means that the key is released or is about to be.
 	AwaitReleased
-	// AwaitNotHeld means that the instance does not know the token.
+	// AwaitNotHeld means that the instance holds no attempt with the token.
 	AwaitNotHeld
 )
 
-// AwaitResponse is how the attempt ended.
+// AwaitResponse reports the end of an attempt. Answer is set if State is
+// AwaitFinished.
 type AwaitResponse struct {
 	State  AwaitState
 	Answer claim.Answer
 }
 
-// Awaiter reaches the holders of claims.
+// Awaiter calls the holders of claims.
 type Awaiter interface {
-	// Await waits at the holder until the attempt ends or ctx does.
+	// Await waits at the holder until the attempt or ctx ends.
 	Await(ctx context.Context, holder string, request AwaitRequest) (AwaitResponse, error)
 }
 
-// Alone is the Forwarder and Awaiter of an instance that reaches no other.
+// NoPeers is the Forwarder and Awaiter of an instance without peers.
 type NoPeers struct{}
 
-// Appender names no instance.
+// Appender returns no instance.
 func (NoPeers) Appender(int) string { return "" }
 
-// Append reports ErrNotReached.
+// Append returns ErrNotReached.
 func (NoPeers) Append(context.Context, string, AppendRequest) (AppendResponse, error) {
 	return AppendResponse{}, ErrNotReached
 }
 
-// Await reports ErrNotReached.
+// Await returns ErrNotReached.
 func (NoPeers) Await(context.Context, string, AwaitRequest) (AwaitResponse, error) {
 	return AwaitResponse{}, ErrNotReached
 }
--- a/internal/claims/reply.go
+++ b/internal/claims/reply.go
@@ -6,37 +6,38 @@
 	"github.com/coltsfootdrift/coltsfootdrift/claim"
 )
 
-// Request asks for a claim.
+// Request is a request for a claim.
 type Request struct {
 	ID         claim.ID
 	BodySHA256 claim.Digest
-	// Retention is how long the key is kept after its last record.
+	// Retention is how long the key is kept after the last record of its claim.
 	Retention time.Duration
 }
 
-// Refusal says why there is neither a grant nor an answer.
+// Refusal is the reason for a reply with neither a grant nor an answer.
 type Refusal int
 
 // Refusals.
 const (
-	// RefusedStore means that the store can't be reached: nothing ran.
+	// RefusedStoreUnavailable means that the claim was not granted because the store
+	// can't be reached. Nothing ran.
 	RefusedStoreUnavailable Refusal = iota + 1
-	// RefusedBody means that the key was used with another body.
+	// RefusedBodyMismatch means that the key was used with another body.
 	RefusedBodyMismatch
-	// RefusedUnknown means that an earlier attempt may have run and its outcome is
-	// not known.
+	// RefusedOutcomeUnknown means that an earlier attempt may have run and that its
+	// outcome is unknown.
 	RefusedOutcomeUnknown
-	// RefusedReleasing means that an earlier attempt had no effect but its release
-	// is not recorded yet: nothing ran.
+	// RefusedReleasePending means that an earlier attempt had no effect but that its
+	// release is not recorded yet. Nothing ran.
 	RefusedReleasePending
-	// RefusedUnread means that an earlier attempt finished and that its answer can't
-	// be read now.
+	// RefusedAnswerUnavailable means that an earlier attempt has finished and that its
+	// answer can't be read now.
 	RefusedAnswerUnavailable
-	// RefusedWaiting means that an earlier attempt was still running when ctx ended.
+	// RefusedStillRunning means that an earlier attempt was still running when ctx ended.
 	RefusedStillRunning
 )
 
-// Reply is the result of a request: one of its fields is set.
+// Reply is the result of a request. Exactly one of its fields is set.
 type Reply struct {
 	Grant   *Grant
 	Answer  *claim.Answer
--- a/internal/claims/stale_test.go
+++ b/internal/claims/stale_test.go
@@ -13,9 +13,9 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/store"
 )
 
-// Guards against a grant that rests on a stale read alone: when every read of the
-// store is answered from the past, only the compare-and-swap shows that another
-// instance holds the key.
+// Guards against a grant that is based only on a stale read: if every read of the store
+// returns stale data, only the compare-and-swap shows that another instance holds the
+// key.
 func TestStaleReadsGrantNoKeyTwice(t *testing.T) {
 	const keys = 20
 	c := qt.New(t)
@@ -23,9 +23,9 @@
 	server := httptest.NewServer(service.Handler())
 	c.Cleanup(server.Close)
 	address := server.Listener.Addr().String()
-	ask := func(a *Appender, key, token int) (claim.Verdict, error) {
+	claimKey := func(a *Appender, key, token int) (claim.Verdict, error) {
 		op := claim.Op{Kind: claim.OpClaim, ID: claim.ID{0, byte(key)}, Token: claim.Token{byte(token)}, Holder: fmt.Sprint(token), Retention: time.Hour}
-		decisions, err := a.settle(c.Context(), []*pending{{op: op}})
+		decisions, err := a.appendBatch(c.Context(), []*pending{{op: op}})
 		if err != nil {
 			return 0, err
 		}
@@ -33,7 +33,7 @@
 	}
 	first := newTestAppender(store.NewHTTP(address))
 	for key := range keys {
-		verdict, err := ask(first, key, 1)
+		verdict, err := claimKey(first, key, 1)
 		c.Assert(err, qt.IsNil)
 		c.Assert(verdict, qt.Equals, claim.Granted)
 	}
@@ -41,7 +41,7 @@
 		service.SetFaults(standin.StoreFaults{StaleShare: share, StaleMS: 60000, WritesPerSecond: 1e6, ReadsPerSecond: 1e6})
 		second := newTestAppender(store.NewHTTP(address))
 		for key := range keys {
-			verdict, err := ask(second, key, 2)
+			verdict, err := claimKey(second, key, 2)
 			c.Assert(err != nil || verdict == claim.Running, qt.IsTrue, qt.Commentf("key %d, verdict %v", key, verdict))
 			c.Assert(err == nil || share == 1, qt.IsTrue, qt.Commentf("key %d: %v", key, err))
 		}
