--- a/internal/leases/leases.go
+++ b/internal/leases/leases.go
@@ -1,5 +1,5 @@
-// Package leases keeps a lease of the store and one key under it. The version of
-// the key is the fencing number of its holder.
+// Package leases acquires a lease in the store, keeps it alive and holds one key
+// under it. The version of the key is the fencing token of the holder.
 package leases
 
 import (
@@ -15,87 +15,88 @@
 	"github.com/coltsfootdrift/coltsfootdrift/quota"
 )
 
-// Times of a lease.
+// Durations of a lease.
 const (
 	// TTL is the duration of a lease.
 	TTL = 10 * time.Second
-	// Margin is how long before the end of its lease a holder stops.
+	// Margin is how long before the lease expires the holder stops acting under it.
 	Margin = 3 * time.Second
-	// tick is how often a lease is looked after.
-	tick = time.Second
+	// tickInterval is the time between two ticks of a lease.
+	tickInterval = time.Second
 )
 
-// Config describes a lease and its key.
+// Config configures a lease and its key.
 type Config struct {
 	Store store.Store
-	// Key is written under the lease with Instance as its value.
+	// Key is the store key that is written under the lease with the value Instance.
 	Key      string
 	Instance string
-	// Exclusive leaves the key to another lease that holds it. Otherwise the key is
-	// taken from an earlier process of the same instance.
+	// Exclusive leaves the key unchanged if it exists under another lease. Otherwise
+	// the key is overwritten, because an earlier process of the same instance wrote it.
 	Exclusive bool
-	// Wanted reports whether to ask for a lease; nil for always.
+	// Wanted reports whether to acquire a lease; nil means always.
 	Wanted func() bool
-	// ReleaseUnwanted gives up a lease that is no longer wanted. Otherwise a lease
-	// that is held is kept.
+	// ReleaseUnwanted revokes a lease that is no longer wanted. Otherwise a lease that
+	// is held is kept alive.
 	ReleaseUnwanted bool
-	// Lost is called when the lease ends; nil for nothing.
+	// OnLost, unless nil, is called when the lease is lost.
 	OnLost func()
-	// Boot gives the boot-time clock.
+	// BootTime reads the boot-time clock.
 	BootTime func() time.Time
-	// Events that report the start and the end of a holding.
+	// HeldEvent is logged when the key is written under the lease, LostEvent when the
+	// lease is lost.
 	HeldEvent, LostEvent events.Event
 	Log                  *slog.Logger
 }
 
-// Keeper keeps one lease.
+// Manager acquires one lease and keeps it alive. It is safe for concurrent use.
 type Manager struct {
 	config Config
 
-	// calls is held while calls to the store are made for the lease.
-	calls sync.Mutex
+	// callMu serialises the store calls of makeDueCalls.
+	callMu sync.Mutex
 
 	mu     sync.Mutex
 	holder *lease.Holder
-	// since is when the current fencing number was learned.
+	// since is when the current fencing token was received.
 	since time.Time
 }
 
-// Holding is the state of a lease.
+// State is the state of a lease.
 type State struct {
-	// Fence is the fencing number; 0 when the holder may not act.
+	// FencingToken is 0 if the holder may not act.
 	FencingToken int64
-	// Since is when the number was learned, Expires when the lease lapses, both on
-	// the boot-time clock.
+	// Since is when the fencing token was received, Expires when the lease expires,
+	// both by the boot-time clock.
 	Since, Expires time.Time
 }
 
-// New returns a keeper without a lease.
+// New returns a manager without a lease.
 func New(config Config) *Manager {
 	return &Manager{config: config, holder: lease.NewHolder(TTL, Margin)}
 }
 
-// Fence returns the fencing number under which this instance may act now.
-func (k *Manager) FencingToken() (number int64, ok bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.holder.Valid(k.config.BootTime())
+// FencingToken returns the fencing token under which this instance may act now.
+func (m *Manager) FencingToken() (token int64, ok bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.holder.Valid(m.config.BootTime())
 }
 
-// Holding returns the state of the lease.
-func (k *Manager) State() State {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	fence, _ := k.holder.Valid(k.config.BootTime())
-	return State{FencingToken: fence, Since: k.since, Expires: k.holder.Expires()}
+// State returns the state of the lease.
+func (m *Manager) State() State {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	token, _ := m.holder.Valid(m.config.BootTime())
+	return State{FencingToken: token, Since: m.since, Expires: m.holder.Expires()}
 }
 
-// Work looks after the lease until ctx ends.
-func (k *Manager) Run(ctx context.Context) {
-	ticker := time.NewTicker(tick)
+// Run calls Tick at regular intervals until ctx ends.
+func (m *Manager) Run(ctx context.Context) {
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
-		k.Tick(ctx)
+		m.Tick(ctx)
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -104,97 +105,99 @@
 	}
 }
 
-// Tick lets time pass and carries out what the holder asks for.
-func (k *Manager) Tick(ctx context.Context) {
-	if !k.wanted() {
-		if k.config.ReleaseUnwanted {
-			k.Revoke(ctx)
+// Tick makes the store calls that are due: it acquires a lease if one is wanted,
+// keeps it alive, and revokes it if it is not wanted and ReleaseUnwanted is set.
+func (m *Manager) Tick(ctx context.Context) {
+	if !m.wanted() {
+		if m.config.ReleaseUnwanted {
+			m.Revoke(ctx)
 		}
 		return
 	}
-	k.tick(ctx)
+	m.makeDueCalls(ctx)
 }
 
-// Acquire asks for a lease at once, wanted or not, unless one is held.
-func (k *Manager) Acquire(ctx context.Context) (fence int64, ok bool) {
-	if fence, ok = k.FencingToken(); ok {
-		return fence, ok
+// Acquire acquires a lease immediately, wanted or not, unless one is held.
+func (m *Manager) Acquire(ctx context.Context) (token int64, ok bool) {
+	if token, ok = m.FencingToken(); ok {
+		return token, ok
 	}
-	k.tick(ctx)
-	return k.FencingToken()
+	m.makeDueCalls(ctx)
+	return m.FencingToken()
 }
 
-// tick makes the calls that are due, one caller at a time. A caller that waited
-// finds the lease that the one before it asked for.
-func (k *Manager) tick(ctx context.Context) {
-	k.calls.Lock()
-	defer k.calls.Unlock()
+// makeDueCalls makes the store calls that are due, for one caller at a time. A caller
+// that waited for another one finds the lease that the other one acquired.
+func (m *Manager) makeDueCalls(ctx context.Context) {
+	m.callMu.Lock()
+	defer m.callMu.Unlock()
 	ctx, cancel := context.WithTimeout(leaseContext(ctx), TTL-Margin)
 	defer cancel()
-	outputs := k.step(lease.Tick{})
+	outputs := m.step(lease.Tick{})
 	for len(outputs) > 0 {
 		var more []lease.Output
-		if input := k.perform(ctx, outputs[0]); input != nil {
-			more = k.step(input)
+		if input := m.execute(ctx, outputs[0]); input != nil {
+			more = m.step(input)
 		}
 		outputs = append(outputs[1:], more...)
 	}
 }
 
-func (k *Manager) wanted() bool {
-	if k.config.Wanted == nil || k.config.Wanted() {
+func (m *Manager) wanted() bool {
+	if m.config.Wanted == nil || m.config.Wanted() {
 		return true
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.holder.Lease() != 0 && !k.config.ReleaseUnwanted
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.holder.Lease() != 0 && !m.config.ReleaseUnwanted
 }
 
-func (k *Manager) step(input lease.Input) []lease.Output {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.holder.Step(k.config.BootTime(), input)
+func (m *Manager) step(input lease.Input) []lease.Output {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.holder.Step(m.config.BootTime(), input)
 }
 
-// perform carries out one output and returns the input that answers it.
-func (k *Manager) perform(ctx context.Context, output lease.Output) lease.Input {
+// execute carries out one action and returns its result as the next input, or nil
+// without one.
+func (m *Manager) execute(ctx context.Context, output lease.Output) lease.Input {
 	switch out := output.(type) {
 	case lease.Grant:
-		return k.grant(ctx, out)
+		return m.grant(ctx, out)
 	case lease.WriteKey:
-		return k.writeKey(ctx, out.Lease)
+		return m.writeKey(ctx, out.Lease)
 	case lease.KeepAlive:
-		return k.keepAlive(ctx, out.Lease)
+		return m.keepAlive(ctx, out.Lease)
 	case lease.LeaseLost:
-		k.config.LostEvent.Log(ctx, k.config.Log, slog.Int64("fence", out.FencingToken))
-		if k.config.OnLost != nil {
-			k.config.OnLost()
+		m.config.LostEvent.Log(ctx, m.config.Log, slog.Int64("fence", out.FencingToken))
+		if m.config.OnLost != nil {
+			m.config.OnLost()
 		}
 	}
 	return nil
 }
 
-func (k *Manager) grant(ctx context.Context, out lease.Grant) lease.Input {
-	asked := k.config.BootTime()
-	if k.config.Exclusive {
-		// A lease that could not hold the key would only cost calls.
-		if _, err := k.config.Store.Get(ctx, k.config.Key); !errors.Is(err, store.ErrNotFound) {
+func (m *Manager) grant(ctx context.Context, out lease.Grant) lease.Input {
+	requestedAt := m.config.BootTime()
+	if m.config.Exclusive {
+		// While the key exists, a new lease could not hold it and would only cost calls.
+		if _, err := m.config.Store.Get(ctx, m.config.Key); !errors.Is(err, store.ErrNotFound) {
 			return nil
 		}
 	}
-	id, err := k.config.Store.GrantLease(ctx, out.TTL)
+	id, err := m.config.Store.GrantLease(ctx, out.TTL)
 	if err != nil {
 		return nil
 	}
-	return lease.Granted{Lease: lease.ID(id), RequestedAt: asked}
+	return lease.Granted{Lease: lease.ID(id), RequestedAt: requestedAt}
 }
 
-func (k *Manager) keepAlive(ctx context.Context, id lease.ID) lease.Input {
-	asked := k.config.BootTime()
-	err := k.config.Store.KeepAlive(ctx, store.LeaseID(id))
+func (m *Manager) keepAlive(ctx context.Context, id lease.ID) lease.Input {
+	requestedAt := m.config.BootTime()
+	err := m.config.Store.KeepAlive(ctx, store.LeaseID(id))
 	switch {
 	case err == nil:
-		return lease.Extended{Lease: id, RequestedAt: asked}
+		return lease.Extended{Lease: id, RequestedAt: requestedAt}
 	case errors.Is(err, store.ErrNotFound):
 		return lease.LeaseNotFound{Lease: id}
 	default:
@@ -202,23 +205,23 @@
 	}
 }
 
-// writeKey writes the key, or finds that an earlier write took effect although
-// its answer was lost.
-func (k *Manager) writeKey(ctx context.Context, id lease.ID) lease.Input {
-	entry, err := k.config.Store.Get(ctx, k.config.Key)
+// writeKey writes the key. If the key is already written under the lease, an earlier
+// write took effect although its answer was lost.
+func (m *Manager) writeKey(ctx context.Context, id lease.ID) lease.Input {
+	entry, err := m.config.Store.Get(ctx, m.config.Key)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return nil
 	}
 	if entry.Version != 0 && entry.Lease == store.LeaseID(id) {
-		return k.fenced(ctx, id, entry.Version)
+		return m.keyWritten(ctx, id, entry.Version)
 	}
-	if entry.Version != 0 && k.config.Exclusive {
+	if entry.Version != 0 && m.config.Exclusive {
 		return nil
 	}
-	version, err := k.config.Store.CompareAndSwap(ctx, k.config.Key, entry.Version, []byte(k.config.Instance), store.LeaseID(id))
+	version, err := m.config.Store.CompareAndSwap(ctx, m.config.Key, entry.Version, []byte(m.config.Instance), store.LeaseID(id))
 	switch {
 	case err == nil:
-		return k.fenced(ctx, id, version)
+		return m.keyWritten(ctx, id, version)
 	case errors.Is(err, store.ErrNotFound):
 		return lease.LeaseNotFound{Lease: id}
 	default:
@@ -226,24 +229,24 @@
 	}
 }
 
-func (k *Manager) fenced(ctx context.Context, id lease.ID, version store.Version) lease.Input {
-	k.mu.Lock()
-	k.since = k.config.BootTime()
-	k.mu.Unlock()
-	k.config.HeldEvent.Log(ctx, k.config.Log, slog.Int64("fence", int64(version)))
+func (m *Manager) keyWritten(ctx context.Context, id lease.ID, version store.Version) lease.Input {
+	m.mu.Lock()
+	m.since = m.config.BootTime()
+	m.mu.Unlock()
+	m.config.HeldEvent.Log(ctx, m.config.Log, slog.Int64("fence", int64(version)))
 	return lease.KeyWritten{Lease: id, FencingToken: int64(version)}
 }
 
-// Revoke ends the lease, so that others need not wait until it lapses.
-func (k *Manager) Revoke(ctx context.Context) {
-	k.mu.Lock()
-	id := k.holder.Lease()
-	k.mu.Unlock()
+// Revoke ends the lease, so that other candidates need not wait until it expires.
+func (m *Manager) Revoke(ctx context.Context) {
+	m.mu.Lock()
+	id := m.holder.Lease()
+	m.mu.Unlock()
 	if id == 0 {
 		return
 	}
-	_ = k.config.Store.RevokeLease(leaseContext(ctx), store.LeaseID(id))
-	k.step(lease.LeaseNotFound{Lease: id})
+	_ = m.config.Store.RevokeLease(leaseContext(ctx), store.LeaseID(id))
+	m.step(lease.LeaseNotFound{Lease: id})
 }
 
 func leaseContext(ctx context.Context) context.Context {
--- a/internal/leases/leases_test.go
+++ b/internal/leases/leases_test.go
@@ -13,7 +13,7 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/store/storetest"
 )
 
-// fixture is a store with its clock and candidates for one key.
+// fixture is a store with a clock for several candidates for one key.
 type fixture struct {
 	store *storetest.Fake
 	now   time.Time
@@ -23,25 +23,25 @@
 	return &fixture{store: storetest.New(), now: time.Unix(1000, 0)}
 }
 
-func (f *fixture) keeper(name string) *Manager {
+func (f *fixture) manager(name string) *Manager {
 	return New(Config{
 		Store: f.store, Key: "leader/a", Instance: name, Exclusive: true,
 		BootTime: func() time.Time { return f.now }, Log: slog.New(slog.DiscardHandler),
 	})
 }
 
-// pass lets time pass for the store and all keepers.
-func (f *fixture) pass(d time.Duration) {
+// advance moves the clocks of the store and of all managers forward.
+func (f *fixture) advance(d time.Duration) {
 	f.now = f.now.Add(d)
 	f.store.Advance(d)
 }
 
-// Guards against two leaders: a second candidate takes the key although its
-// holder keeps it, or a paused holder acts after another one took it.
+// Guards against two leaders: a second candidate takes the key although its holder
+// keeps the lease alive, or a paused holder acts after another one has taken the key.
 func TestOnlyOneLeader(t *testing.T) {
 	c := qt.New(t)
 	f := newFixture()
-	first, second := f.keeper("one"), f.keeper("two")
+	first, second := f.manager("one"), f.manager("two")
 	for range 30 {
 		first.Tick(c.Context())
 		second.Tick(c.Context())
@@ -49,24 +49,24 @@
 		c.Assert(leads, qt.IsTrue)
 		_, alsoLeads := second.FencingToken()
 		c.Assert(alsoLeads, qt.IsFalse)
-		f.pass(time.Second)
+		f.advance(time.Second)
 	}
-	old, _ := first.FencingToken()
-	// The first holder is paused while the second one goes on.
+	firstToken, _ := first.FencingToken()
+	// The first holder is paused while the second one keeps running.
 	for range 30 {
 		second.Tick(c.Context())
-		f.pass(time.Second)
+		f.advance(time.Second)
 	}
 	_, leads := first.FencingToken()
 	c.Assert(leads, qt.IsFalse)
-	fence, leads := second.FencingToken()
+	secondToken, leads := second.FencingToken()
 	c.Assert(leads, qt.IsTrue)
-	c.Assert(fence > old, qt.IsTrue)
+	c.Assert(secondToken > firstToken, qt.IsTrue)
 }
 
-// Guards against a leadership that nobody can use because the answer to the
+// Guards against a lease without a holder that may act, because the answer to the
 // write of its key was lost.
-func TestLostAnswerOfTheKeyIsSettled(t *testing.T) {
+func TestLostAnswerToKeyWriteIsResolved(t *testing.T) {
 	c := qt.New(t)
 	f := newFixture()
 	lose := true
@@ -77,21 +77,22 @@
 		}
 		return nil
 	}
-	keeper := f.keeper("one")
+	manager := f.manager("one")
 	for range 10 {
-		keeper.Tick(c.Context())
-		f.pass(time.Second)
+		manager.Tick(c.Context())
+		f.advance(time.Second)
 	}
-	_, leads := keeper.FencingToken()
+	_, leads := manager.FencingToken()
 	c.Assert(leads, qt.IsTrue)
 	c.Assert(f.store.Count(storetest.Swap), qt.Equals, 1)
 }
 
-// Guards against a resignation after which the next leader waits for the lease.
+// Guards against a leader that resigns and whose successor still has to wait until
+// the lease expires.
 func TestRevokedLeadershipIsFreeAtOnce(t *testing.T) {
 	c := qt.New(t)
 	f := newFixture()
-	first, second := f.keeper("one"), f.keeper("two")
+	first, second := f.manager("one"), f.manager("two")
 	first.Tick(c.Context())
 	first.Revoke(c.Context())
 	_, leads := first.FencingToken()
@@ -101,24 +102,24 @@
 	c.Assert(leads, qt.IsTrue)
 }
 
-// Guards against callers that are refused because another one has just asked for
-// the lease, and against a lease that is kept although nothing needs it.
+// Guards against callers that get no lease because another caller is acquiring it at
+// the same time, and against a lease that is kept although it is not wanted.
 func TestLeaseIsHeldWhileWanted(t *testing.T) {
 	c := qt.New(t)
 	f := newFixture()
 	wanted := false
-	keeper := New(Config{
+	manager := New(Config{
 		Store: f.store, Key: "holder/a", Instance: "a", Wanted: func() bool { return wanted }, ReleaseUnwanted: true,
 		BootTime: func() time.Time { return f.now }, Log: slog.New(slog.DiscardHandler),
 	})
-	keeper.Tick(c.Context())
+	manager.Tick(c.Context())
 	c.Assert(f.store.Count(storetest.Grant), qt.Equals, 0)
 
 	wanted = true
 	held := make(chan bool)
 	for range 8 {
 		go func() {
-			_, ok := keeper.Acquire(c.Context())
+			_, ok := manager.Acquire(c.Context())
 			held <- ok
 		}()
 	}
@@ -128,8 +129,8 @@
 	c.Assert(f.store.Count(storetest.Grant), qt.Equals, 1)
 
 	wanted = false
-	keeper.Tick(c.Context())
-	_, ok := keeper.FencingToken()
+	manager.Tick(c.Context())
+	_, ok := manager.FencingToken()
 	c.Assert(ok, qt.IsFalse)
 	c.Assert(f.store.Count(storetest.Revoke), qt.Equals, 1)
 }
