--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -1,6 +1,6 @@
-// Package jobs runs durable work: it records jobs in the store, runs those that
-// this instance holds, takes over those of instances without a lease and hands
-// its own over on shutdown.
+// Package jobs runs durable jobs: it records jobs in the store, runs those that this
+// instance holds, takes over those of instances without a lease, and hands over its
+// own on shutdown.
 package jobs
 
 import (
@@ -22,9 +22,9 @@
 
 // Errors of the package.
 var (
-	// ErrNotAccepted reports a job that is not recorded and will not run.
+	// ErrNotAccepted reports a job that is not recorded in the store and will not run.
 	ErrNotAccepted = errors.New("job was not accepted")
-	// ErrUnresolved reports a job whose record may have been written.
+	// ErrUnresolved reports a job whose record may be in the store.
 	ErrUnresolved = errors.New("it is unknown whether the job was accepted")
 	// ErrNotFound reports an unknown ID, or a job whose retention has passed.
 	ErrNotFound = errors.New("job does not exist")
@@ -34,26 +34,28 @@
 	errStopped = errors.New("job is not held any more")
 )
 
-// ScanInterval is how often an instance looks for jobs to take over.
+// ScanInterval is the time between two scans for jobs to take over.
 const ScanInterval = 2 * time.Second
 
-// pollInterval is how often the status of a job elsewhere is read by a caller
-// that waits for it.
-const pollInterval = 500 * time.Millisecond
+// statusPollInterval is the time between two reads of a job's status by a caller that
+// waits for a job on another instance.
+const statusPollInterval = 500 * time.Millisecond
 
-// maxRunning bounds the jobs that an instance takes over.
-const maxRunning = 64
+// maxRunningJobs limits takeovers: an instance that runs this many jobs takes over no
+// more.
+const maxRunningJobs = 64
 
-// Members knows the other instances.
+// Members gives access to the other instances of the failure domain.
 type Members interface {
-	// Domain returns the live instances of the own failure domain with this one.
+	// FailureDomainInstances returns the live instances of the failure domain of this
+	// instance, including this one.
 	FailureDomainInstances() []string
-	// JobsReleased offers the jobs with the given IDs to the peers, whose HandOverJob
-	// takes them over. Jobs that nobody takes are found by a scan.
+	// JobsReleased offers the jobs with the given IDs to peers, whose HandOverJob takes
+	// them over. A later scan finds the jobs that no peer takes over.
 	JobsReleased(ctx context.Context, ids []string)
 }
 
-// Job is a durable request.
+// Job is a request that is recorded in the store before it runs.
 type Job struct {
 	Organisation string
 	Pipeline     string
@@ -62,46 +64,47 @@
 	Retention    time.Duration
 }
 
-// Result is the end of a run.
+// Result is the result of a run.
 type Result struct {
 	Outcome string
 	Detail  string
 	Answer  []byte
 }
 
-// Progress is what a run reads and records.
+// Progress gives a run the results of earlier runs and records its progress.
 type Progress struct {
 	// Results are the stage results of earlier runs.
 	Results map[string]json.RawMessage
-	// StageDone records a stage result. After an error the run ends.
+	// StageDone records the result of a stage. After an error the run must end.
 	StageDone func(ctx context.Context, stage string, result json.RawMessage) error
-	// OnceAllowed records that a non-idempotent call is about to be sent. It must
-	// not be sent when the result is false.
+	// BeforeNonIdempotentCall records that a non-idempotent call is about to be sent.
+	// The call must not be sent if the result is false.
 	BeforeNonIdempotentCall func() bool
 }
 
-// Runner runs the stages of a job. It ends when ctx does.
+// Runner runs the stages of a job. Run returns when ctx ends.
 type Runner interface {
 	Run(ctx context.Context, job Job, progress Progress) Result
 }
 
-// Config is what Jobs needs.
+// Config holds the settings and dependencies of Jobs.
 type Config struct {
 	Instance string
 	Store    store.Store
 	Members  Members
 	Runner   Runner
-	// Boot gives the boot-time clock, Wall the time that records carry.
+	// BootTime reads the boot-time clock, WallTime the wall clock for the times in
+	// records.
 	BootTime func() time.Time
 	WallTime func() time.Time
 	Scope    tally.Scope
 	Log      *slog.Logger
 }
 
-// Jobs runs the durable work of one instance.
+// Jobs runs the durable jobs of one instance.
 type Jobs struct {
 	Config
-	keeper    *leases.Manager
+	lease     *leases.Manager
 	values    values
 	takeovers tally.Counter
 	lost      tally.Counter
@@ -109,13 +112,13 @@
 	mu      sync.Mutex
 	running map[string]*run
 	closing bool
-	// usedAt is when the lease was last needed, on the boot-time clock.
-	usedAt time.Time
+	// leaseNeededAt is when the lease was last needed, by the boot-time clock.
+	leaseNeededAt time.Time
 
-	// scanning guards cursors: where the deletion of expired results goes on, by
-	// shard.
-	scanning sync.Mutex
-	cursors  [job.Shards]string
+	// scanMu is held during a scan and guards expiryCursors, the store keys after which
+	// the deletion of expired results continues, by shard.
+	scanMu        sync.Mutex
+	expiryCursors [job.Shards]string
 }
 
 // New returns Jobs without a lease.
@@ -127,20 +130,20 @@
 		lost:      config.Scope.Counter("jobs_lost"),
 		running:   map[string]*run{},
 	}
-	// The key of an earlier process of the same instance is replaced, so that its
-	// jobs can be taken over.
-	j.keeper = leases.New(leases.Config{
+	// The lease is not exclusive: it replaces the key of an earlier process of the same
+	// instance, so that the jobs of that process can be taken over.
+	j.lease = leases.New(leases.Config{
 		Store: config.Store, Key: job.HolderKey(config.Instance), Instance: config.Instance,
 		Wanted: j.leaseWanted, ReleaseUnwanted: true,
-		OnLost: j.stopAll, BootTime: config.BootTime, Log: config.Log,
+		OnLost: j.cancelAll, BootTime: config.BootTime, Log: config.Log,
 		HeldEvent: events.JobLeaseHeld, LostEvent: events.JobLeaseLost,
 	})
 	return j
 }
 
-// Work keeps the lease and scans for jobs until ctx ends.
+// Serve runs the lease and scans for jobs to take over until ctx ends.
 func (j *Jobs) Serve(ctx context.Context) {
-	go j.keeper.Run(ctx)
+	go j.lease.Run(ctx)
 	ticker := time.NewTicker(ScanInterval)
 	defer ticker.Stop()
 	for {
@@ -153,8 +156,8 @@
 	}
 }
 
-// Close hands the running jobs over and gives up the lease. Jobs that have sent
-// a non-idempotent call are finished first, until ctx ends.
+// Close hands over the running jobs and revokes the lease. It first waits, until ctx
+// ends, for the end of jobs that have sent a non-idempotent call.
 func (j *Jobs) Close(ctx context.Context) {
 	j.mu.Lock()
 	j.closing = true
@@ -169,15 +172,16 @@
 			released = append(released, id)
 		}
 	}
-	j.keeper.Revoke(ctx)
+	j.lease.Revoke(ctx)
 	if len(released) > 0 {
 		j.Members.JobsReleased(ctx, released)
 	}
 }
 
-// handOver frees a job for another instance unless it ends first.
+// handOver releases a job so that another instance can take it over, unless the job
+// ends first.
 func (j *Jobs) handOver(ctx context.Context, r *run) (id string, released bool) {
-	if r.onceSent() {
+	if r.nonIdempotentSent() {
 		select {
 		case <-r.done:
 			return "", false
@@ -191,16 +195,17 @@
 	return record.ID, record.Holder == ""
 }
 
-// Counts returns the jobs that run here, and whether their lease is held.
+// Counts returns the number of jobs that this instance holds, and whether it holds
+// the lease for them.
 func (j *Jobs) Counts() (running int, leased bool) {
-	_, leased = j.owner()
+	_, leased = j.currentOwner()
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return len(j.running), leased
 }
 
-// stopAll ends every run when the lease is lost.
-func (j *Jobs) stopAll() {
+// cancelAll cancels every run. It is called when the lease is lost.
+func (j *Jobs) cancelAll() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, r := range j.running {
@@ -212,9 +217,9 @@
 	return store.WithClass(ctx, quota.StoreJobs)
 }
 
-// leaseIdle is how long the lease is kept without a job. Keeping it costs a write
-// every 4 s, giving it up and asking for it again costs three.
-const leaseIdle = 12 * time.Second
+// leaseIdleTimeout is how long the lease is kept alive without a job. Keeping it
+// alive costs one write every 4 s; revoking and acquiring it again costs three.
+const leaseIdleTimeout = 12 * time.Second
 
 // leaseWanted reports whether this instance has or recently had jobs.
 func (j *Jobs) leaseWanted() bool {
@@ -222,23 +227,24 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if len(j.running) > 0 {
-		j.usedAt = now
+		j.leaseNeededAt = now
 	}
-	return !j.usedAt.IsZero() && now.Sub(j.usedAt) < leaseIdle
+	return !j.leaseNeededAt.IsZero() && now.Sub(j.leaseNeededAt) < leaseIdleTimeout
 }
 
-// acquire returns the fencing number of this instance and asks for the lease if
-// it is not held.
-func (j *Jobs) acquire(ctx context.Context) (job.Owner, bool) {
+// acquireLease acquires the lease if it is not held and returns this instance with
+// its fencing token.
+func (j *Jobs) acquireLease(ctx context.Context) (job.Owner, bool) {
 	j.mu.Lock()
-	j.usedAt = j.BootTime()
+	j.leaseNeededAt = j.BootTime()
 	j.mu.Unlock()
-	fence, ok := j.keeper.Acquire(ctx)
+	fence, ok := j.lease.Acquire(ctx)
 	return job.Owner{Instance: j.Instance, Fence: fence}, ok
 }
 
-// owner returns the fencing number under which this instance may act now.
-func (j *Jobs) owner() (job.Owner, bool) {
-	fence, ok := j.keeper.FencingToken()
+// currentOwner returns this instance with the fencing token under which it may act
+// now.
+func (j *Jobs) currentOwner() (job.Owner, bool) {
+	fence, ok := j.lease.FencingToken()
 	return job.Owner{Instance: j.Instance, Fence: fence}, ok
 }
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -19,48 +19,49 @@
 	"github.com/coltsfootdrift/coltsfootdrift/job"
 )
 
-// world is a fleet of instances on one store with clocks that a test advances.
-type world struct {
+// testCluster is a set of instances with one store and clocks that a test advances.
+type testCluster struct {
 	fake    *storetest.Fake
 	wall    atomic.Int64
 	members []string
-	// heir takes over the jobs of an instance that stops.
-	heir *instance
+	// successor is offered the jobs of an instance that shuts down.
+	successor *instance
 }
 
-func newWorld() *world {
-	w := &world{fake: storetest.New()}
-	w.wall.Store(time.Unix(1_700_000_000, 0).UnixMilli())
-	return w
+func newTestCluster() *testCluster {
+	cluster := &testCluster{fake: storetest.New()}
+	cluster.wall.Store(time.Unix(1_700_000_000, 0).UnixMilli())
+	return cluster
 }
 
-func (w *world) now() time.Time { return time.UnixMilli(w.wall.Load()) }
+func (cluster *testCluster) now() time.Time { return time.UnixMilli(cluster.wall.Load()) }
 
-// pass lets time pass for the store, the clocks and the given instances.
-func (w *world) pass(c *qt.C, d time.Duration, awake ...*instance) {
+// advance moves the store and the clocks forward in steps of 1 s and ticks the leases
+// of the given instances.
+func (cluster *testCluster) advance(c *qt.C, d time.Duration, active ...*instance) {
 	for ; d > 0; d -= time.Second {
-		w.wall.Add(time.Second.Milliseconds())
-		w.fake.Advance(time.Second)
-		for _, i := range awake {
-			i.keeper.Tick(c.Context())
+		cluster.wall.Add(time.Second.Milliseconds())
+		cluster.fake.Advance(time.Second)
+		for _, i := range active {
+			i.lease.Tick(c.Context())
 		}
 	}
 }
 
-func (w *world) FailureDomainInstances() []string { return w.members }
-func (w *world) JobsReleased(ctx context.Context, ids []string) {
+func (cluster *testCluster) FailureDomainInstances() []string { return cluster.members }
+func (cluster *testCluster) JobsReleased(ctx context.Context, ids []string) {
 	for _, id := range ids {
-		_, _ = w.heir.HandOverJob(ctx, []byte(id))
+		_, _ = cluster.successor.HandOverJob(ctx, []byte(id))
 	}
 }
 
-// instance is Jobs with a runner that a test drives.
+// instance is Jobs with a runner that a test controls.
 type instance struct {
 	*Jobs
 	runs chan *testRun
 }
 
-// testRun is one call of the runner, which ends when result is sent.
+// testRun is one call of the runner, which returns the value sent to result.
 type testRun struct {
 	ctx      context.Context
 	job      Job
@@ -74,10 +75,10 @@
 	return <-r.result
 }
 
-func (w *world) instance(c *qt.C, name string) *instance {
+func (cluster *testCluster) instance(c *qt.C, name string) *instance {
 	i := &instance{runs: make(chan *testRun, 8)}
 	i.Jobs = New(Config{
-		Instance: name, Store: w.fake, Members: w, Runner: i, BootTime: w.now, WallTime: w.now,
+		Instance: name, Store: cluster.fake, Members: cluster, Runner: i, BootTime: cluster.now, WallTime: cluster.now,
 		Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
 	})
 	return i
@@ -89,105 +90,105 @@
 	return id
 }
 
-// Guards against a write every few seconds by each instance of a large fleet,
-// most of which have no jobs.
+// Guards against leases of instances without jobs. In a large deployment most
+// instances have none, and each lease costs a write every few seconds.
 func TestInstanceWithoutJobsHoldsNoLease(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld()
-	a := w.instance(c, "a")
-	w.pass(c, time.Minute, a)
-	w.scan(c, a)
-	c.Assert(w.fake.Count(storetest.Grant), qt.Equals, 0)
+	cluster := newTestCluster()
+	a := cluster.instance(c, "a")
+	cluster.advance(c, time.Minute, a)
+	cluster.scan(c, a)
+	c.Assert(cluster.fake.Count(storetest.Grant), qt.Equals, 0)
 
 	id := a.submit(c)
-	w.pass(c, time.Minute, a)
+	cluster.advance(c, time.Minute, a)
 	_, leased := a.Counts()
 	c.Assert(leased, qt.IsTrue)
 	(<-a.runs).result <- Result{Outcome: "completed"}
-	a.finished(c, id)
-	w.pass(c, leaseIdle+leases.TTL, a)
+	a.waitFinished(c, id)
+	cluster.advance(c, leaseIdleTimeout+leases.TTL, a)
 	_, leased = a.Counts()
 	c.Assert(leased, qt.IsFalse)
-	c.Assert(w.fake.Count(storetest.Grant), qt.Equals, 1)
+	c.Assert(cluster.fake.Count(storetest.Grant), qt.Equals, 1)
 }
 
-// scan has one instance look at every shard.
-func (w *world) scan(c *qt.C, i *instance) {
-	w.members = []string{i.Instance}
+// scan has one instance scan every shard.
+func (cluster *testCluster) scan(c *qt.C, i *instance) {
+	cluster.members = []string{i.Instance}
 	i.Scan(c.Context())
 }
 
-func (i *instance) finished(c *qt.C, id string) Status {
+func (i *instance) waitFinished(c *qt.C, id string) Status {
 	status, err := i.Wait(c.Context(), id)
 	c.Assert(err, qt.IsNil)
 	c.Assert(status.Record.State, qt.Equals, job.StateFinished)
 	return status
 }
 
-// Guards against a finished stage that runs again after its holder died, and a
-// large result that is not split or not read back whole.
+// Guards against a finished stage that runs again after its holder failed, and against
+// a large result that is not split into pieces or not read back completely.
 func TestTakeoverKeepsFinishedStages(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld()
-	a, b := w.instance(c, "a"), w.instance(c, "b")
+	cluster := newTestCluster()
+	a, b := cluster.instance(c, "a"), cluster.instance(c, "b")
 	id := a.submit(c)
 	run := <-a.runs
 	c.Assert(string(run.job.Body), qt.Equals, `{"a":1}`)
 	large, err := json.Marshal(string(bytes.Repeat([]byte("x"), job.PieceBytes)))
 	c.Assert(err, qt.IsNil)
 	c.Assert(run.progress.StageDone(c.Context(), "s1", large), qt.IsNil)
-	w.scan(c, b)
+	cluster.scan(c, b)
 	status, err := b.Status(c.Context(), id)
 	c.Assert(err, qt.IsNil)
 	c.Assert(status.Record.Holder, qt.Equals, "a")
-	w.pass(c, leases.TTL+time.Second, b)
-	w.scan(c, b)
+	cluster.advance(c, leases.TTL+time.Second, b)
+	cluster.scan(c, b)
 	second := <-b.runs
 	c.Assert(bytes.Equal(second.progress.Results["s1"], large), qt.IsTrue)
 	second.result <- Result{Outcome: "completed", Answer: large}
-	status = b.finished(c, id)
+	status = b.waitFinished(c, id)
 	c.Assert(bytes.Equal(status.Answer, large), qt.IsTrue)
 	c.Assert(status.Record.Answer.Pieces, qt.Equals, 2)
-	c.Assert(w.fake.Bytes(job.RecordPrefix), qt.Equals, 0)
+	c.Assert(cluster.fake.Bytes(job.RecordPrefix), qt.Equals, 0)
 	run.result <- Result{Outcome: "completed"}
 }
 
-// Guards against a holder that was paused for longer than its lease and then
-// records a stage, sends a non-idempotent call or ends the job, whether or not
-// another instance has taken the job over.
+// Guards against a holder that was paused until its lease expired and then records a
+// stage, sends a non-idempotent call or ends the job, whether or not another instance
+// has taken the job over.
 func TestPausedHolderStops(t *testing.T) {
 	for _, taken := range []bool{false, true} {
 		c := qt.New(t)
-		w := newWorld()
-		a, b := w.instance(c, "a"), w.instance(c, "b")
+		cluster := newTestCluster()
+		a, b := cluster.instance(c, "a"), cluster.instance(c, "b")
 		id := a.submit(c)
 		run := <-a.runs
-		w.pass(c, leases.TTL+time.Second, b)
+		cluster.advance(c, leases.TTL+time.Second, b)
 		var second *testRun
 		if taken {
-			w.scan(c, b)
+			cluster.scan(c, b)
 			second = <-b.runs
-			// The former holder gets a new lease before it notices.
-			a.keeper.Tick(c.Context())
-			a.keeper.Tick(c.Context())
+			// The former holder gets a new lease before its run has ended.
+			a.lease.Tick(c.Context())
+			a.lease.Tick(c.Context())
 		}
-		before, err := w.fake.Get(c.Context(), job.RecordKey(id))
+		before, err := cluster.fake.Get(c.Context(), job.RecordKey(id))
 		c.Assert(err, qt.IsNil)
 		c.Assert(run.progress.BeforeNonIdempotentCall(), qt.IsFalse)
 		c.Assert(run.progress.StageDone(c.Context(), "s1", json.RawMessage(`1`)), qt.IsNotNil)
 		run.result <- Result{Outcome: "completed", Answer: []byte(`"a"`)}
 		a.waitStopped(id)
-		after, err := w.fake.Get(c.Context(), job.RecordKey(id))
+		after, err := cluster.fake.Get(c.Context(), job.RecordKey(id))
 		c.Assert(err, qt.IsNil)
 		c.Assert(after.Version, qt.Equals, before.Version)
 		if taken {
 			second.result <- Result{Outcome: "completed", Answer: []byte(`"b"`)}
-			c.Assert(string(b.finished(c, id).Answer), qt.Equals, `"b"`)
+			c.Assert(string(b.waitFinished(c, id).Answer), qt.Equals, `"b"`)
 		}
 	}
 }
 
-// waitStopped returns once the job does not run at the instance.
+// waitStopped waits until the instance no longer holds the job.
 func (i *instance) waitStopped(id string) {
 	i.mu.Lock()
 	r := i.running[id]
@@ -197,19 +198,19 @@
 	}
 }
 
-// Guards against a holder that is paused between the check of its lease and its
-// write, while another instance takes the job over.
+// Guards against a record that a holder writes after it was paused between the check
+// of its lease and the write, while another instance took the job over.
 func TestHolderPausedDuringItsWrite(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld()
-	a, b := w.instance(c, "a"), w.instance(c, "b")
+	cluster := newTestCluster()
+	a, b := cluster.instance(c, "a"), cluster.instance(c, "b")
 	id := a.submit(c)
 	run := <-a.runs
-	w.fake.Before = func(_ context.Context, op storetest.Op, key string) error {
+	cluster.fake.Before = func(_ context.Context, op storetest.Op, key string) error {
 		if op == storetest.Swap && key == job.RecordKey(id) {
-			w.fake.Before = nil
-			w.pass(c, leases.TTL+time.Second, b)
-			w.scan(c, b)
+			cluster.fake.Before = nil
+			cluster.advance(c, leases.TTL+time.Second, b)
+			cluster.scan(c, b)
 		}
 		return nil
 	}
@@ -222,31 +223,31 @@
 	(<-b.runs).result <- Result{}
 }
 
-// Guards against a non-idempotent call that is sent by two holders.
-func TestOnceCallIsNotRepeatedAfterTakeover(t *testing.T) {
+// Guards against a non-idempotent call that is sent by two holders of a job.
+func TestNonIdempotentCallIsNotRepeatedAfterTakeover(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld()
-	a, b := w.instance(c, "a"), w.instance(c, "b")
+	cluster := newTestCluster()
+	a, b := cluster.instance(c, "a"), cluster.instance(c, "b")
 	id := a.submit(c)
 	run := <-a.runs
 	c.Assert(run.progress.BeforeNonIdempotentCall(), qt.IsTrue)
-	w.pass(c, leases.TTL+time.Second, b)
-	w.scan(c, b)
-	c.Assert(b.finished(c, id).Record.Outcome, qt.Equals, job.OutcomeUnknown)
+	cluster.advance(c, leases.TTL+time.Second, b)
+	cluster.scan(c, b)
+	c.Assert(b.waitFinished(c, id).Record.Outcome, qt.Equals, job.OutcomeUnknown)
 	c.Assert(b.runs, qt.HasLen, 0)
 	run.result <- Result{}
 }
 
-// Guards against a job that is accepted without a record, runs although it was
-// refused, or runs twice because the answer of its record was lost.
+// Guards against a job that is accepted without a record, that runs although it was
+// refused, or that runs twice because the answer to the write of its record was lost.
 func TestSubmitWithFailingStore(t *testing.T) {
 	for _, phase := range []string{"down before", "answer lost", "down after lost answer"} {
 		c := qt.New(t)
-		w := newWorld()
-		a := w.instance(c, "a")
+		cluster := newTestCluster()
+		a := cluster.instance(c, "a")
 		var mu sync.Mutex
 		down, lose := phase == "down before", phase != "down before"
-		w.fake.Before = func(context.Context, storetest.Op, string) error {
+		cluster.fake.Before = func(context.Context, storetest.Op, string) error {
 			mu.Lock()
 			defer mu.Unlock()
 			if down {
@@ -254,7 +255,7 @@
 			}
 			return nil
 		}
-		w.fake.After = func(_ context.Context, op storetest.Op, key string) error {
+		cluster.fake.After = func(_ context.Context, op storetest.Op, key string) error {
 			mu.Lock()
 			defer mu.Unlock()
 			if !lose || op != storetest.Swap || key[:len(job.RecordPrefix)] != job.RecordPrefix {
@@ -276,40 +277,40 @@
 		switch phase {
 		case "down before":
 			c.Assert(err, qt.ErrorIs, ErrNotAccepted)
-			w.scan(c, a)
+			cluster.scan(c, a)
 			c.Assert(a.runs, qt.HasLen, 0)
 			continue
 		case "answer lost":
 			c.Assert(err, qt.IsNil)
 		default:
 			c.Assert(err, qt.ErrorIs, ErrUnresolved)
-			w.scan(c, a)
+			cluster.scan(c, a)
 		}
 		run := <-a.runs
 		run.result <- Result{Outcome: "completed", Answer: []byte(`1`)}
-		c.Assert(string(a.finished(c, id).Answer), qt.Equals, `1`)
-		w.scan(c, a)
+		c.Assert(string(a.waitFinished(c, id).Answer), qt.Equals, `1`)
+		cluster.scan(c, a)
 		c.Assert(a.runs, qt.HasLen, 0)
 	}
 }
 
-// Guards against a planned stop after which jobs wait for the lease to lapse, or
-// that cuts off a non-idempotent call.
+// Guards against a planned shutdown that leaves jobs waiting until the lease expires,
+// or that interrupts a non-idempotent call.
 func TestCloseHandsJobsOver(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld()
-	a, b := w.instance(c, "a"), w.instance(c, "b")
+	cluster := newTestCluster()
+	a, b := cluster.instance(c, "a"), cluster.instance(c, "b")
 	ids := []string{a.submit(c), a.submit(c)}
 	sending, idle := <-a.runs, <-a.runs
 	c.Assert(sending.progress.BeforeNonIdempotentCall(), qt.IsTrue)
 	sending.result <- Result{Outcome: "completed", Answer: []byte(`1`)}
-	w.heir = b
+	cluster.successor = b
 	a.Close(c.Context())
 	second := <-b.runs
 	second.result <- Result{Outcome: "completed", Answer: []byte(`2`)}
 	var answers []string
 	for _, id := range ids {
-		answers = append(answers, string(b.finished(c, id).Answer))
+		answers = append(answers, string(b.waitFinished(c, id).Answer))
 	}
 	c.Assert(answers, qt.ContentEquals, []string{"1", "2"})
 	c.Assert(idle.ctx.Err(), qt.IsNotNil)
@@ -318,38 +319,38 @@
 	c.Assert(err, qt.ErrorIs, ErrNotAccepted)
 }
 
-// Guards against results that stay in the store after their retention, and
-// against their deletion before it.
+// Guards against results that stay in the store after their retention, and against
+// results that are deleted before it has passed.
 func TestExpiredJobsAreDeleted(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld()
-	a := w.instance(c, "a")
+	cluster := newTestCluster()
+	a := cluster.instance(c, "a")
 	id := a.submit(c)
 	(<-a.runs).result <- Result{Outcome: "completed", Answer: []byte(`1`)}
-	a.finished(c, id)
+	a.waitFinished(c, id)
 	for range 2 {
-		w.scan(c, a)
+		cluster.scan(c, a)
 	}
-	a.finished(c, id)
-	w.wall.Add((2 * time.Hour).Milliseconds())
+	a.waitFinished(c, id)
+	cluster.wall.Add((2 * time.Hour).Milliseconds())
 	_, err := a.Status(c.Context(), id)
 	c.Assert(err, qt.ErrorIs, ErrNotFound)
 	for range 2 {
-		w.scan(c, a)
+		cluster.scan(c, a)
 	}
-	c.Assert(w.fake.Bytes(job.ResultPrefix), qt.Equals, 0)
+	c.Assert(cluster.fake.Bytes(job.ResultPrefix), qt.Equals, 0)
 }
 
-// Guards against an accepted job that is called unknown because the store answers
-// from a time before it.
+// Guards against an accepted job that is reported as unknown because the store
+// returned data from before its creation.
 func TestMissingRecordOfNewJobIsUnavailable(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld()
-	a := w.instance(c, "a")
-	id := job.NewID(w.now(), "random")
+	cluster := newTestCluster()
+	a := cluster.instance(c, "a")
+	id := job.NewID(cluster.now(), "random")
 	_, err := a.Status(c.Context(), id)
 	c.Assert(err, qt.ErrorIs, ErrUnavailable)
-	w.pass(c, visibleAfter)
+	cluster.advance(c, maxVisibilityDelay)
 	_, err = a.Status(c.Context(), id)
 	c.Assert(err, qt.ErrorIs, ErrNotFound)
 }
--- a/internal/jobs/run.go
+++ b/internal/jobs/run.go
@@ -16,32 +16,32 @@
 	"github.com/coltsfootdrift/coltsfootdrift/job"
 )
 
-// recordRetryDelay is the time between tries to write a record while the lease
-// is valid.
+// recordRetryDelay is the time between two attempts to write a record or a result
+// while the lease is valid.
 const recordRetryDelay = 200 * time.Millisecond
 
 // run is a job that this instance holds.
 type run struct {
 	ctx    context.Context
 	cancel context.CancelFunc
-	// done is closed when the job is not held any more.
+	// done is closed when this instance no longer holds the job.
 	done chan struct{}
 
 	mu      sync.Mutex
 	machine *job.Machine
 }
 
-func (r *run) onceSent() bool {
+func (r *run) nonIdempotentSent() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.machine.Record().NonIdempotentSent
 }
 
-// Submit records a job and starts it. After ErrUnresolved the job may run under
-// the returned ID.
+// Submit records a job and starts it. It returns ErrNotAccepted if the job will not
+// run. After ErrUnresolved the job may run under the returned ID.
 func (j *Jobs) Submit(ctx context.Context, request Job) (id string, err error) {
 	ctx = jobContext(ctx)
-	owner, ok := j.acquire(ctx)
+	owner, ok := j.acquireLease(ctx)
 	if !ok {
 		return "", ErrNotAccepted
 	}
@@ -58,7 +58,8 @@
 	return id, j.start(ctx, record, 0, owner)
 }
 
-// start writes the record of a new run and runs it. Version 0 is a new job.
+// start writes the record of a new run and runs it. version is that of the current
+// record in the store, or 0 for a new job.
 func (j *Jobs) start(ctx context.Context, record job.Record, version int64, owner job.Owner) error {
 	r := &run{done: make(chan struct{}), machine: job.NewMachine(record, version)}
 	r.ctx, r.cancel = context.WithCancel(jobContext(context.Background()))
@@ -72,7 +73,9 @@
 	return j.step(ctx, r, job.StartRun{Owner: owner})
 }
 
-// step feeds one input to the job's machine and carries out its outputs.
+// step applies one input to the job's state machine and carries out the actions that
+// it returns. It returns an error if a record was not written or the job is
+// no longer held.
 func (j *Jobs) step(ctx context.Context, r *run, input job.Input) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,12 +86,12 @@
 		switch out := outputs[0].(type) {
 		case job.WriteRecord:
 			var answer job.Input
-			answer, result = j.write(ctx, r, out)
+			answer, result = j.writeRecord(ctx, r, out)
 			more = r.machine.Step(j.WallTime(), answer)
 		case job.RunStages:
 			go j.execute(r, r.machine.Record(), out.Delay)
 		case job.StopRun:
-			j.stopped(r)
+			j.remove(r)
 			if result == nil && r.machine.Record().State != job.StateFinished {
 				result = errStopped
 			}
@@ -98,8 +101,9 @@
 	return result
 }
 
-// stopped forgets a job that is not held any more.
-func (j *Jobs) stopped(r *run) {
+// remove cancels the run of a job that this instance no longer holds and removes the
+// job.
+func (j *Jobs) remove(r *run) {
 	r.cancel()
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -109,72 +113,74 @@
 	}
 }
 
-// write replaces a record while the lease is valid. It returns what became of it
-// and, for a record that is not there for sure, an error of the package.
-func (j *Jobs) write(ctx context.Context, r *run, out job.WriteRecord) (job.Input, error) {
+// writeRecord writes a record, with retries while the lease is valid. It returns the
+// result as the next input of the state machine, and an error of this package unless
+// the store certainly holds the record.
+func (j *Jobs) writeRecord(ctx context.Context, r *run, out job.WriteRecord) (job.Input, error) {
 	key, value := job.RecordKey(out.Record.ID), out.Record.Encode()
-	sent := false
+	mayBeWritten := false
 	for {
-		if owner, ok := j.owner(); !ok || out.Record.Fence != 0 && owner.Fence != out.Record.Fence {
-			return j.leaseLost(out, sent)
+		if owner, ok := j.currentOwner(); !ok || out.Record.Fence != 0 && owner.Fence != out.Record.Fence {
+			return j.leaseLost(out, mayBeWritten)
 		}
 		version, err := j.Store.CompareAndSwap(ctx, key, store.Version(out.ExpectedVersion), value, 0)
-		sent = sent || errors.Is(err, store.ErrUnknownOutcome)
-		if sent && err != nil {
+		mayBeWritten = mayBeWritten || errors.Is(err, store.ErrUnknownOutcome)
+		if mayBeWritten && err != nil {
 			version, err = j.readBack(ctx, key, value, out.ExpectedVersion, err)
 		}
 		var conflict *store.ConflictError
 		switch {
 		case err == nil:
-			j.afterWrite(ctx, out.Record, int64(version))
+			j.moveFinished(ctx, out.Record, int64(version))
 			return job.RecordStored{Version: int64(version)}, nil
 		case errors.As(err, &conflict):
 			events.JobStopped.Log(ctx, j.Log, slog.String("job", out.Record.ID))
 			j.lost.Inc(1)
 			return job.WriteConflict{}, errStopped
-		case out.ExpectedVersion == 0 && !sent:
+		case out.ExpectedVersion == 0 && !mayBeWritten:
 			return job.LeaseLost{}, errors.Join(ErrNotAccepted, err)
 		}
 		events.JobRecordError.Log(ctx, j.Log, slog.String("job", out.Record.ID), slog.Any("error", err))
 		select {
 		case <-time.After(recordRetryDelay):
 		case <-ctx.Done():
-			return j.leaseLost(out, sent)
+			return j.leaseLost(out, mayBeWritten)
 		}
 	}
 }
 
-func (j *Jobs) leaseLost(out job.WriteRecord, sent bool) (job.Input, error) {
+func (j *Jobs) leaseLost(out job.WriteRecord, mayBeWritten bool) (job.Input, error) {
 	switch {
 	case out.ExpectedVersion != 0:
 		return job.LeaseLost{}, errStopped
-	case sent:
+	case mayBeWritten:
 		return job.LeaseLost{}, ErrUnresolved
 	}
 	return job.LeaseLost{}, ErrNotAccepted
 }
 
-// readBack finds out what became of a write whose answer was lost.
-func (j *Jobs) readBack(ctx context.Context, key string, value []byte, expect int64, lost error) (store.Version, error) {
+// readBack finds out whether a write whose answer was lost took effect. It returns
+// writeErr if that is still unknown.
+func (j *Jobs) readBack(ctx context.Context, key string, value []byte, expectedVersion int64, writeErr error) (store.Version, error) {
 	entry, err := j.Store.Get(ctx, key)
 	switch {
 	case err == nil && string(entry.Value) == string(value):
 		return entry.Version, nil
-	case err == nil && int64(entry.Version) != expect:
+	case err == nil && int64(entry.Version) != expectedVersion:
 		return 0, &store.ConflictError{Key: key, Current: entry.Version}
-	case errors.Is(err, store.ErrNotFound) && expect != 0:
+	case errors.Is(err, store.ErrNotFound) && expectedVersion != 0:
 		return 0, &store.ConflictError{Key: key}
 	}
-	return 0, lost
+	return 0, writeErr
 }
 
-// execute runs the stages of a job that are not finished.
+// execute runs the unfinished stages of a job and records the result.
 func (j *Jobs) execute(r *run, record job.Record, delay time.Duration) {
 	if delay > 0 && !clock.Sleep(r.ctx, delay) {
 		_ = j.step(r.ctx, r, job.LeaseLost{})
 		return
 	}
-	body, progress, err := j.load(r, record)
+	body, progress, err := j.loadRun(r, record)
 	result := Result{Outcome: job.OutcomeNotRun}
 	if err != nil {
 		events.JobRecordError.Log(r.ctx, j.Log, slog.String("job", record.ID), slog.Any("error", err))
@@ -183,20 +189,21 @@
 		result = j.Runner.Run(r.ctx, body, progress)
 	}
 	if r.ctx.Err() != nil {
-		// Only the lease or the record ends the context: the result is not ours to record.
+		// The context ends only if the lease is lost or another instance has written the
+		// record. This instance must not record the result then.
 		_ = j.step(r.ctx, r, job.LeaseLost{})
 		return
 	}
 	answer := job.NewValue(job.AnswerName, record.Fence, record.Runs, result.Answer)
-	if err := j.keep(r, record.ID, answer, result.Answer); err != nil {
+	if err := j.storeResult(r, record.ID, answer, result.Answer); err != nil {
 		_ = j.step(r.ctx, r, job.LeaseLost{})
 		return
 	}
 	_ = j.step(r.ctx, r, job.RunEnded{Outcome: result.Outcome, Detail: result.Detail, Answer: answer})
 }
 
-// load reads what a run needs from the store.
-func (j *Jobs) load(r *run, record job.Record) (Job, Progress, error) {
+// loadRun reads the body and the stage results of a job from the store.
+func (j *Jobs) loadRun(r *run, record job.Record) (Job, Progress, error) {
 	body, err := j.values.get(r.ctx, record.ID, record.Body)
 	if err != nil {
 		return Job{}, Progress{}, err
@@ -211,7 +218,7 @@
 		Results: results,
 		StageDone: func(_ context.Context, stage string, result json.RawMessage) error {
 			value := job.NewValue(stage, record.Fence, record.Runs, result)
-			if err := j.keep(r, record.ID, value, result); err != nil {
+			if err := j.storeResult(r, record.ID, value, result); err != nil {
 				return err
 			}
 			return j.step(r.ctx, r, job.StageDone{Result: value})
@@ -224,10 +231,10 @@
 	}, progress, nil
 }
 
-// keep stores a result, with new tries while the lease is valid.
-func (j *Jobs) keep(r *run, id string, value job.Value, data []byte) error {
+// storeResult writes a result to the store, with retries while the lease is valid.
+func (j *Jobs) storeResult(r *run, id string, value job.Value, data []byte) error {
 	for {
-		if _, ok := j.owner(); !ok {
+		if _, ok := j.currentOwner(); !ok {
 			return errStopped
 		}
 		err := j.values.put(r.ctx, id, value, data)
--- a/internal/jobs/scan.go
+++ b/internal/jobs/scan.go
@@ -13,29 +13,29 @@
 	"github.com/coltsfootdrift/coltsfootdrift/rendezvous"
 )
 
-// Bounds of one scan.
+// Limits of one scan.
 const (
-	// scanPage is the number of records read at once.
-	scanPage = 64
-	// sweepsPerScan is the number of jobs per shard whose retention is checked.
-	sweepsPerScan = 4
+	// scanPageSize is the number of records per read.
+	scanPageSize = 64
+	// expiryChecksPerScan is the number of jobs per shard whose retention is checked.
+	expiryChecksPerScan = 4
 )
 
-// orphanAge is the age after which values without a record are deleted: their
-// holder failed between body and record.
+// orphanAge is the age after which values without a record are deleted. They exist
+// if the holder failed after it wrote the body and before it wrote the record.
 const orphanAge = time.Hour
 
 // Scan takes over jobs without a holder in the shards that are assigned to this
 // instance, and deletes what has expired.
 func (j *Jobs) Scan(ctx context.Context) {
-	j.scanning.Lock()
-	defer j.scanning.Unlock()
+	j.scanMu.Lock()
+	defer j.scanMu.Unlock()
 	ctx = jobContext(ctx)
 	for shard := range job.Shards {
 		if rendezvous.Choose(job.ShardPrefix(shard), j.Members.FailureDomainInstances()) != j.Instance {
 			continue
 		}
-		err := errors.Join(j.scanShard(ctx, shard), j.sweep(ctx, shard))
+		err := errors.Join(j.scanShard(ctx, shard), j.deleteExpired(ctx, shard))
 		if err != nil && ctx.Err() == nil {
 			events.JobScanFailed.Log(ctx, j.Log, slog.Int("shard", shard), slog.Any("error", err))
 			return
@@ -43,66 +43,67 @@
 	}
 }
 
-// scanShard looks at every unfinished job of a shard.
+// scanShard checks every record of an unfinished job in a shard.
 func (j *Jobs) scanShard(ctx context.Context, shard int) error {
-	alive := map[job.Owner]bool{}
+	liveOwners := map[job.Owner]bool{}
 	after := ""
 	for {
-		page, err := j.Store.List(ctx, job.ShardPrefix(shard), after, scanPage)
+		page, err := j.Store.List(ctx, job.ShardPrefix(shard), after, scanPageSize)
 		if err != nil {
 			return err
 		}
 		for _, entry := range page {
 			after = entry.Key
-			if err := j.look(ctx, entry, alive); err != nil {
+			if err := j.checkRecord(ctx, entry, liveOwners); err != nil {
 				return err
 			}
 		}
-		if len(page) < scanPage {
+		if len(page) < scanPageSize {
 			return nil
 		}
 	}
 }
 
-// look moves a finished record, or takes the job over if its holder is gone.
-// alive holds the owners whose lease was seen during this scan.
-func (j *Jobs) look(ctx context.Context, entry store.Entry, alive map[job.Owner]bool) error {
+// checkRecord moves the record of a finished job, and takes over an unfinished job
+// whose holder has no valid lease. liveOwners holds the owners whose lease was found
+// during this scan, and checkRecord adds to it.
+func (j *Jobs) checkRecord(ctx context.Context, entry store.Entry, liveOwners map[job.Owner]bool) error {
 	record, err := job.Decode(entry.Value)
 	if err != nil {
 		return err
 	}
 	if record.State == job.StateFinished {
-		j.afterWrite(ctx, record, int64(entry.Version))
+		j.moveFinished(ctx, record, int64(entry.Version))
 		return nil
 	}
-	if !j.room(record.ID) {
+	if !j.mayStart(record.ID) {
 		return nil
 	}
-	own, _ := j.owner()
+	own, _ := j.currentOwner()
 	holder := job.Owner{Instance: record.Holder, Fence: record.Fence}
-	if alive[holder] && holder != own {
+	if liveOwners[holder] && holder != own {
 		return nil
 	}
 	version, err := j.holderVersion(ctx, record.Holder)
 	if err != nil {
 		return err
 	}
-	// A record of this instance that does not run here is one whose creation was
-	// not confirmed.
+	// If this instance holds the job but does not run it, the write that created the
+	// record was not confirmed.
 	if holder != own && !job.MayTakeOver(record, version) {
-		alive[holder] = true
+		liveOwners[holder] = true
 		return nil
 	}
-	leased, ok := j.acquire(ctx)
+	newOwner, ok := j.acquireLease(ctx)
 	if !ok {
 		return nil
 	}
-	return j.takeOver(ctx, record, int64(entry.Version), leased)
+	return j.takeOver(ctx, record, int64(entry.Version), newOwner)
 }
 
 func (j *Jobs) takeOver(ctx context.Context, record job.Record, version int64, own job.Owner) error {
 	if err := j.start(ctx, record, version, own); err != nil {
-		// Another instance was faster, or the store went away.
+		// Another instance took the job over first, or the store is unavailable.
 		return nil
 	}
 	j.takeovers.Inc(1)
@@ -110,8 +111,8 @@
 	return nil
 }
 
-// HandOverJob takes over the job with the given ID if it has no holder. It serves
-// instances that shut down.
+// HandOverJob takes over the job with the given ID if it has no holder. Instances
+// that shut down call it.
 func (j *Jobs) HandOverJob(ctx context.Context, id []byte) (accepted bool, err error) {
 	ctx = jobContext(ctx)
 	if _, _, err := job.ParseID(string(id)); err != nil {
@@ -121,7 +122,7 @@
 	if err != nil {
 		return false, unavailable(err)
 	}
-	if err := j.look(ctx, entry, map[job.Owner]bool{}); err != nil {
+	if err := j.checkRecord(ctx, entry, map[job.Owner]bool{}); err != nil {
 		return false, unavailable(err)
 	}
 	j.mu.Lock()
@@ -130,15 +131,17 @@
 	return accepted, nil
 }
 
-// room reports whether a job that does not run here may be taken over.
-func (j *Jobs) room(id string) bool {
+// mayStart reports whether this instance may take over a job: it does not run the job
+// yet, is not shutting down and has fewer than maxRunningJobs.
+func (j *Jobs) mayStart(id string) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	_, held := j.running[id]
-	return !held && !j.closing && len(j.running) < maxRunning
+	return !held && !j.closing && len(j.running) < maxRunningJobs
 }
 
-// holderVersion returns the fencing number of an instance, 0 without a lease.
+// holderVersion returns the version of the holder key of an instance, which is its
+// fencing token, or 0 if the instance has no lease.
 func (j *Jobs) holderVersion(ctx context.Context, instance string) (int64, error) {
 	if instance == "" {
 		return 0, nil
@@ -150,9 +153,9 @@
 	return int64(entry.Version), err
 }
 
-// afterWrite moves the record of a finished job out of the scanned keys. A move
-// that fails is repeated by a later scan.
-func (j *Jobs) afterWrite(ctx context.Context, record job.Record, version int64) {
+// moveFinished moves the record of a finished job to a key that scans don't read. If
+// that fails, a later scan repeats it.
+func (j *Jobs) moveFinished(ctx context.Context, record job.Record, version int64) {
 	if record.State != job.StateFinished {
 		return
 	}
@@ -161,28 +164,29 @@
 	}
 }
 
-// sweep deletes the values of some jobs of a shard that have expired.
-func (j *Jobs) sweep(ctx context.Context, shard int) error {
-	for range sweepsPerScan {
-		page, err := j.Store.List(ctx, job.ResultShardPrefix(shard), j.cursors[shard], 1)
+// deleteExpired checks the retention of the next expiryChecksPerScan jobs of a shard
+// and deletes the values of those that have expired.
+func (j *Jobs) deleteExpired(ctx context.Context, shard int) error {
+	for range expiryChecksPerScan {
+		page, err := j.Store.List(ctx, job.ResultShardPrefix(shard), j.expiryCursors[shard], 1)
 		if err != nil {
 			return err
 		}
 		if len(page) == 0 {
-			j.cursors[shard] = ""
+			j.expiryCursors[shard] = ""
 			return nil
 		}
 		id, _, _ := strings.Cut(strings.TrimPrefix(page[0].Key, job.ResultPrefix), "/")
-		// '0' follows '/', so that the next page begins with the next job.
-		j.cursors[shard] = job.ResultPrefix + id + "0"
-		if err := j.sweepJob(ctx, id, page[0]); err != nil {
+		// '0' is the character after '/', so that the next page starts at the next job.
+		j.expiryCursors[shard] = job.ResultPrefix + id + "0"
+		if err := j.deleteIfExpired(ctx, id, page[0]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (j *Jobs) sweepJob(ctx context.Context, id string, first store.Entry) error {
+func (j *Jobs) deleteIfExpired(ctx context.Context, id string, first store.Entry) error {
 	expired := false
 	if first.Key == job.FinishedKey(id) {
 		record, err := job.Decode(first.Value)
--- a/internal/jobs/status.go
+++ b/internal/jobs/status.go
@@ -13,17 +13,18 @@
 // Status is the state of a job.
 type Status struct {
 	Record job.Record
-	// Answer is the whole answer of a finished job.
+	// Answer is the complete answer of a finished job.
 	Answer []byte
 }
 
-// visibleAfter is the age up to which the record of a job may be missing because
-// the store answers from the past. An accepted job must not be called unknown.
-const visibleAfter = time.Minute
+// maxVisibilityDelay is the age up to which the record of a job may be missing
+// because the store returned stale data. Until then the job is reported as
+// unavailable, so that no accepted job is reported as unknown.
+const maxVisibilityDelay = time.Minute
 
 var errNotVisible = errors.New("the record of a new job is not visible yet")
 
-// Status reads the state of a job. Any instance can serve it.
+// Status reads the state of a job, which may run on any instance.
 func (j *Jobs) Status(ctx context.Context, id string) (Status, error) {
 	ctx = jobContext(ctx)
 	_, created, err := job.ParseID(id)
@@ -31,7 +32,7 @@
 		return Status{}, ErrNotFound
 	}
 	record, err := j.record(ctx, id)
-	if errors.Is(err, ErrNotFound) && j.WallTime().Sub(created) < visibleAfter {
+	if errors.Is(err, ErrNotFound) && j.WallTime().Sub(created) < maxVisibilityDelay {
 		return Status{}, errors.Join(ErrUnavailable, errNotVisible)
 	}
 	if err != nil {
@@ -46,8 +47,9 @@
 	return status, nil
 }
 
-// record reads the record of a running job, or the one that it was moved to at
-// its end. The move creates the second before it deletes the first.
+// record reads the record of an unfinished job or, if there is none, the record to
+// which it was moved at the end of the job. moveFinished creates the second record
+// before it deletes the first.
 func (j *Jobs) record(ctx context.Context, id string) (job.Record, error) {
 	entry, err := j.Store.Get(ctx, job.RecordKey(id))
 	if errors.Is(err, store.ErrNotFound) {
@@ -70,8 +72,8 @@
 	return errors.Join(ErrUnavailable, err)
 }
 
-// Wait returns the status of a job once it is finished, or its last known status
-// when ctx ends first.
+// Wait waits until a job is finished and returns its status, or the last known status
+// if ctx ends first.
 func (j *Jobs) Wait(ctx context.Context, id string) (Status, error) {
 	read := context.WithoutCancel(ctx)
 	for {
@@ -85,7 +87,7 @@
 			}
 		}
 		status, err := j.Status(read, id)
-		if err != nil || status.Record.State == job.StateFinished || !clock.Sleep(ctx, pollInterval) {
+		if err != nil || status.Record.State == job.StateFinished || !clock.Sleep(ctx, statusPollInterval) {
 			return status, err
 		}
 	}
--- a/internal/jobs/values.go
+++ b/internal/jobs/values.go
@@ -9,16 +9,17 @@
 	"github.com/coltsfootdrift/coltsfootdrift/job"
 )
 
-// putAttempts bounds the writes of one piece whose answers are lost.
-const putAttempts = 3
+// maxPutAttempts limits the attempts to write one piece if the answers are lost.
+const maxPutAttempts = 3
 
-// values stores bodies and results in pieces.
+// values stores request bodies and results, split into pieces.
 type values struct {
 	store store.Store
 }
 
-// put writes all pieces. A piece is created only, and its key names the run that
-// wrote it, so that a conflict means an earlier try took effect.
+// put writes all pieces of a value. A piece is only created, never replaced, and its
+// key identifies the run that wrote it. A conflict therefore means that an earlier
+// attempt took effect.
 func (v values) put(ctx context.Context, id string, value job.Value, data []byte) error {
 	for piece := range value.Pieces {
 		if err := v.create(ctx, job.PieceKey(id, value, piece), value.Piece(data, piece)); err != nil {
@@ -30,7 +31,7 @@
 
 func (v values) create(ctx context.Context, key string, data []byte) error {
 	var err error
-	for range putAttempts {
+	for range maxPutAttempts {
 		_, err = v.store.CompareAndSwap(ctx, key, 0, data, 0)
 		var conflict *store.ConflictError
 		if errors.As(err, &conflict) {
@@ -43,7 +44,7 @@
 	return err
 }
 
-// get reads all pieces and checks them against the digest.
+// get reads all pieces of a value and checks them against its digest.
 func (v values) get(ctx context.Context, id string, value job.Value) ([]byte, error) {
 	data := make([]byte, 0, value.Bytes)
 	for piece := range value.Pieces {
@@ -59,16 +60,16 @@
 	return data, nil
 }
 
-// deletePage is the number of values deleted at once. Each is read with up to
-// job.PieceBytes.
-const deletePage = 16
+// deletePageSize is the number of entries per read of a deletion. Each is read with
+// up to job.PieceBytes.
+const deletePageSize = 16
 
-// deleteAll deletes all values of a job, the record of its end last, so that an
-// interrupted deletion is found again.
+// deleteAll deletes all values of a job. The record of the finished job is deleted
+// last, so that a later scan finds a job whose deletion was interrupted.
 func (v values) deleteAll(ctx context.Context, id string) error {
-	end := job.FinishedKey(id)
+	finishedKey := job.FinishedKey(id)
 	for {
-		page, err := v.store.List(ctx, job.ResultsPrefix(id), end, deletePage)
+		page, err := v.store.List(ctx, job.ResultsPrefix(id), finishedKey, deletePageSize)
 		if err != nil {
 			return err
 		}
@@ -81,7 +82,7 @@
 			}
 		}
 	}
-	entry, err := v.store.Get(ctx, end)
+	entry, err := v.store.Get(ctx, finishedKey)
 	if errors.Is(err, store.ErrNotFound) {
 		return nil
 	}
