--- a/internal/orders/leader.go
+++ b/internal/orders/leader.go
@@ -11,19 +11,22 @@
 	"github.com/coltsfootdrift/coltsfootdrift/order"
 )
 
-// leaderPrefix starts the store keys of leaderships; the failure domain follows.
+// leaderPrefix is the prefix of the store keys of leaders; the name of the failure
+// domain follows.
 const leaderPrefix = "leader/"
 
-// Election keeps the leadership of a failure domain under a store lease.
+// Election is an instance's part in the election of the leader of its failure domain.
+// The leader holds a lease in the store.
 type Election struct {
-	keeper *leases.Manager
+	lease *leases.Manager
 }
 
-// NewElection returns an instance's part in the election of its failure domain.
-// candidate reports whether this instance should lead when nobody does; only one
-// instance of a failure domain asks the store as long as their views agree.
+// NewElection returns the election of a failure domain as seen by one instance.
+// candidate reports whether this instance should become the leader if there is none.
+// As long as the views of the instances agree, only one instance of a failure domain
+// is a candidate and calls the store.
 func NewElection(s store.Store, failureDomain, instance string, candidate func() bool, boot func() time.Time, logger *slog.Logger) *Election {
-	return &Election{keeper: leases.New(leases.Config{
+	return &Election{lease: leases.New(leases.Config{
 		Store:     s,
 		Key:       leaderPrefix + failureDomain,
 		Instance:  instance,
@@ -36,17 +39,17 @@
 	})}
 }
 
-// Work takes part in the election until ctx ends.
-func (e *Election) Run(ctx context.Context) { e.keeper.Run(ctx) }
+// Run takes part in the election until ctx ends.
+func (e *Election) Run(ctx context.Context) { e.lease.Run(ctx) }
 
 // Resign gives up the leadership.
-func (e *Election) Resign(ctx context.Context) { e.keeper.Revoke(ctx) }
+func (e *Election) Resign(ctx context.Context) { e.lease.Revoke(ctx) }
 
-// Leadership implements Leader. The keeper and order.Leadership both leave a
-// margin before the end of the lease; the earlier one counts.
+// Leadership implements Leader. Both the lease manager and order.Leadership leave a
+// margin before the lease expires; the longer one takes effect.
 func (e *Election) Leadership(time.Time) order.Leadership {
-	holding := e.keeper.State()
+	state := e.lease.State()
 	return order.Leadership{
-		Held: holding.FencingToken != 0, Fencing: holding.FencingToken, Since: holding.Since, Until: holding.Expires,
+		Held: state.FencingToken != 0, Fencing: state.FencingToken, Since: state.Since, Until: state.Expires,
 	}
 }
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -1,5 +1,5 @@
-// Package orders is the control loop of a failure domain's leader: it reads what
-// each model engine has loaded and sends the orders that package order decides on.
+// Package orders is the control loop of the leader of a failure domain: it reads the
+// state of each model engine and sends the orders that package order returns.
 package orders
 
 import (
@@ -15,34 +15,36 @@
 	"github.com/coltsfootdrift/coltsfootdrift/order"
 )
 
-// Period is the time between two comparisons of wanted and observed states.
+// ReconcileInterval is the time between two comparisons of the desired and the
+// observed states, which is one period.
 const ReconcileInterval = 2 * time.Second
 
-// SettledPeriods is the number of periods in which each engine that has its
-// wanted state is read once. Reading 117 engines in each period would take
-// 16 KB/s, four times what an instance may use for control.
+// SettledPeriods is the number of periods in which each engine that has its desired
+// state is read once. Reading 117 engines in each period would take 16 KB/s, four
+// times the bandwidth that an instance may use for control.
 const SettledPeriods = 10
 
-// callTimeout bounds one call to an engine. It is shorter than order.OrderLife,
-// so that an order that arrives at all arrives before the next leader's wait ends.
+// callTimeout limits one call to an engine. It is shorter than order.OrderLife, so
+// that an order that arrives at all arrives before the next leader stops waiting.
 const callTimeout = time.Second
 
-// maxCalls bounds the calls to engines that are under way at once.
-const maxCalls = 16
+// maxConcurrentCalls limits the concurrent calls to engines.
+const maxConcurrentCalls = 16
 
-// Leader tells whether this instance leads its failure domain.
+// Leader reports whether this instance leads its failure domain.
 type Leader interface {
 	Leadership(now time.Time) order.Leadership
 }
 
-// Loop compares and corrects engine states while this instance leads.
+// Loop is the control loop. It compares and corrects the states of the engines while
+// this instance is the leader.
 type Loop struct {
 	Leader  Leader
 	Engines backend.Engines
-	// Wanted returns the wanted states of the failure domain's engines.
+	// Desired returns the desired states of the failure domain's engines.
 	Wanted func() []order.Wanted
-	// LoadRate returns this failure domain's part of the weight store's rate, in
-	// loads per minute.
+	// LoadRate returns this failure domain's share of the weight store's rate limit,
+	// in loads per minute.
 	LoadRate func() float64
 	// Now reads the boot-time clock.
 	Now    func() time.Time
@@ -50,8 +52,8 @@
 
 	reconciler *order.Reconciler
 	wasLeader  bool
-	// period numbers the comparisons.
-	period int
+	// periods counts the comparisons.
+	periods int
 }
 
 // Run runs the loop until ctx ends.
@@ -68,24 +70,26 @@
 	}
 }
 
-// Step makes one comparison and sends the orders that it gives.
+// Step makes one comparison and sends the resulting orders.
 func (l *Loop) Step(ctx context.Context) {
-	if !l.lead() {
+	if !l.isLeader() {
 		return
 	}
-	wanted := l.Wanted()
-	l.reconciler.Want(wanted)
+	desired := l.Wanted()
+	l.reconciler.Want(desired)
 	l.reconciler.SetLoadRate(l.Now(), l.LoadRate())
-	for _, observed := range l.observe(ctx, l.due(wanted)) {
+	for _, observed := range l.readStates(ctx, l.enginesToRead(desired)) {
 		l.reconciler.Observe(observed)
 	}
-	// The leadership is read after the engines, because reading them takes time.
+	// The leadership is checked after the reads, because they take time in which the
+	// lease may expire.
 	now := l.Now()
-	l.send(ctx, l.reconciler.Step(now, l.Leader.Leadership(now)))
+	l.sendOrders(ctx, l.reconciler.Step(now, l.Leader.Leadership(now)))
 }
 
-// lead reports whether this instance leads, and starts a reconciler when it begins to.
-func (l *Loop) lead() bool {
+// isLeader reports whether this instance is the leader. When it becomes the leader,
+// isLeader creates a new reconciler.
+func (l *Loop) isLeader() bool {
 	leadership := l.Leader.Leadership(l.Now())
 	if leadership.Held == l.wasLeader {
 		return leadership.Held
@@ -98,31 +102,31 @@
 	return true
 }
 
-// due returns the engines to read in this period: those that are not settled, and
-// a part of the others in turn.
-func (l *Loop) due(wanted []order.Wanted) []order.Wanted {
-	l.period++
+// enginesToRead returns the engines to read in this period: those that do not have
+// their desired state, and a part of the others in turn.
+func (l *Loop) enginesToRead(desired []order.Wanted) []order.Wanted {
+	l.periods++
 	var due []order.Wanted
-	for i, w := range wanted {
-		if (i+l.period)%SettledPeriods == 0 || !l.reconciler.Settled(w.Server) {
-			due = append(due, w)
+	for i, d := range desired {
+		if (i+l.periods)%SettledPeriods == 0 || !l.reconciler.Settled(d.Server) {
+			due = append(due, d)
 		}
 	}
 	return due
 }
 
-// observe reads the states of engines. One that can't be read is left out.
-func (l *Loop) observe(ctx context.Context, wanted []order.Wanted) []order.Observed {
-	states := make([]*order.Observed, len(wanted))
+// readStates reads the states of engines and leaves out those that can't be read.
+func (l *Loop) readStates(ctx context.Context, desired []order.Wanted) []order.Observed {
+	states := make([]*order.Observed, len(desired))
 	var group errgroup.Group
-	group.SetLimit(maxCalls)
-	for i, w := range wanted {
+	group.SetLimit(maxConcurrentCalls)
+	for i, d := range desired {
 		group.Go(func() error {
 			ctx, cancel := context.WithTimeout(ctx, callTimeout)
 			defer cancel()
-			observed, err := l.Engines.State(ctx, w.Server, w.Address)
+			observed, err := l.Engines.State(ctx, d.Server, d.Address)
 			if err != nil {
-				events.EngineStateUnavailable.Log(ctx, l.Logger, slog.String("server", w.Server), slog.Any("error", err))
+				events.EngineStateUnavailable.Log(ctx, l.Logger, slog.String("server", d.Server), slog.Any("error", err))
 				return nil
 			}
 			states[i] = &observed
@@ -139,14 +143,15 @@
 	return observed
 }
 
-// send sends the orders at once, each only while the leadership still allows it.
-func (l *Loop) send(ctx context.Context, orders []order.Order) {
+// sendOrders sends the orders concurrently, each only if the leadership still allows
+// it.
+func (l *Loop) sendOrders(ctx context.Context, orders []order.Order) {
 	refused := make([]bool, len(orders))
 	var group errgroup.Group
-	group.SetLimit(maxCalls)
+	group.SetLimit(maxConcurrentCalls)
 	for i, o := range orders {
 		group.Go(func() error {
-			refused[i] = errors.Is(l.sendOne(ctx, o), backend.ErrOrderRefused)
+			refused[i] = errors.Is(l.sendOrder(ctx, o), backend.ErrOrderRefused)
 			return nil
 		})
 	}
@@ -158,7 +163,7 @@
 	}
 }
 
-func (l *Loop) sendOne(ctx context.Context, o order.Order) error {
+func (l *Loop) sendOrder(ctx context.Context, o order.Order) error {
 	now := l.Now()
 	leadership := l.Leader.Leadership(now)
 	if leadership.Fencing != o.Fencing || !leadership.MayOrder(now, true) {
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -19,13 +19,13 @@
 
 var start = time.Unix(1000, 0)
 
-// fakeLeader is a leader whose lease the test moves.
+// fakeLeader returns a leadership that the test sets.
 type fakeLeader struct{ held order.Leadership }
 
 func (f *fakeLeader) Leadership(time.Time) order.Leadership { return f.held }
 
-// engine runs a stand-in engine and returns its address.
-func engine(c *qt.C, fences bool) string {
+// startEngine starts a stand-in engine and returns its address.
+func startEngine(c *qt.C, fences bool) string {
 	server := httptest.NewServer(standin.NewBackend(standin.BackendConfig{
 		ID: "e", Slots: 1, Incarnation: 1, Engine: standin.EngineConfig{FencesOrders: fences, Models: []string{"m@1"}},
 	}).Handler())
@@ -33,28 +33,28 @@
 	return server.Listener.Addr().String()
 }
 
-func newLoop(leader Leader, engines backend.Engines, now *time.Time, wanted ...order.Wanted) *Loop {
+func newLoop(leader Leader, engines backend.Engines, now *time.Time, desired ...order.Wanted) *Loop {
 	return &Loop{
 		Leader: leader, Engines: engines, Logger: slog.New(slog.DiscardHandler),
-		Wanted:   func() []order.Wanted { return wanted },
+		Wanted:   func() []order.Wanted { return desired },
 		LoadRate: func() float64 { return 0 },
 		Now:      func() time.Time { return *now },
 	}
 }
 
-// Guards against a loop that stops before the engine has the wanted models, or
-// that goes on ordering when it has.
+// Guards against a loop that stops before the engine has the desired models, or that
+// still sends orders when it has them.
 func TestLoopBringsEngineToWantedModels(t *testing.T) {
 	c := qt.New(t)
 	now := start
 	engines := &countingEngines{Engines: &backend.HTTPEngines{Client: http.DefaultClient}}
 	leader := &fakeLeader{order.Leadership{Held: true, Fencing: 3, Since: start, Until: start.Add(time.Hour)}}
-	address := engine(c, true)
+	address := startEngine(c, true)
 	loop := newLoop(leader, engines, &now, order.Wanted{Server: "e", Address: address, Models: []string{"m@2"}, FencesOrders: true})
 	for range 200 {
 		loop.Step(c.Context())
 		now = now.Add(ReconcileInterval)
-		time.Sleep(time.Millisecond) // lets the stand-in finish its load
+		time.Sleep(time.Millisecond) // so that the stand-in can finish its load
 	}
 	observed, err := engines.State(c.Context(), "e", address)
 	c.Assert(err, qt.IsNil)
@@ -62,12 +62,12 @@
 	c.Assert(engines.sent.Load(), qt.Equals, int64(2))
 }
 
-// Guards against a paused leader whose orders reach an engine that checks
-// fencing numbers after the next leader's.
+// Guards against an order of a paused leader that an engine with a check of fencing
+// tokens carries out after an order of the next leader.
 func TestEngineRefusesOrderOfEarlierLeader(t *testing.T) {
 	c := qt.New(t)
 	engines := &backend.HTTPEngines{Client: http.DefaultClient}
-	address := engine(c, true)
+	address := startEngine(c, true)
 	role := order.Order{ID: "2-1", Address: address, Action: order.ActionRole, Target: "decode", Fencing: 2, Life: order.OrderLife}
 	c.Assert(engines.Send(c.Context(), role), qt.IsNil)
 	role.ID, role.Fencing, role.Target = "1-1", 1, "prefill"
@@ -78,32 +78,32 @@
 	c.Assert(observed.Role, qt.Equals, "decode")
 }
 
-// Guards against orders that are sent although the lease ended while the engines
-// were read, as after a pause of the process.
+// Guards against orders that are sent although the lease expired while the engines
+// were read, for example because the process was paused.
 func TestNoOrderAfterTheLeaseEnded(t *testing.T) {
 	c := qt.New(t)
 	now := start
 	leader := &fakeLeader{order.Leadership{Held: true, Fencing: 1, Since: start.Add(-time.Hour), Until: start.Add(10 * time.Second)}}
 	engines := &countingEngines{Engines: &backend.HTTPEngines{Client: http.DefaultClient}}
 	engines.onState = func() { now = now.Add(8 * time.Second) }
-	loop := newLoop(leader, engines, &now, order.Wanted{Server: "e", Address: engine(c, false), Models: []string{"m@2"}})
+	loop := newLoop(leader, engines, &now, order.Wanted{Server: "e", Address: startEngine(c, false), Models: []string{"m@2"}})
 	loop.Step(c.Context())
 	c.Assert(engines.sent.Load(), qt.Equals, int64(0))
 }
 
 // Guards against a leader that reads every engine in each period, and against an
-// engine that lost its model and is not repaired within the periods of a turn.
+// engine that has lost its model and is not corrected within SettledPeriods.
 func TestSettledEnginesAreReadInTurn(t *testing.T) {
 	c := qt.New(t)
 	now := start
 	leader := &fakeLeader{order.Leadership{Held: true, Fencing: 1, Since: start.Add(-time.Hour), Until: start.Add(time.Hour)}}
 	engines := &countingEngines{Engines: &backend.HTTPEngines{Client: http.DefaultClient}}
-	address := engine(c, true)
-	var wanted []order.Wanted
+	address := startEngine(c, true)
+	var desired []order.Wanted
 	for i := range 20 {
-		wanted = append(wanted, order.Wanted{Server: string(rune('a' + i)), Address: address, Models: []string{"m@1"}, FencesOrders: true})
+		desired = append(desired, order.Wanted{Server: string(rune('a' + i)), Address: address, Models: []string{"m@1"}, FencesOrders: true})
 	}
-	loop := newLoop(leader, engines, &now, wanted...)
+	loop := newLoop(leader, engines, &now, desired...)
 	loop.Step(c.Context())
 	c.Assert(engines.reads.Load(), qt.Equals, int64(20))
 	for range SettledPeriods {
@@ -119,7 +119,8 @@
 	c.Assert(engines.sent.Load() > 0, qt.IsTrue)
 }
 
-// countingEngines counts calls and lets time pass while a state is read.
+// countingEngines counts the calls and runs onState, unless nil, during each read of
+// a state.
 type countingEngines struct {
 	backend.Engines
 	reads   atomic.Int64
