--- a/internal/capacity/orders.go
+++ b/internal/capacity/orders.go
@@ -90,7 +90,7 @@
 	wanted := wantedEngines(engines, address)
 	loop := &orders.Loop{
 		Leader: leading{}, Engines: &backend.HTTPEngines{Client: client}, Now: time.Now, Logger: slog.New(slog.DiscardHandler),
-		Wanted:   func() []order.Wanted { return wanted },
+		Desired:  func() []order.Wanted { return wanted },
 		LoadRate: func() float64 { return 1 },
 	}
 	loop.Step(context.Background())
--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -51,7 +51,7 @@
 	loop := &orders.Loop{
 		Leader:   election,
 		Engines:  &backend.HTTPEngines{Client: &http.Client{Timeout: engineTimeout}},
-		Wanted:   s.wanted,
+		Desired:  s.wanted,
 		LoadRate: s.loadRate,
 		Now:      clock.Boot{}.Now,
 		Logger:   s.Logger,
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -42,7 +42,7 @@
 	Leader  Leader
 	Engines backend.Engines
 	// Desired returns the desired states of the failure domain's engines.
-	Wanted func() []order.Wanted
+	Desired func() []order.Wanted
 	// LoadRate returns this failure domain's share of the weight store's rate limit,
 	// in loads per minute.
 	LoadRate func() float64
@@ -75,7 +75,7 @@
 	if !l.isLeader() {
 		return
 	}
-	desired := l.Wanted()
+	desired := l.Desired()
 	l.reconciler.Want(desired)
 	l.reconciler.SetLoadRate(l.Now(), l.LoadRate())
 	for _, observed := range l.readStates(ctx, l.enginesToRead(desired)) {
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -36,7 +36,7 @@
 func newLoop(leader Leader, engines backend.Engines, now *time.Time, desired ...order.Wanted) *Loop {
 	return &Loop{
 		Leader: leader, Engines: engines, Logger: slog.New(slog.DiscardHandler),
-		Wanted:   func() []order.Wanted { return desired },
+		Desired:  func() []order.Wanted { return desired },
 		LoadRate: func() float64 { return 0 },
 		Now:      func() time.Time { return *now },
 	}
