--- a/internal/claims/appender.go
+++ b/internal/claims/appender.go
@@ -54,7 +54,7 @@
 	mu      sync.Mutex
 	queue   []*pending
 	running bool
-	// The fields below are used only by the goroutine that runs run.
+	// The fields below are used only by the goroutine of run.
 	lastWrite time.Time
 	// backoffStep is the number of times that interval is doubled.
 	backoffStep  int
--- a/internal/claims/chain.go
+++ b/internal/claims/chain.go
@@ -72,8 +72,9 @@
 	return c.state.Load(segments)
 }
 
-// loadAll loads all segments. Orphans are deleted only if a second read finds them
-// unchanged, because a segment may have been sealed between the reads of two pages.
+// loadAll loads all segments. Segments count as orphans, and are deleted, only if a
+// second read finds them unchanged, because a segment may have been sealed between
+// the reads of two pages.
 func (c *chain) loadAll(ctx context.Context) error {
 	var orphans []claim.Segment
 	for {
--- a/internal/jobs/run.go
+++ b/internal/jobs/run.go
@@ -74,8 +74,8 @@
 }
 
 // step applies one input to the job's state machine and carries out the actions that
-// it returns. It returns an error if a record was not written or the job is
-// no longer held.
+// it returns. It returns an error if a record was not written or this instance no
+// longer holds the job.
 func (j *Jobs) step(ctx context.Context, r *run, input job.Input) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
