--- a/internal/entry/entry_test.go
+++ b/internal/entry/daemon_test.go
@@ -32,9 +32,9 @@
 	largeAnswerBytes = 1 << 20
 )
 
-// Guards against a streamed answer that arrives cut off, reordered or without
-// its end mark after passing through two stages.
-func TestStreamedAnswerArrivesWhole(t *testing.T) {
+// Guards against a streamed answer that is truncated, reordered or without its end
+// event after passing through two stages.
+func TestStreamedAnswerArrivesComplete(t *testing.T) {
 	c := qt.New(t)
 	address := startEntry(c)
 	url := "http://" + address + "/v1/organisations/acme/pipelines/notes/kinds/note"
@@ -47,16 +47,16 @@
 	c.Assert(response.StatusCode, qt.Equals, http.StatusOK)
 
 	var answer strings.Builder
-	var end End
+	var end StreamEnd
 	for event, err := range sse.Read(response.Body, &sse.ReadConfig{MaxEventSize: largeAnswerBytes}) {
 		c.Assert(err, qt.IsNil)
 		if event.Type == EventEnd {
 			c.Assert(json.Unmarshal([]byte(event.Data), &end), qt.IsNil)
 			continue
 		}
-		var piece string
-		c.Assert(json.Unmarshal([]byte(event.Data), &piece), qt.IsNil)
-		answer.WriteString(piece)
+		var chunk string
+		c.Assert(json.Unmarshal([]byte(event.Data), &chunk), qt.IsNil)
+		answer.WriteString(chunk)
 	}
 	c.Assert(end.Outcome, qt.Equals, OutcomeCompleted)
 	c.Assert(end.Bytes, qt.Equals, int64(largeAnswerBytes))
@@ -64,8 +64,8 @@
 	c.Assert(answer.String() == standin.GeneratedText(line, largeAnswerBytes), qt.IsTrue)
 }
 
-// startEntry runs an entry instance with two pools of stand-ins and returns its
-// caller address.
+// startEntry runs an entry instance with two pools of stand-in servers and returns
+// its caller address.
 func startEntry(c *qt.C) string {
 	entry := entrySettings(c)
 	app := New(entry, slog.New(slog.DiscardHandler))
@@ -75,10 +75,11 @@
 	return entry.CallerAddress
 }
 
-// entrySettings serves two pools of stand-ins and returns settings that use them.
+// entrySettings starts two pools of stand-in servers and returns settings that use
+// them.
 func entrySettings(c *qt.C) settings.Entry {
-	encoder := serve(c, standin.NewBackend(standin.BackendConfig{ID: "e1", Slots: 4}).Handler())
-	engine := serve(c, standin.NewBackend(standin.BackendConfig{
+	encoder := startServer(c, standin.NewBackend(standin.BackendConfig{ID: "e1", Slots: 4}).Handler())
+	engine := startServer(c, standin.NewBackend(standin.BackendConfig{
 		ID: "g1", Slots: 4, AnswerBytes: largeAnswerBytes, ChunkBytes: 4096, ServiceTime: 10 * time.Millisecond,
 	}).Handler())
 	list := &standin.Platform{}
@@ -91,17 +92,17 @@
 	c.Assert(os.WriteFile(filepath.Join(files, "notes.pipeline.jsonc"), []byte(pipelineFile), 0o600), qt.IsNil)
 	return settings.Entry{
 		Instance: "entry-1", CallerAddress: freeAddress(c), AdminAddress: freeAddress(c), DrainGraceMS: 1,
-		PlatformAddress: serve(c, list.Handler()), PipelineFiles: files,
+		PlatformAddress: startServer(c, list.Handler()), PipelineFiles: files,
 	}
 }
 
-func serve(c *qt.C, handler http.Handler) string {
+func startServer(c *qt.C, handler http.Handler) string {
 	server := httptest.NewServer(handler)
 	c.Cleanup(server.Close)
 	return server.Listener.Addr().String()
 }
 
-// freePort draws ports that are free for TCP and UDP and outside the range that the
+// freePort returns ports that are free for TCP and UDP and outside the range that the
 // system assigns to outgoing connections, which could take one before the test binds it.
 var freePort = standin.FreePorts()
 
--- a/internal/entry/execute.go
+++ b/internal/entry/execute.go
@@ -21,49 +21,50 @@
 	Caller  backend.Caller
 	Picker  Picker
 	Budgets StageBudgets
-	Hedges  Hedges
-	Retries Retries
+	Hedges  HedgePolicy
+	Retries RetryBudget
 	Metrics *RequestMetrics
 	Logger  *slog.Logger
 	Now     func() time.Time
 }
 
-// NewExecutor returns an executor with default budgets, no hedges, and neither
-// metrics nor log lines.
+// NewExecutor returns an executor with default stage and retry budgets, without
+// hedging, and with metrics and logs discarded.
 func NewExecutor(caller backend.Caller, picker Picker, now func() time.Time) *Executor {
 	return &Executor{
 		Caller:  caller,
 		Picker:  picker,
 		Budgets: weightedBudgets{},
-		Hedges:  noHedges{},
-		Retries: newRetries(now),
+		Hedges:  neverHedge{},
+		Retries: newRetryBudget(now),
 		Metrics: discardMetrics(),
 		Logger:  slog.New(slog.DiscardHandler),
 		Now:     now,
 	}
 }
 
-// Options are the parts of an execution that differ between callers.
-type Options struct {
-	// Claim is the right to run the request once; nil for an idempotent kind.
+// ExecutionOptions are the parameters of one execution.
+type ExecutionOptions struct {
+	// Claim grants the right to run the request once; nil for an idempotent kind.
 	Claim Claim
-	// Emit receives the pieces of the last stage's answer as they arrive; nil when
-	// the answer is wanted whole.
+	// Emit receives the chunks of the last stage's answer as they arrive. If it is
+	// nil, the complete answer is returned.
 	Emit func([]byte) error
-	// Results holds stage results of an earlier execution; these stages do not
-	// run again.
+	// Results holds stage results of an earlier execution by stage name; these
+	// stages do not run again.
 	Results map[string]json.RawMessage
 	// StageDone is called with the result of each finished stage; an error ends
-	// the execution. It may be called by several goroutines; nil for none.
+	// the execution. It may be called concurrently, and may be nil.
 	StageDone func(ctx context.Context, stage string, result json.RawMessage) error
 }
 
-// Result is what became of an execution.
+// Result is the result of an execution.
 type Result struct {
 	Outcome Outcome
-	// Answer is the whole answer; nil when it was emitted and no claim records it.
+	// Answer is the complete answer; nil when it was emitted and no claim records
+	// it.
 	Answer json.RawMessage
-	// Problem is the answer for the caller unless the outcome is completed.
+	// Problem is the error answer for the caller; nil when the outcome is completed.
 	Problem *Problem
 }
 
@@ -71,30 +72,31 @@
 type execution struct {
 	*Executor
 	request *Request
-	options Options
+	options ExecutionOptions
 	// last is the index of the stage whose result is the answer.
 	last int
-	// maybeRan counts attempts that may have run, onceMaybeRan those of once stages.
+	// maybeRan counts the attempts that may have run, and onceMaybeRan those of
+	// non-idempotent stages (pipeline.Stage.Once) among them.
 	maybeRan, onceMaybeRan atomic.Int32
 
 	// mu guards the fields below.
 	mu sync.Mutex
 	// results holds the output of each finished stage by stage name.
 	results map[string]json.RawMessage
-	// detached is true once the departure of the caller no longer ends the
-	// execution, because a once call was sent.
+	// detached is true once a disconnect of the caller no longer cancels the
+	// execution, because a non-idempotent call was sent.
 	detached bool
-	// stopWatching ends the watch for the caller's departure; it returns false
-	// when the caller has gone.
-	stopWatching func() bool
+	// stopParentCancel keeps a disconnect of the caller from cancelling the
+	// execution. It returns false when the caller has already disconnected.
+	stopParentCancel func() bool
 }
 
-// Execute runs all stages until the deadline. The end of parent cancels the
-// execution unless a once call was sent: its outcome must be recorded.
-func (e *Executor) Execute(parent context.Context, request *Request, options Options) Result {
+// Execute runs all stages until the deadline. When parent ends, the execution is
+// cancelled unless a non-idempotent call was sent, whose outcome must be recorded.
+func (e *Executor) Execute(parent context.Context, request *Request, options ExecutionOptions) Result {
 	order, err := request.Pipeline.Order()
 	if err != nil {
-		return failedResult(notRun(500, ProblemInvalid, "invalid pipeline", err.Error()))
+		return failedResult(notRunProblem(500, ProblemInvalid, "invalid pipeline", err.Error()))
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(parent), request.Deadline.Sub(e.Now()))
 	defer cancel()
@@ -103,9 +105,9 @@
 		last:    order[len(order)-1],
 		results: make(map[string]json.RawMessage, len(order)),
 	}
-	x.stopWatching = context.AfterFunc(parent, cancel)
-	defer x.stopWatching()
-	if err := x.runAll(ctx, order); err != nil {
+	x.stopParentCancel = context.AfterFunc(parent, cancel)
+	defer x.stopParentCancel()
+	if err := x.runStages(ctx, order); err != nil {
 		return failedResult(x.problem(ctx, err))
 	}
 	return Result{Outcome: OutcomeCompleted, Answer: x.results[request.Pipeline.Stages[x.last].Name]}
@@ -115,22 +117,22 @@
 	return Result{Outcome: problem.Outcome, Problem: problem}
 }
 
-// runAll runs a chain of stages in this goroutine, and other pipelines with one
-// goroutine per stage.
-func (x *execution) runAll(ctx context.Context, order []int) error {
+// runStages runs a chain of stages in the calling goroutine, and the stages of
+// other pipelines in one goroutine each.
+func (x *execution) runStages(ctx context.Context, order []int) error {
 	if !isChain(x.request.Pipeline, order) {
 		return x.runGraph(ctx, order)
 	}
 	for _, index := range order {
-		if err := x.stage(ctx, index); err != nil {
+		if err := x.runStage(ctx, index); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// isChain reports whether each stage reads the result of the one before it, so
-// that no two stages can run in parallel.
+// isChain reports whether each stage depends on the one before it, so that no two
+// stages can run in parallel.
 func isChain(p *pipeline.Pipeline, order []int) bool {
 	for i := 1; i < len(order); i++ {
 		if !slices.Contains(p.Predecessors(order[i]), p.Stages[order[i-1]].Name) {
@@ -140,7 +142,7 @@
 	return true
 }
 
-// runGraph starts each stage when its predecessors are done.
+// runGraph starts each stage when its predecessors have finished.
 func (x *execution) runGraph(ctx context.Context, order []int) error {
 	group, ctx := errgroup.WithContext(ctx)
 	done := make(map[string]chan struct{}, len(order))
@@ -156,7 +158,7 @@
 					return context.Cause(ctx)
 				}
 			}
-			if err := x.stage(ctx, index); err != nil {
+			if err := x.runStage(ctx, index); err != nil {
 				return err
 			}
 			close(done[x.request.Pipeline.Stages[index].Name])
@@ -166,11 +168,11 @@
 	return group.Wait()
 }
 
-// stage runs one stage, or takes its result from an earlier execution.
-func (x *execution) stage(ctx context.Context, index int) error {
+// runStage runs one stage, or reuses its result from an earlier execution.
+func (x *execution) runStage(ctx context.Context, index int) error {
 	stage := &x.request.Pipeline.Stages[index]
 	if result, ok := x.options.Results[stage.Name]; ok {
-		return x.reuse(ctx, index, result)
+		return x.reuseResult(ctx, index, result)
 	}
 	input, err := x.input(index)
 	if err != nil {
@@ -182,37 +184,40 @@
 	}
 	started := x.Now()
 	result, err := call.run(ctx)
-	x.Metrics.stage(stage, x.Now().Sub(started), err)
+	x.Metrics.recordStage(stage, x.Now().Sub(started), err)
 	if err != nil {
 		return &stageError{stage: stage.Name, err: err}
 	}
-	x.keep(stage.Name, result)
+	x.storeResult(stage.Name, result)
 	if x.options.StageDone == nil {
 		return nil
 	}
 	return x.options.StageDone(ctx, stage.Name, result)
 }
 
-func (x *execution) reuse(ctx context.Context, index int, result json.RawMessage) error {
+// reuseResult takes the result of a stage from an earlier execution. The stage
+// counts as run when the outcome is determined.
+func (x *execution) reuseResult(ctx context.Context, index int, result json.RawMessage) error {
 	x.maybeRan.Add(1)
 	if x.request.Pipeline.Stages[index].Once {
 		x.onceMaybeRan.Add(1)
 	}
-	x.keep(x.request.Pipeline.Stages[index].Name, result)
+	x.storeResult(x.request.Pipeline.Stages[index].Name, result)
 	if index != x.last || x.options.Emit == nil {
 		return nil
 	}
 	return x.options.Emit(asText(result))
 }
 
-func (x *execution) keep(stage string, result json.RawMessage) {
+func (x *execution) storeResult(stage string, result json.RawMessage) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.results[stage] = result
 }
 
-// input returns the caller's body for a first stage, and an object of the
-// predecessors' results for the others.
+// input returns the input of a stage: the caller's body for a stage without
+// predecessors, otherwise an object with the body under "request" and the results
+// of the predecessors under their names.
 func (x *execution) input(index int) (json.RawMessage, error) {
 	predecessors := x.request.Pipeline.Predecessors(index)
 	if len(predecessors) == 0 {
@@ -228,13 +233,13 @@
 	return json.Marshal(inputs)
 }
 
-// detach makes the execution outlive its caller, and returns false when the
-// caller has already gone.
+// detach lets the execution continue after the caller disconnects. It returns
+// false when the caller has already disconnected.
 func (x *execution) detach() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if !x.detached {
-		x.detached = x.stopWatching()
+		x.detached = x.stopParentCancel()
 	}
 	return x.detached
 }
--- a/internal/entry/decisions.go
+++ b/internal/entry/loadcontrol.go
@@ -20,69 +20,73 @@
 )
 
 const (
-	// admissionInterval is how often limits are adapted and late requests refused.
+	// admissionInterval is the time between two adaptations of the limits, at which
+	// requests that waited too long are refused as well.
 	admissionInterval = 20 * time.Millisecond
-	// loadInterval is the mean time between two load reports that an instance
-	// reads, whatever the number of servers: about 1 KB/s of control traffic.
-	loadInterval = 400 * time.Millisecond
-	loadTimeout  = time.Second
+	// loadReportInterval is the mean time between two load reports that an instance
+	// reads. It is independent of the number of servers, which keeps the control
+	// traffic at about 1 KB/s.
+	loadReportInterval = 400 * time.Millisecond
+	loadReportTimeout  = time.Second
 )
 
-// DecisionMetrics reports the decisions under load.
-type DecisionMetrics struct {
-	scope  tally.Scope
-	tagged sync.Map
+// AdmissionMetrics counts refused requests and reports the state of the admission
+// queues.
+type AdmissionMetrics struct {
+	scope         tally.Scope
+	taggedMetrics sync.Map
 }
 
-// NewDecisionMetrics returns metrics that report to a scope.
-func NewDecisionMetrics(scope tally.Scope) *DecisionMetrics {
-	return &DecisionMetrics{scope: scope}
+// NewAdmissionMetrics returns metrics that report to a scope.
+func NewAdmissionMetrics(scope tally.Scope) *AdmissionMetrics {
+	return &AdmissionMetrics{scope: scope}
 }
 
-// refused counts a refused request by the type of its problem.
-func (m *DecisionMetrics) refused(problem string) {
-	kept, ok := m.tagged.Load(problem)
+// countRefused counts a refused request by the type of its problem.
+func (m *AdmissionMetrics) countRefused(problemType string) {
+	metric, ok := m.taggedMetrics.Load(problemType)
 	if !ok {
-		tags := map[string]string{"reason": problem}
-		kept, _ = m.tagged.LoadOrStore(problem, m.scope.Tagged(tags).Counter("refused_requests"))
+		tags := map[string]string{"reason": problemType}
+		metric, _ = m.taggedMetrics.LoadOrStore(problemType, m.scope.Tagged(tags).Counter("refused_requests"))
 	}
-	kept.(tally.Counter).Inc(1)
+	metric.(tally.Counter).Inc(1)
 }
 
 // queueGauges are the gauges of one pool's queue.
 type queueGauges struct{ running, waiting, limit tally.Gauge }
 
-func (m *DecisionMetrics) queue(pool string, running, waiting, limit int) {
+func (m *AdmissionMetrics) updateQueue(pool string, running, waiting, limit int) {
 	type key struct{ pool string }
-	kept, ok := m.tagged.Load(key{pool})
+	metric, ok := m.taggedMetrics.Load(key{pool})
 	if !ok {
 		scope := m.scope.Tagged(map[string]string{"pool": pool})
 		gauges := queueGauges{scope.Gauge("admission_running"), scope.Gauge("admission_waiting"), scope.Gauge("admission_limit")}
-		kept, _ = m.tagged.LoadOrStore(key{pool}, gauges)
+		metric, _ = m.taggedMetrics.LoadOrStore(key{pool}, gauges)
 	}
-	gauges := kept.(queueGauges)
+	gauges := metric.(queueGauges)
 	gauges.running.Update(float64(running))
 	gauges.waiting.Update(float64(waiting))
 	gauges.limit.Update(float64(limit))
 }
 
-func newDecisionMetrics(m *metrics.Metrics) *DecisionMetrics { return NewDecisionMetrics(m.Scope) }
+func newAdmissionMetrics(m *metrics.Metrics) *AdmissionMetrics { return NewAdmissionMetrics(m.Scope) }
 
 func newServers(entry settings.Entry, logger *slog.Logger) *Servers {
 	location := routing.Location{Region: entry.Region, FailureDomain: entry.FailureDomain}
 	return NewServers(entry.Instance, location, entry.LinkSharers(), logger, time.Now)
 }
 
-func newAdmissionControl(servers *Servers, m *DecisionMetrics, logger *slog.Logger) *AdmissionControl {
+func newAdmissionControl(servers *Servers, m *AdmissionMetrics, logger *slog.Logger) *AdmissionControl {
 	return NewAdmissionControl(servers, m, logger, time.Now)
 }
 
 func newLoadReader() backend.LoadReader {
-	return &backend.HTTPLoadReader{Client: &http.Client{Timeout: loadTimeout}}
+	return &backend.HTTPLoadReader{Client: &http.Client{Timeout: loadReportTimeout}}
 }
 
-// driveDecisions runs the timers of the decisions until the daemon stops.
-func driveDecisions(lc fx.Lifecycle, servers *Servers, control *AdmissionControl, reader backend.LoadReader) {
+// runAdmissionAndLoadPolling runs the ticks of admission control and reads load
+// reports until the daemon stops.
+func runAdmissionAndLoadPolling(lc fx.Lifecycle, servers *Servers, control *AdmissionControl, reader backend.LoadReader) {
 	ctx, cancel := context.WithCancel(context.Background())
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
@@ -98,32 +102,32 @@
 }
 
 // PollLoad reads the load report of one random server at a time until ctx ends.
-// Each instance reads at its own random times.
+// The intervals are random, so that instances do not read in step.
 func (s *Servers) PollLoad(ctx context.Context, reader backend.LoadReader) {
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, loadInterval/2+rand.N(loadInterval))
-		s.pollOne(ctx, reader)
+		clock.Sleep(ctx, loadReportInterval/2+rand.N(loadReportInterval))
+		s.pollRandomServer(ctx, reader)
 	}
 }
 
-func (s *Servers) pollOne(ctx context.Context, reader backend.LoadReader) {
+func (s *Servers) pollRandomServer(ctx context.Context, reader backend.LoadReader) {
 	pools := s.snapshot()
 	if len(pools) == 0 {
 		return
 	}
-	skip := rand.IntN(len(pools))
+	remaining := rand.IntN(len(pools))
 	for _, p := range pools {
-		if skip == 0 {
-			p.poll(ctx, reader, s.logger, s.now)
+		if remaining == 0 {
+			p.pollLoad(ctx, reader, s.logger, s.now)
 			return
 		}
-		skip--
+		remaining--
 	}
 }
 
-func (p *serverPool) poll(ctx context.Context, reader backend.LoadReader, logger *slog.Logger, now func() time.Time) {
+func (p *serverPool) pollLoad(ctx context.Context, reader backend.LoadReader, logger *slog.Logger, now func() time.Time) {
 	p.mu.Lock()
-	index, ok := p.pool.Random(p.random)
+	index, ok := p.pool.RandomLocal(p.random)
 	server := p.servers[index]
 	p.mu.Unlock()
 	if !ok {
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -15,14 +15,14 @@
 	"github.com/coltsfootdrift/coltsfootdrift/pipeline"
 )
 
-// maxBodyBytes bounds a caller's body.
+// maxBodyBytes limits the body of a request.
 const maxBodyBytes = 8 << 20
 
-// maxKeyBytes bounds an idempotency key. Keys are recorded in the store, whose
-// values are bounded.
+// maxKeyBytes limits an idempotency key. Keys are recorded in the store, which
+// limits the size of values.
 const maxKeyBytes = 255
 
-// Request is a caller's request after validation against the configuration.
+// Request is a request that was validated against the configuration.
 type Request struct {
 	Organisation pipeline.Organisation
 	Pipeline     *pipeline.Pipeline
@@ -31,35 +31,36 @@
 	Body json.RawMessage
 	// Key is the idempotency key; empty for none.
 	Key string
-	// Deadline is when the whole answer must have arrived.
+	// Deadline is the time by which the complete answer must have arrived.
 	Deadline time.Time
-	// Stream is true when the caller wants server-sent events.
+	// Stream is true when the caller accepts server-sent events.
 	Stream bool
 
-	// leave is set by admission control when the own region cannot answer in time.
-	leave bool
-	// Async is true when the caller wants durable work that it fetches later.
+	// crossRegion is set by admission control when the request runs in another
+	// region, because its own cannot answer in time.
+	crossRegion bool
+	// Async is true for a durable request whose answer the caller fetches later.
 	Async bool
 }
 
 // parseRequest validates an HTTP request against a configuration. The body is
-// read last, so that a bad header is answered without waiting for it.
+// read last, so that an invalid header is answered without waiting for it.
 func parseRequest(w http.ResponseWriter, r *http.Request, set *pipeline.Set, now time.Time) (*Request, *Problem) {
 	if set == nil {
-		problem := notRun(http.StatusServiceUnavailable, ProblemUnavailable, "no configuration", "this instance holds no configuration yet")
+		problem := notRunProblem(http.StatusServiceUnavailable, ProblemUnavailable, "no configuration", "this instance holds no configuration yet")
 		problem.RetryAfterMS = refusedRetryAfter.Milliseconds()
 		return nil, problem
 	}
-	request, problem := lookUp(mux.Vars(r), set)
+	request, problem := resolveRequest(mux.Vars(r), set)
 	if problem != nil {
 		return nil, problem
 	}
 	timeout, err := parseTimeout(r.Header, request.Kind.MaxWait())
 	if err != nil {
-		return nil, notRun(http.StatusBadRequest, ProblemInvalid, "invalid deadline", err.Error())
+		return nil, notRunProblem(http.StatusBadRequest, ProblemInvalid, "invalid deadline", err.Error())
 	}
 	if timeout <= 0 {
-		return nil, notRun(http.StatusGatewayTimeout, ProblemDeadline, "deadline expired", "no time is left for the request")
+		return nil, notRunProblem(http.StatusGatewayTimeout, ProblemDeadline, "deadline expired", "no time is left for the request")
 	}
 	request.Deadline = now.Add(timeout)
 	if request.Key, problem = parseKey(r.Header, request.Kind); problem != nil {
@@ -71,28 +72,29 @@
 	return request, problem
 }
 
-// parseKey reads the idempotency key, which at-most-once kinds need.
+// parseKey reads the idempotency key, which at-most-once kinds require.
 func parseKey(header http.Header, kind pipeline.Kind) (string, *Problem) {
 	keys := header.Values("Idempotency-Key")
 	switch {
 	case len(keys) > 1:
-		return "", notRun(http.StatusBadRequest, ProblemInvalid, "ambiguous idempotency key",
+		return "", notRunProblem(http.StatusBadRequest, ProblemInvalid, "ambiguous idempotency key",
 			"the Idempotency-Key header was sent more than once")
 	case len(keys) == 1 && len(keys[0]) > maxKeyBytes:
-		return "", notRun(http.StatusBadRequest, ProblemInvalid, "idempotency key too long",
+		return "", notRunProblem(http.StatusBadRequest, ProblemInvalid, "idempotency key too long",
 			fmt.Sprintf("the key exceeds %d bytes", maxKeyBytes))
 	case len(keys) == 1 && keys[0] != "":
 		return keys[0], nil
 	case kind.AtMostOnce():
-		return "", notRun(http.StatusBadRequest, ProblemInvalid, "missing idempotency key",
+		return "", notRunProblem(http.StatusBadRequest, ProblemInvalid, "missing idempotency key",
 			fmt.Sprintf("kind %q is at-most-once and needs the Idempotency-Key header", kind.Name))
 	default:
 		return "", nil
 	}
 }
 
-// lookUp finds the organisation, pipeline and kind that the path names.
-func lookUp(vars map[string]string, set *pipeline.Set) (*Request, *Problem) {
+// resolveRequest looks up the organisation, pipeline and kind whose names are in
+// vars, the variables of the request path.
+func resolveRequest(vars map[string]string, set *pipeline.Set) (*Request, *Problem) {
 	organisation, ok := set.Organisation(vars["organisation"])
 	if !ok {
 		return nil, unknownName("organisation", vars["organisation"])
@@ -109,16 +111,16 @@
 }
 
 func unknownName(what, name string) *Problem {
-	return notRun(http.StatusNotFound, ProblemNotFound, "unknown "+what, fmt.Sprintf("%s %q is not configured", what, name))
+	return notRunProblem(http.StatusNotFound, ProblemNotFound, "unknown "+what, fmt.Sprintf("%s %q is not configured", what, name))
 }
 
-// readBody reads a bounded JSON document within the time of the request.
+// readBody reads a JSON document of at most maxBodyBytes within timeout.
 func readBody(w http.ResponseWriter, r *http.Request, timeout time.Duration) (json.RawMessage, *Problem) {
 	if r.ContentLength > maxBodyBytes {
 		return nil, bodyTooLarge()
 	}
 	control := http.NewResponseController(w)
-	// Tests use writers without a deadline.
+	// The writers of tests do not support deadlines.
 	_ = control.SetReadDeadline(time.Now().Add(timeout))
 	body, err := readAll(http.MaxBytesReader(w, r.Body, maxBodyBytes), r.ContentLength)
 	var tooLarge *http.MaxBytesError
@@ -126,24 +128,24 @@
 	case errors.As(err, &tooLarge):
 		return nil, bodyTooLarge()
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return nil, notRun(http.StatusGatewayTimeout, ProblemDeadline, "deadline expired", "the body did not arrive in time")
+		return nil, notRunProblem(http.StatusGatewayTimeout, ProblemDeadline, "deadline expired", "the body did not arrive in time")
 	case err != nil:
-		return nil, notRun(http.StatusBadRequest, ProblemInvalid, "unreadable body", err.Error())
+		return nil, notRunProblem(http.StatusBadRequest, ProblemInvalid, "unreadable body", err.Error())
 	case !json.Valid(body):
-		return nil, notRun(http.StatusBadRequest, ProblemInvalid, "malformed body", "the body is not a JSON document")
+		return nil, notRunProblem(http.StatusBadRequest, ProblemInvalid, "malformed body", "the body is not a JSON document")
 	}
-	// Without this, the deadline would end the server's watch for the caller's
-	// departure and cancel the request.
+	// Otherwise the read deadline would end net/http's background read, which
+	// detects that the caller disconnected, and cancel the request.
 	_ = control.SetReadDeadline(time.Time{})
 	return body, nil
 }
 
-// preallocatedBodyBytes bounds the memory that a caller gets by announcing a
-// length without sending it.
+// preallocatedBodyBytes limits the memory that a Content-Length reserves before
+// the body has arrived.
 const preallocatedBodyBytes = 64 << 10
 
-// readAll reads a short body of known length without growing a buffer. An
-// unknown length is -1.
+// readAll reads a body. One whose length is known and short is read without growing
+// a buffer. length is -1 when it is unknown.
 func readAll(body io.Reader, length int64) ([]byte, error) {
 	if length < 0 || length > preallocatedBodyBytes {
 		return io.ReadAll(body)
@@ -154,6 +156,6 @@
 }
 
 func bodyTooLarge() *Problem {
-	return notRun(http.StatusRequestEntityTooLarge, ProblemInvalid, "body too large",
+	return notRunProblem(http.StatusRequestEntityTooLarge, ProblemInvalid, "body too large",
 		fmt.Sprintf("the body exceeds %d bytes", maxBodyBytes))
 }
--- a/internal/entry/requestmetrics.go
+++ b/internal/entry/requestmetrics.go
@@ -12,28 +12,28 @@
 	"github.com/coltsfootdrift/coltsfootdrift/pipeline"
 )
 
-// stageBuckets are the bounds of the stage latency histogram.
+// stageBuckets are the bucket bounds of the stage latency histogram.
 var stageBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 16)
 
-// Bounds of the counters of link bytes. Each takes about 2 KB, so that one for
-// each stage and organisation would exceed an instance's memory for control work.
-// Organisations beyond the bound are counted together.
+// Limits of the link byte counters. Each counter takes about 2 KB, so one for each
+// stage and organisation would exceed an instance's memory for control work.
+// Organisations beyond the limit are counted together.
 const (
 	maxLinkCounters    = 2000
 	otherOrganisations = "other"
 )
 
-// RequestMetrics reports the request path. Tagged metrics are kept, because
-// looking one up in its scope allocates.
+// RequestMetrics reports metrics of requests and their stages. Tagged metrics are
+// cached, because looking one up in its scope allocates.
 type RequestMetrics struct {
 	scope                             tally.Scope
 	region                            string
 	retries, resumes, hedges, dropped tally.Counter
-	tagged                            sync.Map
+	taggedMetrics                     sync.Map
 	linkCounters                      atomic.Int64
 }
 
-// Keys of the tagged metrics.
+// Keys of RequestMetrics.taggedMetrics.
 type (
 	requestKey struct {
 		pipeline, kind string
@@ -46,7 +46,7 @@
 	linkKey struct{ stage, organisation string }
 )
 
-// NewRequestMetrics returns metrics of an instance in a region.
+// NewRequestMetrics returns the metrics of an instance in a region.
 func NewRequestMetrics(scope tally.Scope, region string) *RequestMetrics {
 	return &RequestMetrics{
 		scope:   scope,
@@ -62,57 +62,58 @@
 	return NewRequestMetrics(tally.NoopScope, "")
 }
 
-// request counts a finished request.
-func (m *RequestMetrics) request(request *Request, outcome Outcome) {
+// countRequest counts a finished request by its outcome.
+func (m *RequestMetrics) countRequest(request *Request, outcome Outcome) {
 	key := requestKey{request.Pipeline.Name, request.Kind.Name, outcome}
-	kept, ok := m.tagged.Load(key)
+	metric, ok := m.taggedMetrics.Load(key)
 	if !ok {
 		tags := map[string]string{"pipeline": key.pipeline, "kind": key.kind, "outcome": string(outcome)}
-		kept, _ = m.tagged.LoadOrStore(key, m.scope.Tagged(tags).Counter("requests"))
+		metric, _ = m.taggedMetrics.LoadOrStore(key, m.scope.Tagged(tags).Counter("requests"))
 	}
-	kept.(tally.Counter).Inc(1)
+	metric.(tally.Counter).Inc(1)
 }
 
-// rejected counts a request that was refused before it had a kind or a body.
-func (m *RequestMetrics) rejected(status int) {
-	kept, ok := m.tagged.Load(status)
+// countRejected counts a request that failed validation by its HTTP status. Such a
+// request may have no kind or body.
+func (m *RequestMetrics) countRejected(status int) {
+	metric, ok := m.taggedMetrics.Load(status)
 	if !ok {
 		tags := map[string]string{"status": strconv.Itoa(status)}
-		kept, _ = m.tagged.LoadOrStore(status, m.scope.Tagged(tags).Counter("rejected_requests"))
+		metric, _ = m.taggedMetrics.LoadOrStore(status, m.scope.Tagged(tags).Counter("rejected_requests"))
 	}
-	kept.(tally.Counter).Inc(1)
+	metric.(tally.Counter).Inc(1)
 }
 
-// stage records the duration of a stage with all its attempts.
-func (m *RequestMetrics) stage(stage *pipeline.Stage, took time.Duration, err error) {
+// recordStage records the duration of a stage, including all its attempts.
+func (m *RequestMetrics) recordStage(stage *pipeline.Stage, took time.Duration, err error) {
 	key := stageKey{stage.Pool, stage.Name, err != nil}
-	kept, ok := m.tagged.Load(key)
+	metric, ok := m.taggedMetrics.Load(key)
 	if !ok {
 		result := "completed"
 		if key.failed {
 			result = "failed"
 		}
 		tags := map[string]string{"pool": key.pool, "stage": key.stage, "result": result}
-		kept, _ = m.tagged.LoadOrStore(key, m.scope.Tagged(tags).Histogram("stage_seconds", stageBuckets))
+		metric, _ = m.taggedMetrics.LoadOrStore(key, m.scope.Tagged(tags).Histogram("stage_seconds", stageBuckets))
 	}
-	kept.(tally.Histogram).RecordDuration(took)
+	metric.(tally.Histogram).RecordDuration(took)
 }
 
-// moved counts the bytes of a call that crossed the link between regions.
-func (m *RequestMetrics) moved(server backend.Server, stage, organisation string, bytes int64) {
+// countLinkBytes counts the bytes of a call that crossed the link between regions.
+func (m *RequestMetrics) countLinkBytes(server backend.Server, stage, organisation string, bytes int64) {
 	if server.Region == m.region {
 		return
 	}
 	key := linkKey{stage, organisation}
-	kept, ok := m.tagged.Load(key)
+	metric, ok := m.taggedMetrics.Load(key)
 	if !ok && m.linkCounters.Load() >= maxLinkCounters {
 		key.organisation = otherOrganisations
-		kept, ok = m.tagged.Load(key)
+		metric, ok = m.taggedMetrics.Load(key)
 	}
 	if !ok {
 		m.linkCounters.Add(1)
 		tags := map[string]string{"stage": stage, "organisation": organisation}
-		kept, _ = m.tagged.LoadOrStore(key, m.scope.Tagged(tags).Counter("link_bytes"))
+		metric, _ = m.taggedMetrics.LoadOrStore(key, m.scope.Tagged(tags).Counter("link_bytes"))
 	}
-	kept.(tally.Counter).Inc(bytes)
+	metric.(tally.Counter).Inc(bytes)
 }
--- a/internal/entry/requestmetrics_test.go
+++ b/internal/entry/requestmetrics_test.go
@@ -10,14 +10,14 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/backend"
 )
 
-// Guards against counters of link bytes that grow with the organisations, and
-// against bytes that are not counted once there are too many.
+// Guards against link byte counters whose number grows with the organisations, and
+// against bytes that are not counted beyond the limit.
 func TestLinkCountersAreBounded(t *testing.T) {
 	c := qt.New(t)
 	scope := tally.NewTestScope("", nil)
 	m := NewRequestMetrics(scope, "near")
 	for i := range 2 * maxLinkCounters {
-		m.moved(backend.Server{Region: "far"}, "stage", fmt.Sprint("o", i), 3)
+		m.countLinkBytes(backend.Server{Region: "far"}, "stage", fmt.Sprint("o", i), 3)
 	}
 	counters, total := 0, int64(0)
 	for _, counter := range scope.Snapshot().Counters() {
@@ -26,7 +26,7 @@
 			total += counter.Value()
 		}
 	}
-	// One more counter holds the others.
+	// One more counter has the bytes of all other organisations.
 	c.Assert(counters, qt.Equals, maxLinkCounters+1)
 	c.Assert(total, qt.Equals, int64(2*maxLinkCounters*3))
 }
--- a/internal/entry/servers.go
+++ b/internal/entry/servers.go
@@ -17,8 +17,8 @@
 	"github.com/coltsfootdrift/coltsfootdrift/routing"
 )
 
-// Servers holds the backend servers by pool and chooses among them. It is the
-// Picker, the Hedges and the StageBudgets of the request path.
+// Servers holds the backend servers by pool and chooses among them. It implements
+// Picker, HedgePolicy and StageBudgets.
 type Servers struct {
 	instance string
 	location routing.Location
@@ -30,26 +30,29 @@
 	pools map[string]*serverPool
 }
 
-// NewServers returns an instance's view of the backend servers.
-func NewServers(instance string, location routing.Location, linkSharers int, logger *slog.Logger, now func() time.Time) *Servers {
+// NewServers returns the backend servers as seen by an instance. They are empty
+// until the first call of Update. minLinkInstances is the least number of instances
+// among which the link between regions is divided.
+func NewServers(instance string, location routing.Location, minLinkInstances int, logger *slog.Logger, now func() time.Time) *Servers {
 	return &Servers{
 		instance: instance, location: location, logger: logger, now: now,
-		link: newLinkBudget(linkSharers), pools: map[string]*serverPool{},
+		link: newLinkBudget(minLinkInstances), pools: map[string]*serverPool{},
 	}
 }
 
-// serverPool is one pool with its lock.
+// serverPool is the routing state of one pool. mu guards all fields.
 type serverPool struct {
 	mu     sync.Mutex
 	pool   *routing.Pool
 	hedger *routing.Hedger
 	random *rand.Rand
-	// servers holds what a call needs to know, by index.
+	// servers holds the servers by their index in pool.
 	servers map[routing.ServerIndex]backend.Server
 }
 
-// Update replaces the servers by those of the instance list. set gives the
-// slots of the pools and the capacity of the link; nil when there is none yet.
+// Update replaces the servers by those of the instance list. set has the slots of
+// the pools and the capacity of the link; it is nil when there is no configuration
+// yet.
 func (s *Servers) Update(members []platform.Member, set *pipeline.Set) {
 	byPool := map[string][]backend.Server{}
 	var instances []routing.Instance
@@ -57,7 +60,7 @@
 		switch {
 		case member.State != platform.StateLive:
 		case member.Role == platform.RoleBackend:
-			byPool[member.Pool] = append(byPool[member.Pool], server(member))
+			byPool[member.Pool] = append(byPool[member.Pool], backendServer(member))
 		case member.Region == s.location.Region:
 			instances = append(instances, routing.Instance{ID: member.ID, FailureDomain: member.FailureDomain})
 		}
@@ -94,7 +97,7 @@
 	return max(1, configured.Slots)
 }
 
-func server(member platform.Member) backend.Server {
+func backendServer(member platform.Member) backend.Server {
 	return backend.Server{
 		ID:            member.ID,
 		Address:       member.Address,
@@ -105,10 +108,11 @@
 	}
 }
 
+// divide sets the instances of the region, among which the servers are divided.
 func (p *serverPool) divide(instance string, instances []routing.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.pool.Divide(instance, instances)
+	p.pool.SetInstances(instance, instances)
 }
 
 func (p *serverPool) update(servers []backend.Server, slots int, now time.Time) {
@@ -129,38 +133,38 @@
 	}
 }
 
-func (s *Servers) find(pool string) *serverPool {
+func (s *Servers) findPool(pool string) *serverPool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.pools[pool]
 }
 
-// Pick chooses a server and counts a call in flight there.
-func (s *Servers) Pick(query Query) (Picked, bool) {
-	p := s.find(query.Pool)
+// Pick implements Picker.
+func (s *Servers) Pick(query Query) (PickedServer, bool) {
+	p := s.findPool(query.Pool)
 	if p == nil {
 		return nil, false
 	}
 	now := s.now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	q := p.query(query)
-	q.Link = s.link.room(query.LinkBytes, now)
+	q := p.routingQuery(query)
+	q.AllowRemote = s.link.hasCapacity(query.LinkBytes, now)
 	index, ok := p.pool.Pick(now, p.random, q)
 	if !ok {
 		return nil, false
 	}
-	picked := &pickedServer{servers: s, pool: p, index: index, server: p.servers[index], query: query, started: now}
+	call := &inFlightCall{servers: s, pool: p, index: index, server: p.servers[index], query: query, started: now}
 	if !p.pool.Local(index) && !s.link.reserve(query.LinkBytes, now) {
 		return nil, false
 	}
-	picked.remote = !p.pool.Local(index)
+	call.remote = !p.pool.Local(index)
 	p.pool.Started(index, query.Class, now)
-	return picked, true
+	return call, true
 }
 
-func (p *serverPool) query(query Query) routing.Query {
-	q := routing.Query{Class: query.Class, Probe: query.Idempotent, Leave: query.Leave, Remaining: query.Remaining}
+func (p *serverPool) routingQuery(query Query) routing.Query {
+	q := routing.Query{Class: query.Class, AllowProbe: query.Idempotent, PreferRemote: query.CrossRegion, Remaining: query.Remaining}
 	if query.PrefixKey != "" {
 		q.Prefix = xxhash.Sum64String(query.PrefixKey)
 	}
@@ -172,33 +176,34 @@
 	return q
 }
 
-// pickedServer is a call in flight at a server of a pool.
-type pickedServer struct {
+// inFlightCall implements PickedServer: a call in flight at a server of a pool.
+type inFlightCall struct {
 	servers *Servers
 	pool    *serverPool
 	index   routing.ServerIndex
 	server  backend.Server
 	query   Query
 	started time.Time
-	remote  bool
+	// remote is true for a server in another region.
+	remote bool
 }
 
-func (c *pickedServer) Server() backend.Server { return c.server }
+func (c *inFlightCall) Server() backend.Server { return c.server }
 
-func (c *pickedServer) FirstByte() {
+func (c *inFlightCall) FirstByte() {
 	took := c.servers.now().Sub(c.started)
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	c.pool.pool.FirstByte(c.index, c.query.Class, took)
 }
 
-func (c *pickedServer) Done(err error, bytes int64) {
+func (c *inFlightCall) Done(err error, bytes int64) {
 	now := c.servers.now()
 	if c.remote {
 		c.servers.link.settle(c.query, bytes)
 	}
 	c.pool.mu.Lock()
-	result := routing.Result{Outcome: outcomeOf(err), Latency: now.Sub(c.started)}
+	result := routing.Result{Outcome: callOutcome(err), Latency: now.Sub(c.started)}
 	c.pool.pool.Finished(c.index, c.query.Class, result, now)
 	drained := errors.Is(err, backend.ErrDraining) && c.pool.pool.Drain(c.server.ID)
 	c.pool.mu.Unlock()
@@ -208,14 +213,15 @@
 	}
 }
 
-// outcomeOf says what the end of a call tells about the server.
-func outcomeOf(err error) routing.Outcome {
+// callOutcome converts the error of a call to the outcome that routing counts for
+// the server.
+func callOutcome(err error) routing.Outcome {
 	switch {
 	case err == nil:
 		return routing.Answered
 	case errors.Is(err, context.Canceled):
 		return routing.Abandoned
-	case errors.Is(err, errClaimExpired), errors.Is(err, errCallerGone):
+	case errors.Is(err, errClaimExpired), errors.Is(err, errCallerDisconnected):
 		return routing.Refused
 	case errors.Is(err, backend.ErrNotSent) && !errors.Is(err, context.DeadlineExceeded):
 		return routing.Unreachable
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -206,5 +206,5 @@
 
 // newPlainQuery returns the query that picks a server for a plain request.
 func newPlainQuery(remaining time.Duration, excluded []routing.ServerIndex) routing.Query {
-	return routing.Query{Class: pipeline.ClassInteractive, Link: true, Remaining: remaining, Excluded: excluded}
+	return routing.Query{Class: pipeline.ClassInteractive, AllowRemote: true, Remaining: remaining, Excluded: excluded}
 }
--- a/routing/histogram.go
+++ b/routing/histogram.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Buckets of a histogram grow by a fixed factor from 10 µs; the last one starts
-// above 20 minutes.
+// Bucket bounds of a histogram grow by a fixed factor from 10 µs; the last bucket
+// starts above 20 minutes.
 const (
 	histogramBuckets = 128
-	histogramFirst   = 10 * time.Microsecond
+	histogramMin     = 10 * time.Microsecond
 	histogramGrowth  = 1.16
 )
 
-// histogram counts durations in buckets of equal relative width and forgets old
-// ones by halving all counts.
+// histogram counts durations in buckets of equal relative width. Halving all counts
+// from time to time reduces the weight of old samples.
 type histogram struct {
 	counts [histogramBuckets]float64
 	total  float64
@@ -28,10 +28,10 @@
 }
 
 func bucketOf(d time.Duration) int {
-	if d <= histogramFirst {
+	if d <= histogramMin {
 		return 0
 	}
-	bucket := int(math.Log(float64(d)/float64(histogramFirst))*inverseLogGrowth) + 1
+	bucket := int(math.Log(float64(d)/float64(histogramMin))*inverseLogGrowth) + 1
 	return min(bucket, histogramBuckets-1)
 }
 
@@ -43,22 +43,22 @@
 	}
 }
 
-// quantile returns the upper edge of the bucket that holds quantile q; 0 without
-// samples.
+// quantile returns the upper bound of the bucket that contains quantile q, or 0
+// without samples.
 func (h *histogram) quantile(q float64) time.Duration {
 	if h.total == 0 {
 		return 0
 	}
-	rest := q * h.total
+	remaining := q * h.total
 	for i, count := range h.counts {
-		rest -= count
-		if rest <= 0 && count > 0 {
-			return upperEdge(i)
+		remaining -= count
+		if remaining <= 0 && count > 0 {
+			return upperBound(i)
 		}
 	}
-	return upperEdge(histogramBuckets - 1)
+	return upperBound(histogramBuckets - 1)
 }
 
-func upperEdge(bucket int) time.Duration {
-	return time.Duration(float64(histogramFirst) * math.Pow(histogramGrowth, float64(bucket)))
+func upperBound(bucket int) time.Duration {
+	return time.Duration(float64(histogramMin) * math.Pow(histogramGrowth, float64(bucket)))
 }
--- a/routing/home_test.go
+++ b/routing/home_test.go
@@ -11,9 +11,9 @@
 	"github.com/coltsfootdrift/coltsfootdrift/pipeline"
 )
 
-// Guards against slots that two instances own or none, and against long calls
-// of all instances together above their share of a server.
-func TestHomeSlotsAreDividedWhole(t *testing.T) {
+// Guards against slots that are home slots of two instances or of none, and against
+// long calls of all instances that together exceed their share of a server.
+func TestEveryHomeSlotHasOneOwner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		domains := []string{"r-a", "r-b"}
 		var list []Server
@@ -27,14 +27,14 @@
 		owned, long := map[string]int{}, map[string]int{}
 		for _, instance := range instances {
 			pool, _ := newPool(nil)
-			pool.Divide(instance.ID, instances)
-			pool.Update(list, began)
+			pool.SetInstances(instance.ID, instances)
+			pool.Update(list, startTime)
 			for i := range pool.servers {
 				owned[pool.servers[i].ID] += pool.servers[i].home
 			}
 			for range pool.homeSlots {
-				if i := pool.pickHome(began.UnixNano(), &Query{Class: pipeline.ClassLong}); i != none {
-					pool.Started(i, pipeline.ClassLong, began)
+				if i := pool.pickHome(startTime.UnixNano(), &Query{Class: pipeline.ClassLong}); i != noServer {
+					pool.Started(i, pipeline.ClassLong, startTime)
 					long[pool.ID(i)]++
 				}
 			}
@@ -47,10 +47,10 @@
 	})
 }
 
-// Guards against a slow server that is noticed only when its first call ends.
+// Guards against a slow server that is detected only when its first call ends.
 func TestOverdueCallLowersItsServer(t *testing.T) {
 	pool, random := newPool(servers(12, "r-a"))
-	now := began
+	now := startTime
 	serve(pool, random, &now, 500, func(ServerIndex) time.Duration { return 10 * time.Millisecond })
 	pool.Started(3, pipeline.ClassInteractive, now)
 	now = now.Add(60 * time.Millisecond)
@@ -58,13 +58,13 @@
 	qt.Assert(t, pool.Lowered(), qt.Equals, 1)
 }
 
-// Guards against a slow server whose calls are all rescued by hedges, so that it
-// never shows a slow answer and keeps its share of the calls.
-func TestRescuedCallsLowerTheirServer(t *testing.T) {
+// Guards against a slow server that keeps its share of the calls because all of them
+// are hedged and cancelled, so that it never returns a slow answer.
+func TestHedgedCallsLowerTheirServer(t *testing.T) {
 	pool, random := newPool(servers(12, "r-a"))
-	now := began
+	now := startTime
 	serve(pool, random, &now, 500, func(ServerIndex) time.Duration { return 10 * time.Millisecond })
-	for range suspectsToLower {
+	for range abandonedToLower {
 		pool.Started(3, pipeline.ClassInteractive, now)
 		now = now.Add(15 * time.Millisecond)
 		pool.Finished(3, pipeline.ClassInteractive, Result{Abandoned, 15 * time.Millisecond}, now)
@@ -72,8 +72,8 @@
 	qt.Assert(t, pool.Lowered(), qt.Equals, 1)
 }
 
-// Guards against instances that, unable to see each other's calls, put their
-// long calls on the same servers.
+// Guards against instances that put their long calls on the same servers because
+// they do not know each other's calls.
 func TestLongCallsOfAllInstancesSpreadOverServers(t *testing.T) {
 	list := servers(8, "r-a")
 	instances := []Instance{{"i0", "r-a"}, {"i1", "r-a"}, {"i2", "r-a"}, {"i3", "r-a"}}
@@ -81,11 +81,11 @@
 	long := map[string]int{}
 	for _, instance := range instances {
 		pool, random := newPool(nil)
-		pool.Divide(instance.ID, instances)
-		pool.Update(list, began)
+		pool.SetInstances(instance.ID, instances)
+		pool.Update(list, startTime)
 		for range perServer * len(list) / len(instances) {
-			i, _ := pool.Pick(began, random, Query{Class: pipeline.ClassLong})
-			pool.Started(i, pipeline.ClassLong, began)
+			i, _ := pool.Pick(startTime, random, Query{Class: pipeline.ClassLong})
+			pool.Started(i, pipeline.ClassLong, startTime)
 			long[pool.ID(i)]++
 		}
 	}
@@ -94,17 +94,17 @@
 	}
 }
 
-// Guards against a prompt prefix that overrules the load: it decides among home
-// slots of about the same score only.
+// Guards against a prompt prefix that takes precedence over load: it decides only
+// among home slots with about the same score.
 func TestPrefixDecidesAmongEqualHomeSlots(t *testing.T) {
 	pool, random := newPool(nil)
-	pool.Divide("i0", []Instance{{"i0", "r-a"}})
-	pool.Update(servers(8, "r-a"), began)
+	pool.SetInstances("i0", []Instance{{"i0", "r-a"}})
+	pool.Update(servers(8, "r-a"), startTime)
 	query := Query{Prefix: 4711}
-	first, _ := pool.Pick(began, random, query)
-	again, _ := pool.Pick(began, random, query)
+	first, _ := pool.Pick(startTime, random, query)
+	again, _ := pool.Pick(startTime, random, query)
 	qt.Check(t, again, qt.Equals, first)
-	pool.Started(first, pipeline.ClassInteractive, began)
-	other, _ := pool.Pick(began, random, query)
+	pool.Started(first, pipeline.ClassInteractive, startTime)
+	other, _ := pool.Pick(startTime, random, query)
 	qt.Check(t, other, qt.Not(qt.Equals), first)
 }
--- a/routing/latency.go
+++ b/routing/latency.go
@@ -5,45 +5,47 @@
 	"time"
 )
 
-// series is the latency of one class at one server. mean and samples decay, so
-// that old evidence lapses.
-type series struct {
+// latencySeries tracks the latency of one class at one server, in nanoseconds. mean
+// is a moving average and samples decays, so that old measurements expire.
+type latencySeries struct {
 	mean    float64
 	samples float64
-	// running calls and the sum of their start times; their mean age is evidence
-	// before the first slow call ends.
+	// running is the number of running calls and startSum the sum of their start times.
+	// Their mean age shows a slow server before its first slow call ends.
 	running  int
 	startSum int64
 }
 
 const (
-	// meanGain is the weight of a new sample in the mean.
+	// meanGain is the weight of a new sample in the moving average.
 	meanGain = 0.2
-	// minSamples is the number of samples below which a mean is no evidence.
+	// minSamples is the number of samples below which the mean is not used.
 	minSamples = 4
-	// minRunning is the number of running calls whose mean age is evidence.
+	// minRunning is the number of running calls below which their mean age is not
+	// used.
 	minRunning = 2
 )
 
-func (s *series) add(latency time.Duration) {
+func (s *latencySeries) add(latency time.Duration) {
 	gain := max(meanGain, 1/(s.samples+1))
 	s.mean += gain * (float64(latency) - s.mean)
 	s.samples++
 }
 
-// addAtLeast takes a call that would have lasted longer than latency.
-func (s *series) addAtLeast(latency time.Duration) {
+// addAtLeast records a call that would have taken longer than latency. It is ignored
+// if latency does not exceed the mean.
+func (s *latencySeries) addAtLeast(latency time.Duration) {
 	if float64(latency) > s.mean {
 		s.add(latency)
 	}
 }
 
-func (s *series) started(t int64) {
+func (s *latencySeries) started(t int64) {
 	s.running++
 	s.startSum += t
 }
 
-func (s *series) finished(start int64) {
+func (s *latencySeries) finished(start int64) {
 	s.running--
 	s.startSum -= start
 	if s.running == 0 {
@@ -51,8 +53,8 @@
 	}
 }
 
-// estimate is the latency that the evidence shows, and whether there is enough.
-func (s *series) estimate(t int64) (float64, bool) {
+// estimate returns the estimated latency, and whether there is enough data for it.
+func (s *latencySeries) estimate(t int64) (float64, bool) {
 	estimate, enough := s.mean, s.samples >= minSamples
 	if s.running < minRunning {
 		return estimate, enough
@@ -64,28 +66,30 @@
 	return estimate, enough
 }
 
-func (p *Pool) agePeers(t int64) {
+// decayPeerCounts recomputes each server's calls in flight from other instances,
+// weighted by the age of their reports. It removes expired reports.
+func (p *Pool) decayPeerCounts(t int64) {
 	for _, index := range p.ordered {
 		s := &p.servers[index]
-		s.peers, s.peersLong = 0, 0
+		s.peerInFlight, s.peerLong = 0, 0
 	}
-	for instance, view := range p.peers {
-		age := t - view.at
-		if age >= peerLife {
-			delete(p.peers, instance)
+	for instance, report := range p.peerReports {
+		age := t - report.receivedAt
+		if age >= peerLifetime {
+			delete(p.peerReports, instance)
 			continue
 		}
-		share := min(1, float64(peerLife-age)/float64(peerLife-peerFresh))
-		for _, count := range view.counts {
+		share := min(1, float64(peerLifetime-age)/float64(peerLifetime-peerFreshness))
+		for _, count := range report.counts {
 			if index, ok := p.byID[count.ID]; ok {
-				p.servers[index].peers += share * float64(count.InFlight)
-				p.servers[index].peersLong += share * float64(count.Long)
+				p.servers[index].peerInFlight += share * float64(count.InFlight)
+				p.servers[index].peerLong += share * float64(count.Long)
 			}
 		}
 	}
 }
 
-// computeMedians sets the pool median of each series.
+// computeMedians computes the median over the servers for each latency series.
 func (p *Pool) computeMedians(t int64) {
 	for kind := range seriesCount {
 		for class := range classCount {
@@ -100,7 +104,8 @@
 	}
 }
 
-// median of values, which it sorts; the lower one of two. 0 without values.
+// median sorts values and returns their median, the lower of the two middle ones, or
+// 0 without values.
 func median(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/routing/pool_test.go
+++ b/routing/pool_test.go
@@ -14,8 +14,8 @@
 )
 
 var (
-	began = time.Unix(1000, 0)
-	here  = Location{Region: "r", FailureDomain: "r-a"}
+	startTime    = time.Unix(1000, 0)
+	testLocation = Location{Region: "r", FailureDomain: "r-a"}
 )
 
 // servers returns n servers of one failure domain.
@@ -28,16 +28,17 @@
 }
 
 func newPool(list []Server) (*Pool, *rand.Rand) {
-	pool := NewPool(here)
-	pool.Update(list, began)
+	pool := NewPool(testLocation)
+	pool.Update(list, startTime)
 	return pool, rand.New(rand.NewPCG(1, 2))
 }
 
-// serve runs n calls one after another, each with the latency of its server.
+// serve runs n calls one after another, each with the latency of its server, and
+// returns the number of calls per server.
 func serve(pool *Pool, random *rand.Rand, now *time.Time, n int, latency func(ServerIndex) time.Duration) map[ServerIndex]int {
 	picked := map[ServerIndex]int{}
 	for range n {
-		i, ok := pool.Pick(*now, random, Query{Class: pipeline.ClassInteractive, Probe: true})
+		i, ok := pool.Pick(*now, random, Query{Class: pipeline.ClassInteractive, AllowProbe: true})
 		if !ok {
 			continue
 		}
@@ -51,11 +52,11 @@
 }
 
 // Guards against stragglers that keep their share of the calls, and against ones
-// that never come back after they recovered.
-func TestStragglerIsLoweredAndComesBack(t *testing.T) {
+// that are never restored after they have recovered.
+func TestStragglerIsLoweredAndRecovers(t *testing.T) {
 	c := qt.New(t)
 	pool, random := newPool(servers(12, "r-a"))
-	now := began
+	now := startTime
 	slow := func(i ServerIndex) time.Duration {
 		if i < 2 {
 			return 100 * time.Millisecond
@@ -70,23 +71,23 @@
 	c.Assert(pool.Lowered(), qt.Equals, 0)
 }
 
-// Guards against a pool that is slow as a whole and takes out its own servers.
+// Guards against a pool that lowers its own servers because all of them are slow.
 func TestSlowPoolLowersNoServer(t *testing.T) {
 	pool, random := newPool(servers(12, "r-a"))
-	now := began
+	now := startTime
 	serve(pool, random, &now, 500, func(ServerIndex) time.Duration { return 10 * time.Millisecond })
 	serve(pool, random, &now, 500, func(ServerIndex) time.Duration { return 200 * time.Millisecond })
 	qt.Assert(t, pool.Lowered(), qt.Equals, 0)
 }
 
-// Guards against more than 30 % of a pool held down, negative counts, a pick of a
-// draining or unlisted server, and long work above its share of a server's slots,
-// under any order of calls and changes.
+// Guards against more than 30 % of a pool lowered, negative counts, a pick of a
+// draining or unlisted server, and more long calls than their share of a server's
+// slots, under any order of calls and changes.
 func TestPoolInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := append(servers(rapid.IntRange(1, 14).Draw(t, "near"), "r-a"), servers(4, "s-a")...)
 		pool, random := newPool(all)
-		now, listed, drained := began, all, map[string]bool{}
+		now, listed, drained := startTime, all, map[string]bool{}
 		type call struct {
 			i     ServerIndex
 			class pipeline.Class
@@ -104,16 +105,16 @@
 				drained[id] = pool.Drain(id) || drained[id]
 			case 2:
 				counts := []ServerCount{{ID: all[0].ID, InFlight: 5, Long: 2}}
-				pool.PeerCounts("peer", counts, now)
+				pool.SetPeerCounts("peer", counts, now)
 			case 3, 4, 5, 6:
 				class := rapid.SampledFrom([]pipeline.Class{pipeline.ClassInteractive, pipeline.ClassLong}).Draw(t, "class")
-				i, ok := pool.Pick(now, random, Query{Class: class, Probe: true, Link: rapid.Bool().Draw(t, "link"), Prefix: uint64(rapid.IntRange(0, 3).Draw(t, "prefix"))})
+				i, ok := pool.Pick(now, random, Query{Class: class, AllowProbe: true, AllowRemote: rapid.Bool().Draw(t, "link"), Prefix: uint64(rapid.IntRange(0, 3).Draw(t, "prefix"))})
 				if !ok {
 					continue
 				}
 				s := &pool.servers[i]
-				if !s.live || s.drained {
-					t.Fatalf("picked %q: live %v, drained %v", s.ID, s.live, s.drained)
+				if !s.live || s.draining {
+					t.Fatalf("picked %q: live %v, drained %v", s.ID, s.live, s.draining)
 				}
 				pool.Started(i, class, now)
 				if float64(s.long) > max(1, LongShare*float64(s.Slots)) {
@@ -152,38 +153,39 @@
 	})
 }
 
-// Guards against a dead server that attracts calls because it fails fast.
+// Guards against an unreachable server that attracts calls because it fails fast.
 func TestUnreachableServerIsLowered(t *testing.T) {
 	pool, random := newPool(servers(6, "r-a"))
-	dead := 0
+	unreachable := 0
 	for range 100 {
-		i, _ := pool.Pick(began, random, Query{})
-		pool.Started(i, pipeline.ClassNormal, began)
+		i, _ := pool.Pick(startTime, random, Query{})
+		pool.Started(i, pipeline.ClassNormal, startTime)
 		outcome := Answered
 		if i == 3 {
-			dead++
+			unreachable++
 			outcome = Unreachable
 		}
-		pool.Finished(i, pipeline.ClassNormal, Result{outcome, time.Millisecond}, began)
+		pool.Finished(i, pipeline.ClassNormal, Result{outcome, time.Millisecond}, startTime)
 	}
-	qt.Assert(t, dead, qt.Equals, 1)
+	qt.Assert(t, unreachable, qt.Equals, 1)
 }
 
-// Guards against calls that leave the region without need or without budget.
+// Guards against calls to another region that are not needed or not within the link
+// budget.
 func TestLinkIsLastResort(t *testing.T) {
 	c := qt.New(t)
 	near, far := servers(2, "r-a"), servers(2, "s-a")
 	pool, random := newPool(append(near, far...))
-	now := began
+	now := startTime
 	for range 100 {
-		i, _ := pool.Pick(now, random, Query{Link: true, Remaining: time.Second})
+		i, _ := pool.Pick(now, random, Query{AllowRemote: true, Remaining: time.Second})
 		c.Assert(pool.Local(i), qt.IsTrue)
 		pool.Started(i, pipeline.ClassNormal, now)
 	}
 	pool.Update(far, now)
 	_, ok := pool.Pick(now, random, Query{})
 	c.Assert(ok, qt.IsFalse)
-	_, ok = pool.Pick(now, random, Query{Link: true})
+	_, ok = pool.Pick(now, random, Query{AllowRemote: true})
 	c.Assert(ok, qt.IsTrue)
 }
 
@@ -192,14 +194,14 @@
 	c := qt.New(t)
 	pool, random := newPool(servers(8, "r-a"))
 	q := Query{Prefix: 77}
-	first, _ := pool.Pick(began, random, q)
+	first, _ := pool.Pick(startTime, random, q)
 	for range 16 {
-		again, _ := pool.Pick(began, random, q)
+		again, _ := pool.Pick(startTime, random, q)
 		c.Assert(again, qt.Equals, first)
 	}
 	for range 64 {
-		i, _ := pool.Pick(began, random, q)
-		pool.Started(i, pipeline.ClassNormal, began)
+		i, _ := pool.Pick(startTime, random, q)
+		pool.Started(i, pipeline.ClassNormal, startTime)
 	}
 	for i := range pool.servers {
 		c.Assert(pool.servers[i].inFlight <= 11, qt.IsTrue, qt.Commentf("%d calls", pool.servers[i].inFlight))
@@ -208,7 +210,7 @@
 
 func benchmarkPick(b *testing.B, n int, q Query) {
 	pool, random := newPool(servers(n, "r-a"))
-	now := began
+	now := startTime
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
@@ -225,10 +227,10 @@
 func BenchmarkDecisionPrefix1000(b *testing.B) { benchmarkPick(b, 1000, Query{Prefix: 77}) }
 func BenchmarkDecisionPrefix2100(b *testing.B) { benchmarkPick(b, 2100, Query{Prefix: 77}) }
 
-// Guards against a decision that allocates.
+// Guards against memory allocations in a routing decision.
 func TestDecisionAllocatesNothing(t *testing.T) {
 	pool, random := newPool(servers(56, "r-a"))
-	now := began
+	now := startTime
 	allocated := testing.AllocsPerRun(1000, func() {
 		now = now.Add(10 * time.Millisecond)
 		i, _ := pool.Pick(now, random, Query{Prefix: 3})
@@ -238,9 +240,10 @@
 	qt.Assert(t, allocated, qt.Equals, 0.0)
 }
 
-// Guards against a server that other instances see as a straggler and that gets
-// its full part of the calls here, against a marker that outweighs later own
-// evidence, and against markers that hold down more of a pool than may be lowered.
+// Guards against a server that gets its full share of calls here although other
+// instances report it as a straggler, against a report that outweighs later
+// measurements of this instance, and against reports that reduce the calls to more
+// servers of a pool than may be lowered.
 func TestPeerStragglersGetFewerCalls(t *testing.T) {
 	c := qt.New(t)
 	pool, random := newPool(servers(6, "r-a"))
@@ -249,41 +252,41 @@
 		seen[id] = 1
 	}
 	picks := func() (counts [6]int) {
-		pool.refresh(began.UnixNano())
+		pool.maintain(startTime.UnixNano())
 		for range 600 {
-			i, _ := pool.Pick(began, random, Query{})
+			i, _ := pool.Pick(startTime, random, Query{})
 			counts[i]++
-			pool.Started(i, pipeline.ClassNormal, began)
+			pool.Started(i, pipeline.ClassNormal, startTime)
 		}
 		for i, n := range counts {
 			for range n {
-				pool.Finished(ServerIndex(i), pipeline.ClassNormal, Result{Refused, 0}, began)
+				pool.Finished(ServerIndex(i), pipeline.ClassNormal, Result{Refused, 0}, startTime)
 			}
 		}
 		return counts
 	}
-	pool.PeerStragglers(seen, began)
+	pool.SetPeerStragglers(seen, startTime)
 	counts := picks()
 	c.Assert(2*counts[2] < counts[0], qt.IsTrue, qt.Commentf("%v", counts))
-	c.Assert(2*counts[4] > counts[0], qt.IsTrue, qt.Commentf("more than 30 %% held down: %v", counts))
+	c.Assert(2*counts[4] > counts[0], qt.IsTrue, qt.Commentf("more than 30 %% get fewer calls: %v", counts))
 	for i := range ServerIndex(6) {
 		for range minSamples {
-			pool.Started(i, pipeline.ClassNormal, began)
-			pool.Finished(i, pipeline.ClassNormal, Result{Answered, time.Millisecond}, began)
+			pool.Started(i, pipeline.ClassNormal, startTime)
+			pool.Finished(i, pipeline.ClassNormal, Result{Answered, time.Millisecond}, startTime)
 		}
 	}
 	counts = picks()
-	c.Assert(2*counts[2] > counts[0], qt.IsTrue, qt.Commentf("own evidence ignored: %v", counts))
+	c.Assert(2*counts[2] > counts[0], qt.IsTrue, qt.Commentf("own measurements ignored: %v", counts))
 }
 
-// Guards against an instance that finds a slow server by slow calls of its own
-// although others agree on it, against a report by a single instance, against a
-// report that is passed on, and against a server that stays lowered after good
-// probes.
+// Guards against an instance that detects a slow server only through slow calls of
+// its own although others agree on it, against lowering on the report of a single
+// instance, against passing on such reports, and against a server that stays lowered
+// after good probes.
 func TestReportedServerIsLoweredToProbes(t *testing.T) {
 	c := qt.New(t)
 	pool, random := newPool(servers(6, "r-a"))
-	now := began
+	now := startTime
 	answer := func(i ServerIndex) {
 		pool.Started(i, pipeline.ClassNormal, now)
 		pool.Finished(i, pipeline.ClassNormal, Result{Answered, time.Millisecond}, now)
@@ -293,11 +296,11 @@
 			answer(i)
 		}
 	}
-	pool.refresh(now.UnixNano())
-	pool.PeerStragglers(map[string]int{"r-a-2": 1}, now)
+	pool.maintain(now.UnixNano())
+	pool.SetPeerStragglers(map[string]int{"r-a-2": 1}, now)
 	c.Assert(pool.Lowered(), qt.Equals, 0)
 	seen := map[string]int{"r-a-2": 2, "r-a-3": 2, "r-a-4": 2}
-	pool.PeerStragglers(seen, now)
+	pool.SetPeerStragglers(seen, now)
 	c.Assert(pool.Lowered(), qt.Equals, 1)
 	c.Assert(pool.Stragglers(), qt.HasLen, 0)
 	for range 300 {
@@ -305,9 +308,9 @@
 		c.Assert(i, qt.Not(qt.Equals), ServerIndex(2))
 		answer(i)
 	}
-	for range levelProbed * goodToRaise {
+	for range levelProbeOnly * goodAnswersToRaise {
 		answer(2)
 	}
-	pool.PeerStragglers(seen, now)
+	pool.SetPeerStragglers(seen, now)
 	c.Assert(pool.Lowered(), qt.Equals, 0)
 }
