--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -19,46 +19,49 @@
 	ProblemOverload = "/problems/overload"
 )
 
-// AdmissionControl is the Admission of an instance: organisation rates, and one
-// queue per pool. A request waits at the pool of the stage that uses the largest
-// part of its pool, since the other stages follow from it.
+// AdmissionControl implements Admission for an instance: it enforces the rates of
+// organisations and keeps one queue per pool. A request waits in the queue of its
+// bottleneck, the pool of the stage that uses the largest part of its pool's
+// capacity; the limit there also bounds the load of the other stages.
 type AdmissionControl struct {
 	servers *Servers
-	metrics *DecisionMetrics
+	metrics *AdmissionMetrics
 	logger  *slog.Logger
 	now     func() time.Time
 
-	mu     sync.Mutex
-	rates  *quota.RateLimiter
-	queues map[string]*poolQueue
-	lastID uint64
+	mu           sync.Mutex
+	rates        *quota.RateLimiter
+	queues       map[string]*poolQueue
+	lastTicketID uint64
 }
 
-// poolQueue is the queue of one pool with the callers that wait in it.
+// poolQueue is the admission queue of one pool and the callers that wait in it.
 type poolQueue struct {
 	queue   *admission.Queue
-	waiting map[uint64]chan admission.Decision
-	// stretch is the mean duration of whole requests as a multiple of that of
-	// their stage at this pool.
-	stretch float64
+	waiters map[uint64]chan admission.Decision
+	// durationRatio is the moving average of a request's total duration divided
+	// by the duration of its stage in this pool.
+	durationRatio float64
 }
 
-// stretchGain is the weight of one request in the mean of poolQueue.stretch.
-const stretchGain = 0.05
+// durationRatioGain is the weight of one request in the moving average
+// poolQueue.durationRatio.
+const durationRatioGain = 0.05
 
-// NewAdmissionControl returns an admission control for the pools of servers.
-func NewAdmissionControl(servers *Servers, metrics *DecisionMetrics, logger *slog.Logger, now func() time.Time) *AdmissionControl {
+// NewAdmissionControl returns the admission control for the pools in servers.
+func NewAdmissionControl(servers *Servers, metrics *AdmissionMetrics, logger *slog.Logger, now func() time.Time) *AdmissionControl {
 	return &AdmissionControl{
 		servers: servers, metrics: metrics, logger: logger, now: now,
 		rates: quota.NewRateLimiter(), queues: map[string]*poolQueue{},
 	}
 }
 
-// Admit waits until the request may start, or returns why it never will.
+// Admit implements Admission. It waits until the request may start, or returns
+// the problem with which the request is refused.
 func (a *AdmissionControl) Admit(ctx context.Context, request *Request) (func(Outcome), *Problem) {
 	release, problem := a.admit(ctx, request)
 	if problem != nil {
-		a.metrics.refused(problem.Type)
+		a.metrics.countRefused(problem.Type)
 		events.RequestRefused.Log(ctx, a.logger, slog.String("reason", problem.Type),
 			slog.String("organisation", request.Organisation.Name), slog.String("kind", request.Kind.Name))
 	}
@@ -72,49 +75,50 @@
 	}
 	plan := a.servers.plan(request)
 	if !plan.Feasible(0, request.Deadline.Sub(now)) {
-		return nil, notRun(http.StatusGatewayTimeout, ProblemDeadline, "deadline cannot be met",
+		return nil, notRunProblem(http.StatusGatewayTimeout, ProblemDeadline, "deadline cannot be met",
 			"the stages take longer than the time that is left")
 	}
-	pool, stretch := a.bottleneck(request)
+	pool, durationRatio := a.bottleneck(request)
 	a.mu.Lock()
 	q := a.queue(pool)
-	q.stretch += stretchGain * (stretch - q.stretch)
-	a.lastID++
-	ticket := newTicket(a.lastID, request)
+	q.durationRatio += durationRatioGain * (durationRatio - q.durationRatio)
+	a.lastTicketID++
+	ticket := newTicket(a.lastTicketID, request)
 	decision := q.queue.Offer(now, ticket)
 	var decided chan admission.Decision
 	if decision.Verdict == admission.Waiting {
 		decided = make(chan admission.Decision, 1)
-		q.waiting[ticket.ID] = decided
+		q.waiters[ticket.ID] = decided
 	}
 	a.mu.Unlock()
 	if decided != nil {
 		decision = a.await(ctx, q, ticket, decided)
 	}
 	if decision.Verdict == admission.Refused {
-		if a.leave(request, pool) {
+		if a.tryOtherRegion(request, pool) {
 			return func(Outcome) {}, nil
 		}
-		return nil, refusal(decision)
+		return nil, admissionProblem(decision)
 	}
-	return a.releaser(q, ticket), nil
+	return a.releaseFunc(q, ticket), nil
 }
 
-// leave sends a request to another region when its own cannot answer in time:
-// while the deadline can still be met there and the link has room. Only
-// pipelines of one stage leave, since each stage of others would cross the link.
-func (a *AdmissionControl) leave(request *Request, pool string) bool {
+// tryOtherRegion marks a request to run in another region when its own region
+// cannot answer in time, provided that the deadline can still be met there and
+// the link has capacity. Only pipelines of one stage run in another region,
+// because a longer one would cross the link at each stage.
+func (a *AdmissionControl) tryOtherRegion(request *Request, pool string) bool {
 	remaining := request.Deadline.Sub(a.now())
-	fits := a.servers.plan(request).Feasible(0, remaining-linkAllowance)
-	if len(request.Pipeline.Stages) > 1 || !fits || !a.servers.remoteRoom(pool, request.Kind.Cost.LinkBytes) {
+	feasible := a.servers.plan(request).Feasible(0, remaining-crossRegionLatency)
+	if len(request.Pipeline.Stages) > 1 || !feasible || !a.servers.hasRemoteCapacity(pool, request.Kind.Cost.LinkBytes) {
 		return false
 	}
-	request.leave = true
+	request.crossRegion = true
 	return true
 }
 
-// linkAllowance is the time that a call to another region takes in addition.
-const linkAllowance = 50 * time.Millisecond
+// crossRegionLatency is the additional time that a call to another region takes.
+const crossRegionLatency = 50 * time.Millisecond
 
 func newTicket(id uint64, request *Request) admission.Ticket {
 	return admission.Ticket{
@@ -127,7 +131,7 @@
 	}
 }
 
-// checkRate takes the request from the organisation's rate.
+// checkRate counts the request against the rate limit of its organisation.
 func (a *AdmissionControl) checkRate(request *Request, now time.Time) *Problem {
 	o := request.Organisation
 	a.mu.Lock()
@@ -137,49 +141,50 @@
 	if ok {
 		return nil
 	}
-	problem := notRun(http.StatusTooManyRequests, ProblemRate, "organisation rate exceeded",
+	problem := notRunProblem(http.StatusTooManyRequests, ProblemRate, "organisation rate exceeded",
 		"the organisation sends more requests than it may")
-	// Callers that were refused together must not come back together.
+	// Random jitter keeps callers that were refused together from retrying together.
 	problem.RetryAfterMS = max(1, int64(float64(retryAfter.Milliseconds())*(1+rand.Float64()/2)))
 	return problem
 }
 
 // bottleneck returns the pool where the request waits, and the duration of the
-// whole request as a multiple of that stage's.
-func (a *AdmissionControl) bottleneck(request *Request) (pool string, stretch float64) {
+// whole request divided by that of the stage in this pool.
+func (a *AdmissionControl) bottleneck(request *Request) (pool string, durationRatio float64) {
 	plan := a.servers.plan(request)
 	total, known := plan.Typical()
-	best := len(plan) - 1
+	busiest := len(plan) - 1
 	if !known || total == 0 {
-		return request.Pipeline.Stages[best].Pool, 1
+		return request.Pipeline.Stages[busiest].Pool, 1
 	}
-	most := 0.0
+	highestUse := 0.0
 	for i, times := range plan {
-		use := float64(times.Typical) / max(1, a.servers.share(request.Pipeline.Stages[i].Pool))
-		if use > most {
-			best, most = i, use
+		use := float64(times.Typical) / max(1, a.servers.slotShare(request.Pipeline.Stages[i].Pool))
+		if use > highestUse {
+			busiest, highestUse = i, use
 		}
 	}
-	return request.Pipeline.Stages[best].Pool, float64(total) / float64(max(1, plan[best].Typical))
+	return request.Pipeline.Stages[busiest].Pool, float64(total) / float64(max(1, plan[busiest].Typical))
 }
 
-// queue returns the queue of a pool.
+// queue returns the queue of a pool and creates it when needed. The caller holds
+// a.mu.
 func (a *AdmissionControl) queue(pool string) *poolQueue {
 	q := a.queues[pool]
 	if q == nil {
 		random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 		q = &poolQueue{
-			queue:   admission.NewQueue(a.servers.share(pool), random),
-			waiting: map[uint64]chan admission.Decision{},
-			stretch: 1,
+			queue:         admission.NewQueue(a.servers.slotShare(pool), random),
+			waiters:       map[uint64]chan admission.Decision{},
+			durationRatio: 1,
 		}
 		a.queues[pool] = q
 	}
 	return q
 }
 
-// await waits for the decision on a ticket. A caller that goes away takes its
-// ticket out of the queue.
+// await waits for the decision on a ticket. The ticket is removed from the queue
+// when ctx ends first, for example because the caller disconnected.
 func (a *AdmissionControl) await(ctx context.Context, q *poolQueue, ticket admission.Ticket, decided chan admission.Decision) admission.Decision {
 	select {
 	case decision := <-decided:
@@ -188,7 +193,7 @@
 	}
 	a.mu.Lock()
 	if q.queue.Cancel(ticket) {
-		delete(q.waiting, ticket.ID)
+		delete(q.waiters, ticket.ID)
 		a.mu.Unlock()
 		return admission.Decision{TicketID: ticket.ID, Verdict: admission.Refused, Reason: admission.ReasonDeadline}
 	}
@@ -196,8 +201,8 @@
 	return <-decided
 }
 
-// releaser returns the function that ends an admitted request.
-func (a *AdmissionControl) releaser(q *poolQueue, ticket admission.Ticket) func(Outcome) {
+// releaseFunc returns the function that frees the slot of an admitted request.
+func (a *AdmissionControl) releaseFunc(q *poolQueue, ticket admission.Ticket) func(Outcome) {
 	started := a.now()
 	return func(outcome Outcome) {
 		now := a.now()
@@ -208,45 +213,46 @@
 	}
 }
 
-// deliver hands decisions to the callers that wait for them.
+// deliver sends decisions to the callers that wait for them.
 func (q *poolQueue) deliver(decisions []admission.Decision) {
 	for _, decision := range decisions {
-		q.waiting[decision.TicketID] <- decision
-		delete(q.waiting, decision.TicketID)
+		q.waiters[decision.TicketID] <- decision
+		delete(q.waiters, decision.TicketID)
 	}
 }
 
-// Tick adapts the limits and refuses requests that waited too long.
+// Tick adapts the concurrency limits and refuses requests that waited too long.
 func (a *AdmissionControl) Tick() {
 	now := a.now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for pool, q := range a.queues {
-		q.queue.SetShare(a.servers.share(pool) * q.stretch)
+		q.queue.SetShare(a.servers.slotShare(pool) * q.durationRatio)
 		q.deliver(q.queue.Expire(now))
 		q.deliver(q.queue.Tick(now))
 		running, waiting := q.queue.Load()
-		a.metrics.queue(pool, running, waiting, q.queue.Limit())
+		a.metrics.updateQueue(pool, running, waiting, q.queue.Limit())
 	}
 }
 
-// Demand returns the requests per second by organisation, for the peers.
+// Demand returns the requests per second that this instance receives from each
+// organisation. It is shared with the other instances.
 func (a *AdmissionControl) Demand() quota.Summary {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.rates.Summary(a.now())
 }
 
-// SetPeers takes the demand of the other instances and failure domains.
+// SetPeers sets the demand that other instances and failure domains reported.
 func (a *AdmissionControl) SetPeers(summaries []quota.Summary) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.rates.SetPeers(summaries)
 }
 
-// refusal turns a decision into the answer for the caller.
-func refusal(decision admission.Decision) *Problem {
-	problem := notRun(http.StatusServiceUnavailable, ProblemOverload, "overloaded", string(decision.Reason))
+// admissionProblem returns the problem of a request that the queue refused.
+func admissionProblem(decision admission.Decision) *Problem {
+	problem := notRunProblem(http.StatusServiceUnavailable, ProblemOverload, "overloaded", string(decision.Reason))
 	problem.RetryAfterMS = decision.RetryAfter.Milliseconds()
 	return problem
 }
--- a/internal/entry/eventwriter.go
+++ b/internal/entry/eventwriter.go
@@ -17,50 +17,51 @@
 	EventError = "error"
 )
 
-// End is the data of an EventEnd: the mark of a whole answer.
-type End struct {
+// StreamEnd is the data of an EventEnd event, which marks a complete answer.
+type StreamEnd struct {
 	Outcome Outcome `json:"outcome"`
 	Bytes   int64   `json:"bytes"`
 	SHA256  string  `json:"sha256"`
 }
 
-// eventWriter writes an answer as server-sent events. Each piece is written
-// before the next one is read, so that a slow caller slows the backend server.
+// eventWriter writes an answer as server-sent events. Each chunk is written and
+// flushed before the next one is read, so that a slow caller applies backpressure
+// to the backend server.
 type eventWriter struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
-	sum     hash.Hash
-	bytes   int64
-	started bool
+	w          http.ResponseWriter
+	controller *http.ResponseController
+	digest     hash.Hash
+	bytes      int64
+	started    bool
 }
 
 func newEventWriter(w http.ResponseWriter) *eventWriter {
-	return &eventWriter{w: w, control: http.NewResponseController(w), sum: sha256.New()}
+	return &eventWriter{w: w, controller: http.NewResponseController(w), digest: sha256.New()}
 }
 
-func (s *eventWriter) piece(data []byte) error {
-	s.sum.Write(data)
+func (s *eventWriter) writeChunk(data []byte) error {
+	s.digest.Write(data)
 	s.bytes += int64(len(data))
-	return s.event(EventData, string(data))
+	return s.writeEvent(EventData, string(data))
 }
 
-// finish writes the last event: the end mark, or the problem. A problem before
-// the first piece is an answer of its own.
+// finish writes the last event: the end of the answer, or the problem. A problem
+// before the first chunk is sent as a problem response instead of an event.
 func (s *eventWriter) finish(result Result) error {
 	switch {
 	case result.Problem == nil:
-		end := End{Outcome: OutcomeCompleted, Bytes: s.bytes, SHA256: hex.EncodeToString(s.sum.Sum(nil))}
-		return s.event(EventEnd, end)
+		end := StreamEnd{Outcome: OutcomeCompleted, Bytes: s.bytes, SHA256: hex.EncodeToString(s.digest.Sum(nil))}
+		return s.writeEvent(EventEnd, end)
 	case s.started:
-		return s.event(EventError, result.Problem)
+		return s.writeEvent(EventError, result.Problem)
 	default:
 		result.Problem.write(s.w)
 		return nil
 	}
 }
 
-// event writes one event with a JSON document as its data and sends it on.
-func (s *eventWriter) event(name string, data any) error {
+// writeEvent writes one event with data encoded as JSON, and flushes it.
+func (s *eventWriter) writeEvent(name string, data any) error {
 	if !s.started {
 		s.started = true
 		s.w.Header().Set("Content-Type", "text/event-stream")
@@ -74,5 +75,5 @@
 	if _, err := message.WriteTo(s.w); err != nil {
 		return err
 	}
-	return s.control.Flush()
+	return s.controller.Flush()
 }
--- a/internal/entry/gossip.go
+++ b/internal/entry/gossip.go
@@ -17,37 +17,41 @@
 )
 
 const (
-	// drainLifetime is how long a refusal is believed without another one. A server
-	// that comes back has a new incarnation, which ends the marker.
-	drainLifetime = 5 * time.Minute
-	// countLifetime is how long the count of a peer is believed. Heartbeats carry
-	// only counts above 0.
+	// drainMarkerLifetime is how long a drain marker is valid after the last refusal
+	// of the server. A server that restarts has a new incarnation, which ends the
+	// marker earlier.
+	drainMarkerLifetime = 5 * time.Minute
+	// countLifetime is how long an in-flight count of a peer is valid. It has to
+	// expire, since heartbeats carry only counts above 0.
 	countLifetime = 5 * time.Second
 )
 
-// stragglerInterval is how often stragglers are exchanged. Each instance makes a
-// slow call every few tens of milliseconds until it knows of a slow server.
+// stragglerInterval is the time between two exchanges of stragglers. It is short
+// because each instance makes a slow call every few tens of milliseconds until it
+// learns of a slow server.
 const stragglerInterval = 100 * time.Millisecond
 
-// stragglerLifetime is how long a straggler marker of a peer is believed. Each
-// peer of a failure domain of 22 is heard every 11 s.
-const stragglerLifetime = 30 * time.Second
+// stragglerMarkerLifetime is how long a straggler marker from a peer is valid. In
+// a failure domain of 22 instances a heartbeat from each peer arrives every 11 s.
+const stragglerMarkerLifetime = 30 * time.Second
 
-// gossip passes on between membership and the decisions: drain and straggler
-// markers, requests in flight and the demand of organisations.
+// gossip exchanges state with the other instances through membership, for routing
+// and admission control: drain and straggler markers, requests in flight and the
+// demand of organisations.
 type gossip struct {
 	members   *Members
 	servers   *Servers
 	admission *AdmissionControl
 
 	mu sync.Mutex
-	// counts holds what each peer last reported, by server.
-	counts map[string]map[string]heardCount
-	// incarnations are those of the instance list, by server.
+	// counts holds the last reported count by peer and server.
+	counts map[string]map[string]reportedCount
+	// incarnations holds the incarnation of each server in the instance list.
 	incarnations map[string]int64
 }
 
-type heardCount struct {
+// reportedCount is an in-flight count of a peer and the time of its report.
+type reportedCount struct {
 	count routing.ServerCount
 	at    time.Time
 }
@@ -55,17 +59,18 @@
 func newGossip(members *Members, servers *Servers, control *AdmissionControl) *gossip {
 	return &gossip{
 		members: members, servers: servers, admission: control,
-		counts: map[string]map[string]heardCount{}, incarnations: map[string]int64{},
+		counts: map[string]map[string]reportedCount{}, incarnations: map[string]int64{},
 	}
 }
 
-// runGossip starts the exchange.
-func runGossip(lc fx.Lifecycle, g *gossip, feed *ListFeed) {
+// runGossip exchanges state with the other instances until the daemon stops. It
+// does nothing without a peer address.
+func runGossip(lc fx.Lifecycle, g *gossip, poller *InstanceListPoller) {
 	if g.members.Node == nil {
 		return
 	}
-	g.members.Node.Observe(g.observe)
-	feed.Observe(g.listed)
+	g.members.Node.Observe(g.handleOutput)
+	poller.Observe(g.applyInstanceList)
 	ctx, cancel := context.WithCancel(context.Background())
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
@@ -80,22 +85,23 @@
 	})
 }
 
-// observe takes what other instances report.
-func (g *gossip) observe(output membership.Output) {
+// handleOutput applies what other instances reported.
+func (g *gossip) handleOutput(output membership.Output) {
 	switch out := output.(type) {
 	case membership.NewDrainMarker:
-		g.drain(out.Marker)
+		g.applyDrainMarker(out.Marker)
 	case membership.InFlightCountsReceived:
-		g.heard(out)
+		g.mergeCounts(out)
 	case membership.MemberChanged:
 		if out.Record.State >= membership.Removed {
-			g.forget(out.Record.ID)
+			g.removeInstance(out.Record.ID)
 		}
 	}
 }
 
-// drain applies a marker unless the list already shows a later incarnation.
-func (g *gossip) drain(marker membership.DrainMarker) {
+// applyDrainMarker drains a server unless the instance list already has a later
+// incarnation of it.
+func (g *gossip) applyDrainMarker(marker membership.DrainMarker) {
 	g.mu.Lock()
 	listed := g.incarnations[marker.Server]
 	g.mu.Unlock()
@@ -104,18 +110,18 @@
 	}
 }
 
-// heard merges the counts of a peer, of which a heartbeat may hold a part, and
-// passes them on.
-func (g *gossip) heard(out membership.InFlightCountsReceived) {
+// mergeCounts merges the counts from a heartbeat, which may hold only a part of
+// the peer's counts, with its earlier ones and passes the result to routing.
+func (g *gossip) mergeCounts(out membership.InFlightCountsReceived) {
 	now := time.Now()
 	g.mu.Lock()
 	known := g.counts[out.Instance]
 	if known == nil {
-		known = map[string]heardCount{}
+		known = map[string]reportedCount{}
 		g.counts[out.Instance] = known
 	}
 	for _, count := range out.Counts {
-		known[count.Server] = heardCount{routing.ServerCount{ID: count.Server, InFlight: count.InFlight, Long: count.Long}, now}
+		known[count.Server] = reportedCount{routing.ServerCount{ID: count.Server, InFlight: count.InFlight, Long: count.Long}, now}
 	}
 	var merged []routing.ServerCount
 	for server, count := range known {
@@ -131,68 +137,75 @@
 	}
 }
 
-func (g *gossip) forget(instance string) {
+// removeInstance drops the counts of a removed instance.
+func (g *gossip) removeInstance(instance string) {
 	g.mu.Lock()
 	delete(g.counts, instance)
 	g.mu.Unlock()
 }
 
-// exchange reports to the other instances and takes what they reported.
+// exchange publishes the requests in flight of this instance, and exchanges demand
+// with the other instances.
 func (g *gossip) exchange() {
-	g.report()
+	g.reportInFlight()
 	g.exchangeDemand()
 }
 
-// exchangeDemand divides the rates of organisations among the instances.
+// exchangeDemand publishes the demand of this instance and applies that of the
+// others, by which the rates of organisations are divided among the instances.
 func (g *gossip) exchangeDemand() {
-	own := demandOf(g.admission.Demand())
+	own := membershipDemand(g.admission.Demand())
 	var peers []quota.Summary
 	g.members.Do(func(s *membership.State) []membership.Output {
 		s.SetDemand(own)
 		for _, report := range s.PeerDemand(time.Now()) {
-			peers = append(peers, summaryOf(report))
+			peers = append(peers, quotaSummary(report))
 		}
 		return nil
 	})
 	g.admission.SetPeers(peers)
 }
 
-// demandOf drops demand below a thousandth of a request per second.
-func demandOf(summary quota.Summary) (demand []membership.Demand) {
+// membershipDemand converts demand for heartbeats. Demand below a thousandth of a
+// request per second is dropped.
+func membershipDemand(summary quota.Summary) (demand []membership.Demand) {
 	for _, d := range summary.Largest {
-		if rate := int64(d.PerSecond * milli); rate > 0 {
+		if rate := int64(d.PerSecond * milliPerUnit); rate > 0 {
 			demand = append(demand, membership.Demand{Organisation: d.Organisation, MilliPerSecond: rate})
 		}
 	}
 	return demand
 }
 
-func summaryOf(report membership.DemandReport) quota.Summary {
+// quotaSummary converts a demand report of a peer for admission control.
+func quotaSummary(report membership.DemandReport) quota.Summary {
 	summary := quota.Summary{Instances: report.Instances, Incomplete: !report.Complete}
 	for _, d := range report.Demand {
-		summary.Largest = append(summary.Largest, quota.Demand{Organisation: d.Organisation, PerSecond: float64(d.MilliPerSecond) / milli})
+		summary.Largest = append(summary.Largest, quota.Demand{Organisation: d.Organisation, PerSecond: float64(d.MilliPerSecond) / milliPerUnit})
 	}
 	return summary
 }
 
-const milli = 1000
+// milliPerUnit converts requests per second to thousandths of them.
+const milliPerUnit = 1000
 
-// exchangeStragglers passes on the servers that look slow.
+// exchangeStragglers publishes the stragglers that this instance detected and
+// applies those that the peers reported.
 func (g *gossip) exchangeStragglers() {
 	var own []membership.Straggler
 	for _, id := range g.servers.Stragglers() {
-		own = append(own, membership.Straggler{Server: id, Remaining: stragglerLifetime})
+		own = append(own, membership.Straggler{Server: id, Remaining: stragglerMarkerLifetime})
 	}
-	var seen map[string]int
+	var reporters map[string]int
 	g.members.Do(func(s *membership.State) []membership.Output {
-		seen = s.PeerStragglers()
+		reporters = s.PeerStragglers()
 		return s.SetStragglers(own)
 	})
-	g.servers.PeerStragglers(seen)
+	g.servers.PeerStragglers(reporters)
 }
 
-// report gives the own requests in flight to membership.
-func (g *gossip) report() {
+// reportInFlight publishes the requests in flight of this instance.
+func (g *gossip) reportInFlight() {
 	var counts []membership.InFlightCount
 	load := 0
 	for _, pool := range g.servers.Counts() {
@@ -208,10 +221,11 @@
 	})
 }
 
-// listed marks the servers that the list shows as leaving, for instances that
-// can't read it, clears the markers of servers with a new incarnation and applies
-// the others to servers that are new in the list.
-func (g *gossip) listed(members []platform.Member) {
+// applyInstanceList updates the drain markers from a new instance list. It marks
+// servers that the list shows as leaving, for instances that cannot read the list,
+// clears the markers of servers with a new incarnation, and applies the remaining
+// markers again, because servers may be new in the list.
+func (g *gossip) applyInstanceList(members []platform.Member) {
 	incarnations := map[string]int64{}
 	for _, member := range members {
 		if member.Role != platform.RoleBackend {
@@ -219,7 +233,7 @@
 		}
 		incarnations[member.ID] = member.Incarnation
 		if member.State == platform.StateLeaving {
-			g.members.MarkDraining(member.ID, member.Incarnation, drainLifetime)
+			g.members.MarkDraining(member.ID, member.Incarnation, drainMarkerLifetime)
 		}
 	}
 	g.mu.Lock()
@@ -233,40 +247,43 @@
 	var markers []membership.DrainMarker
 	g.members.View(func(s *membership.State) { markers = s.Draining(time.Now()) })
 	for _, marker := range markers {
-		g.drain(marker)
+		g.applyDrainMarker(marker)
 	}
 }
 
-// drainReporter tells the other instances of servers that refuse because they leave.
-type drainReporter struct {
+// drainReportingPicker reports servers that refuse calls because they are draining
+// to the other instances.
+type drainReportingPicker struct {
 	Picker
 	members *Members
 }
 
-// newPicker returns the choice of servers, with reports of refusals.
+// newPicker returns the picker of the executor, which reports draining servers to
+// the other instances.
 func newPicker(servers *Servers, members *Members) Picker {
-	return drainReporter{servers, members}
+	return drainReportingPicker{servers, members}
 }
 
-// Pick chooses a server and counts a call in flight there.
-func (r drainReporter) Pick(query Query) (Picked, bool) {
-	picked, ok := r.Picker.Pick(query)
-	if !ok || r.members.Node == nil {
+// Pick implements Picker.
+func (p drainReportingPicker) Pick(query Query) (PickedServer, bool) {
+	picked, ok := p.Picker.Pick(query)
+	if !ok || p.members.Node == nil {
 		return picked, ok
 	}
-	return reportedPick{picked, r.members}, true
+	return drainReportingServer{picked, p.members}, true
 }
 
-type reportedPick struct {
-	Picked
+// drainReportingServer is a picked server of a drainReportingPicker.
+type drainReportingServer struct {
+	PickedServer
 	members *Members
 }
 
-// Done ends the call and reports a server that leaves.
-func (p reportedPick) Done(err error, bytes int64) {
-	p.Picked.Done(err, bytes)
+// Done ends the call and reports a server that is draining.
+func (p drainReportingServer) Done(err error, bytes int64) {
+	p.PickedServer.Done(err, bytes)
 	if errors.Is(err, backend.ErrDraining) {
 		server := p.Server()
-		p.members.MarkDraining(server.ID, server.Incarnation, drainLifetime)
+		p.members.MarkDraining(server.ID, server.Incarnation, drainMarkerLifetime)
 	}
 }
