--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -28,7 +28,7 @@
 	lines := gateway.NewLogWriter(c.stdout)
 	defer lines.Close()
 	adapter := gateway.Adapter{
-		Protocol: platform.Wire{},
+		Protocol: platform.Protocol{},
 		Store:    func(address string) gateway.Store { return platform.NewStore(address) },
 	}
 	logger := slog.New(slog.NewJSONHandler(lines, nil))
--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -133,9 +133,9 @@
 // at short intervals.
 const storeReaders = 2
 
-// Reader implements view.Peers. It returns false until joinGracePeriod has passed:
+// IsReader implements view.Peers. It returns false until joinGracePeriod has passed:
 // when all instances start together, each would otherwise consider itself a reader.
-func (c *Cluster) Reader() bool {
+func (c *Cluster) IsReader() bool {
 	if time.Since(c.started) < joinGracePeriod {
 		return false
 	}
--- a/internal/gateway/daemon.go
+++ b/internal/gateway/daemon.go
@@ -164,7 +164,7 @@
 	d.Views.Observe(d.Frontend.Update)
 	d.Node.Observe(func(output membership.Output) {
 		if announced, ok := output.(membership.RevisionHeard); ok {
-			d.Views.Heard(store.Version(announced.Revision), announced.Address)
+			d.Views.RecordAnnouncement(store.Version(announced.Revision), announced.Address)
 		}
 	})
 	d.Readiness.Require("configuration", func() bool {
--- a/internal/view/sync.go
+++ b/internal/view/sync.go
@@ -70,9 +70,9 @@
 	// Pull returns what an instance has read of the store after a version. An empty
 	// address means any instance.
 	Pull(ctx context.Context, address string, have store.Version) (store.Changes, error)
-	// Reader reports whether this instance is one of the few that look for changes
+	// IsReader reports whether this instance is one of the few that look for changes
 	// often.
-	Reader() bool
+	IsReader() bool
 	// Announce tells the others a version of the view.
 	Announce(version store.Version, fromStore bool)
 }
@@ -121,8 +121,8 @@
 	return s.state.ChangesAfter(have)
 }
 
-// Heard records that a peer has a version.
-func (s *Sync) Heard(version store.Version, address string) {
+// RecordAnnouncement records that a peer has a version.
+func (s *Sync) RecordAnnouncement(version store.Version, address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if version <= s.heard || version <= s.state.Position() {
@@ -166,7 +166,7 @@
 // pause returns the time between two watches.
 func (s *Sync) pause(changed bool) time.Duration {
 	switch {
-	case !s.peers.Reader():
+	case !s.peers.IsReader():
 		return followerPause
 	case changed:
 		return batchPause
@@ -195,7 +195,7 @@
 // become one.
 func (s *Sync) watch(ctx context.Context, after store.Version) (store.WatchResult, error) {
 	wait := readerWait
-	if !s.peers.Reader() {
+	if !s.peers.IsReader() {
 		wait = followerWait
 		ended, end := context.WithCancelCause(ctx)
 		ctx = ended
@@ -221,7 +221,7 @@
 // becomeReader ends the long watch of an instance that has become a reader: the store
 // may tell waiting watches nothing for a while.
 func (s *Sync) becomeReader() {
-	if !s.peers.Reader() {
+	if !s.peers.IsReader() {
 		return
 	}
 	s.mu.Lock()
--- a/internal/view/sync_test.go
+++ b/internal/view/sync_test.go
@@ -49,7 +49,7 @@
 	becomes atomic.Bool
 }
 
-func (f *fakePeers) Reader() bool { return f.reader || f.becomes.Load() }
+func (f *fakePeers) IsReader() bool { return f.reader || f.becomes.Load() }
 
 func (f *fakePeers) Pull(context.Context, string, store.Version) (store.Changes, error) {
 	return store.Changes{WatchResult: changed(f.version, f.entries...)}, nil
@@ -81,7 +81,7 @@
 	peers := &fakePeers{entries: []store.Entry{entry("config", "2", 5)}, version: 5}
 	s := startSync(c, source, peers)
 	c.Assert(<-peers.announced, qt.Equals, store.Version(1))
-	s.Heard(5, "peer")
+	s.RecordAnnouncement(5, "peer")
 	c.Assert(<-peers.announced, qt.Equals, store.Version(5))
 	c.Assert(s.Current().Table.Version, qt.Equals, int64(2))
 }
