--- a/internal/view/state.go
+++ b/internal/view/state.go
@@ -9,19 +9,21 @@
 	"github.com/coltsfootdrift/coltsfootdrift/route"
 )
 
-// Rejected is an entry of the store that could not be read.
-type Rejected struct {
+// RejectedEntry is an entry of the store that could not be decoded.
+type RejectedEntry struct {
 	Key   string
 	Error error
 }
 
-// Change says what an update changed.
+// Change is what an update of the state changed in the view.
 type Change struct {
 	// Configuration is true when another configuration came into force.
 	Configuration bool
-	// Joined, Drained and Left are IDs of backend servers.
+	// Joined, Drained and Left are the IDs of the backend servers that were added or
+	// changed, that started to drain, and that were removed.
 	Joined, Drained, Left []string
-	Rejected              []Rejected
+	// Rejected entries do not change the view.
+	Rejected []RejectedEntry
 }
 
 // Any reports whether the view changed.
@@ -29,55 +31,58 @@
 	return c.Configuration || len(c.Joined)+len(c.Drained)+len(c.Left) > 0
 }
 
-// State builds views from what the store and the peers say. Its version never
-// falls, so neither does the configuration's. It is not safe for concurrent use.
+// State is a copy of the store's entries, from which views are built. Its version never
+// decreases, and neither does the version of its configuration. It is not safe for
+// concurrent use.
 type State struct {
 	decoder Decoder
-	// position is the store's version up to which changes are known.
+	// position is the store's version up to which all changes are applied.
 	position store.Version
 	entries  map[string]store.Entry
 	table    *route.Table
 	servers  map[string]Server
-	// lapsed holds the servers whose entries were removed around an outage, with
-	// the time at which they are taken as gone.
-	lapsed map[string]time.Time
-	// removals holds the latest removals in order, and complete is the version after
-	// which none is missing.
-	removals []removal
-	complete store.Version
-	// changed is the version of the newest change of the view.
-	changed   store.Version
-	outageEnd time.Time
-}
-
-// removal is a key that was removed at or before a version, and after the one that was
-// known before.
+	// graceUntil holds, by ID, when the grace period ends of each server whose entry was
+	// removed around a store outage.
+	graceUntil map[string]time.Time
+	// removals holds the latest removals in order: all those after the version
+	// removalsSince.
+	removals      []removal
+	removalsSince store.Version
+	// viewVersion is the store's version at the newest change of the view.
+	viewVersion store.Version
+	// outageUntil is until when removals count as caused by a store outage.
+	outageUntil time.Time
+}
+
+// removal is the removal of a key. It was removed after the previous position of the
+// state and at or before version.
 type removal struct {
 	key     string
 	version store.Version
 }
 
-// maxRemovals bounds the removals that are remembered for peers.
+// maxRemovals bounds the removals that are kept for peers.
 const maxRemovals = 1024
 
 // NewState returns an empty state.
 func NewState(decoder Decoder) *State {
-	return &State{decoder: decoder, entries: map[string]store.Entry{}, servers: map[string]Server{}, lapsed: map[string]time.Time{}}
+	return &State{decoder: decoder, entries: map[string]store.Entry{}, servers: map[string]Server{}, graceUntil: map[string]time.Time{}}
 }
 
-// Position returns the store's version up to which changes are known.
+// Position returns the store's version up to which all changes are applied.
 func (s *State) Position() store.Version { return s.position }
 
-// Outage records that the store could not be reached at a time.
-func (s *State) Outage(now time.Time) { s.outageEnd = now.Add(outageMemory) }
+// RecordOutage records that a store call failed at a time.
+func (s *State) RecordOutage(now time.Time) { s.outageUntil = now.Add(outageRemovalWindow) }
 
-// Replace takes all entries at a version. Older ones are ignored.
+// Replace replaces the state by all entries at a version. A version that is not newer
+// than the current position is ignored.
 func (s *State) Replace(now time.Time, entries []store.Entry, version store.Version) (c Change) {
 	if version <= s.position {
 		return c
 	}
 	if s.position == 0 {
-		s.complete = version
+		s.removalsSince = version
 	}
 	present := make(map[string]bool, len(entries))
 	for _, e := range entries {
@@ -93,7 +98,8 @@
 	return c
 }
 
-// Apply takes the changes that a watch returned.
+// Apply applies the changes that a watch returned, unless their version is not newer
+// than the current position.
 func (s *State) Apply(now time.Time, result store.WatchResult) (c Change) {
 	if result.Version <= s.position {
 		return c
@@ -111,15 +117,15 @@
 func (s *State) advance(c Change, version store.Version) {
 	s.position = version
 	if c.Any() {
-		s.changed = version
+		s.viewVersion = version
 	}
 }
 
-// Tick takes servers as gone whose time to register again is over.
+// Tick removes the servers whose grace period has ended.
 func (s *State) Tick(now time.Time) (c Change) {
-	for id, until := range s.lapsed {
+	for id, until := range s.graceUntil {
 		if !now.Before(until) {
-			delete(s.lapsed, id)
+			delete(s.graceUntil, id)
 			delete(s.servers, id)
 			c.Left = append(c.Left, id)
 		}
@@ -143,7 +149,7 @@
 func (s *State) putConfiguration(c *Change, e store.Entry) {
 	configuration, err := s.decoder.Configuration(e.Value)
 	if err != nil {
-		c.Rejected = append(c.Rejected, Rejected{e.Key, err})
+		c.Rejected = append(c.Rejected, RejectedEntry{e.Key, err})
 		return
 	}
 	if s.table != nil && configuration.Version <= s.table.Version {
@@ -156,10 +162,10 @@
 func (s *State) putServer(c *Change, e store.Entry) {
 	server, err := s.decoder.Server(e.Key, e.Value)
 	if err != nil {
-		c.Rejected = append(c.Rejected, Rejected{e.Key, err})
+		c.Rejected = append(c.Rejected, RejectedEntry{e.Key, err})
 		return
 	}
-	delete(s.lapsed, server.ID)
+	delete(s.graceUntil, server.ID)
 	known, listed := s.servers[server.ID]
 	s.servers[server.ID] = server
 	switch {
@@ -174,7 +180,7 @@
 	e, ok := s.entries[key]
 	delete(s.entries, key)
 	if ok {
-		s.remember(removal{key, version})
+		s.recordRemoval(removal{key, version})
 	}
 	if !ok || s.decoder.Kind(key) != KeyServer {
 		return
@@ -183,8 +189,8 @@
 	if err != nil {
 		return
 	}
-	if now.Before(s.outageEnd) && !s.servers[server.ID].Draining {
-		s.lapsed[server.ID] = now.Add(lapseGrace)
+	if now.Before(s.outageUntil) && !s.servers[server.ID].Draining {
+		s.graceUntil[server.ID] = now.Add(reregisterGracePeriod)
 		return
 	}
 	delete(s.servers, server.ID)
@@ -193,7 +199,7 @@
 
 // View returns the current view.
 func (s *State) View() *View {
-	v := &View{Version: s.changed, Table: s.table, Servers: map[string][]Server{}, ByAddress: map[string]Server{}}
+	v := &View{Version: s.viewVersion, Table: s.table, Servers: map[string][]Server{}, ByAddress: map[string]Server{}}
 	for _, server := range s.servers {
 		v.ByAddress[server.Address] = server
 		if !server.Draining {
@@ -206,24 +212,24 @@
 	return v
 }
 
-// remember keeps a removal for peers.
-func (s *State) remember(r removal) {
+// recordRemoval keeps a removal for ChangesAfter.
+func (s *State) recordRemoval(r removal) {
 	if len(s.removals) >= maxRemovals {
-		s.complete = s.removals[0].version
+		s.removalsSince = s.removals[0].version
 		s.removals = slices.Delete(s.removals, 0, 1)
 	}
 	s.removals = append(s.removals, r)
 }
 
-// ChangesAfter returns what changed after a version for a peer, or all entries of
-// configuration and servers when not all removals since are known. The result has
-// version 0 when nothing newer is known.
+// ChangesAfter returns, for a peer, what changed after a version, or all entries of
+// configuration and servers when some removals since that version are not known any
+// more. The result has version 0 when nothing newer is known.
 func (s *State) ChangesAfter(have store.Version) (c store.Changes) {
 	if s.position <= have {
 		return c
 	}
 	c.Version = s.position
-	if have >= s.complete {
+	if have >= s.removalsSince {
 		c.Base = have
 		for _, r := range s.removals {
 			if r.version > have {
@@ -239,8 +245,8 @@
 	return c
 }
 
-// Merge takes what a peer told of its state. Changes from another version than the
-// present one are ignored.
+// Merge applies the changes that were pulled from a peer. Changes that start at another
+// version than the current position are ignored.
 func (s *State) Merge(now time.Time, changes store.Changes) Change {
 	switch changes.Base {
 	case 0:
--- a/internal/view/state_test.go
+++ b/internal/view/state_test.go
@@ -14,7 +14,7 @@
 	"github.com/coltsfootdrift/coltsfootdrift/route"
 )
 
-// fakeDecoder reads configurations that are a version, and servers that are
+// fakeDecoder decodes configurations that consist of a version, and servers in the form
 // "SERVICE" or "SERVICE draining".
 type fakeDecoder struct{}
 
@@ -46,26 +46,26 @@
 	return store.Entry{Key: key, Value: []byte(value), Version: version}
 }
 
-func changed(version store.Version, entries ...store.Entry) store.WatchResult {
+func watchResult(version store.Version, entries ...store.Entry) store.WatchResult {
 	return store.WatchResult{Changed: entries, Version: version}
 }
 
 var epoch = time.Unix(1000, 0)
 
-// Guards against a configuration that reverts when an answer of the store or of a
-// peer is older than what is known.
-func TestOlderStatesAreIgnored(t *testing.T) {
+// Guards against a configuration that reverts when an answer of the store or of a peer is
+// older than the state.
+func TestOlderVersionsAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	s := NewState(fakeDecoder{})
 	s.Replace(epoch, []store.Entry{entry("config", "7", 20)}, 20)
 	c.Assert(s.Replace(epoch, []store.Entry{entry("config", "5", 10)}, 10).Any(), qt.IsFalse)
-	c.Assert(s.Apply(epoch, changed(19, entry("config", "6", 19))).Any(), qt.IsFalse)
-	c.Assert(s.Apply(epoch, changed(21, entry("config", "6", 21))).Any(), qt.IsFalse)
+	c.Assert(s.Apply(epoch, watchResult(19, entry("config", "6", 19))).Any(), qt.IsFalse)
+	c.Assert(s.Apply(epoch, watchResult(21, entry("config", "6", 21))).Any(), qt.IsFalse)
 	c.Assert(s.View().Table.Version, qt.Equals, int64(7))
 }
 
 // Guards against peers that get the whole state for each change, and against a removal
-// that a peer never hears of.
+// that never reaches a peer.
 func TestPeersGetOnlyWhatChanged(t *testing.T) {
 	c := qt.New(t)
 	reader, follower := NewState(fakeDecoder{}), NewState(fakeDecoder{})
@@ -84,22 +84,22 @@
 	c.Assert(change.Left, qt.DeepEquals, []string{"a"})
 	c.Assert(follower.Position(), qt.Equals, store.Version(15))
 
-	// Changes from a version that the follower has passed do not fit.
-	follower.Apply(epoch, changed(17, entry("server/d", "x", 17)))
-	reader.Apply(epoch, changed(18, entry("server/d", "x", 17)))
-	c.Assert(follower.Merge(epoch, store.Changes{Base: 15, WatchResult: changed(18)}).Any(), qt.IsFalse)
+	// Changes that start at a version before the follower's position are ignored.
+	follower.Apply(epoch, watchResult(17, entry("server/d", "x", 17)))
+	reader.Apply(epoch, watchResult(18, entry("server/d", "x", 17)))
+	c.Assert(follower.Merge(epoch, store.Changes{Base: 15, WatchResult: watchResult(18)}).Any(), qt.IsFalse)
 	c.Assert(follower.Position(), qt.Equals, store.Version(17))
 }
 
-// Guards against a peer that misses removals which are remembered no more, and against
-// a memory of them that grows for ever.
-func TestForgottenRemovalsMakePeersTakeAll(t *testing.T) {
+// Guards against a peer that misses removals which were dropped from the list, and against
+// a list that grows without bound.
+func TestPeersGetAllEntriesWhenRemovalsAreDropped(t *testing.T) {
 	c := qt.New(t)
 	s := NewState(fakeDecoder{})
 	s.Replace(epoch, nil, 1)
 	for i := range maxRemovals + 1 {
 		at := store.Version(2*i + 2)
-		s.Apply(epoch, changed(at, entry("server/a", "x", at)))
+		s.Apply(epoch, watchResult(at, entry("server/a", "x", at)))
 		s.Apply(epoch, store.WatchResult{Deleted: []string{"server/a"}, Version: at + 1})
 	}
 	c.Assert(s.removals, qt.HasLen, maxRemovals)
@@ -108,41 +108,41 @@
 	c.Assert(s.ChangesAfter(3).Deleted, qt.HasLen, maxRemovals)
 }
 
-// Guards against work for a server that is draining or gone.
-func TestLeavingServersGetNoWork(t *testing.T) {
+// Guards against requests to a server that drains or has been removed.
+func TestDrainingAndRemovedServersAreNotListed(t *testing.T) {
 	c := qt.New(t)
 	s := NewState(fakeDecoder{})
 	s.Replace(epoch, []store.Entry{entry("server/a", "x", 1), entry("server/b", "x", 2)}, 2)
 	c.Assert(s.View().Servers["x"], qt.HasLen, 2)
-	change := s.Apply(epoch, changed(3, entry("server/a", "x draining", 3)))
+	change := s.Apply(epoch, watchResult(3, entry("server/a", "x draining", 3)))
 	c.Assert(change.Drained, qt.DeepEquals, []string{"a"})
 	change = s.Apply(epoch, store.WatchResult{Deleted: []string{"server/b"}, Version: 4})
 	c.Assert(change.Left, qt.DeepEquals, []string{"b"})
 	c.Assert(s.View().Servers["x"], qt.HasLen, 0)
-	// A server that is missing from a whole list has left too.
-	s.Apply(epoch, changed(5, entry("server/c", "x", 5)))
+	// A server that is missing from a snapshot has left too.
+	s.Apply(epoch, watchResult(5, entry("server/c", "x", 5)))
 	left := s.Replace(epoch, nil, 6).Left
 	slices.Sort(left)
 	c.Assert(left, qt.DeepEquals, []string{"a", "c"})
 }
 
-// Guards against a fleet that is given up because the store's outage let all
-// entries lapse, and against servers that did not come back but are used on.
-func TestEntriesThatLapsedInAnOutageHaveTimeToComeBack(t *testing.T) {
+// Guards against the loss of all servers when their leases expire during a store outage,
+// and against the use of servers that do not register again afterwards.
+func TestServersRemovedInOutageMayRegisterAgain(t *testing.T) {
 	c := qt.New(t)
 	s := NewState(fakeDecoder{})
 	s.Replace(epoch, []store.Entry{entry("server/a", "x", 1), entry("server/b", "x", 1)}, 1)
-	s.Outage(epoch)
+	s.RecordOutage(epoch)
 	s.Replace(epoch.Add(time.Second), nil, 2)
 	c.Assert(s.View().Servers["x"], qt.HasLen, 2)
-	s.Apply(epoch.Add(2*time.Second), changed(3, entry("server/a", "x", 3)))
-	change := s.Tick(epoch.Add(time.Second + lapseGrace))
+	s.Apply(epoch.Add(2*time.Second), watchResult(3, entry("server/a", "x", 3)))
+	change := s.Tick(epoch.Add(time.Second + reregisterGracePeriod))
 	c.Assert(change.Left, qt.DeepEquals, []string{"b"})
 	c.Assert(s.View().Servers["x"], qt.HasLen, 1)
 }
 
-// Guards against one unreadable entry that hides the others.
-func TestUnreadableEntriesNameNoServer(t *testing.T) {
+// Guards against an undecodable entry that keeps the others from being applied.
+func TestUndecodableEntriesAreSkipped(t *testing.T) {
 	c := qt.New(t)
 	s := NewState(fakeDecoder{})
 	change := s.Replace(epoch, []store.Entry{entry("server/a", "", 1), entry("server/b", "x", 1), entry("config", "?", 1)}, 1)
--- a/internal/view/sync.go
+++ b/internal/view/sync.go
@@ -17,67 +17,74 @@
 )
 
 const (
-	// batchPause lets changes that come together arrive in one watch of a reader.
-	batchPause = 50 * time.Millisecond
-	// followerPause does so for the other instances, of which there are many: each
-	// watch that ends is a call to the store. They pull changes from the readers, so
-	// it only bounds their delay when no reader reaches the store: a configuration
-	// must be in force, and a leaving server without work, within 2.5 s.
+	// readerBatchPause separates two watches of a reader, so that one watch returns all
+	// changes that are made in quick succession.
+	readerBatchPause = 50 * time.Millisecond
+	// followerPause does the same for followers. It is longer, because there are many of
+	// them and each watch is a call to the store. Followers pull changes from the
+	// readers, so it only bounds their delay when no reader reaches the store: a new
+	// configuration must be in force, and a draining server must get no more requests,
+	// within 2.5 s.
 	followerPause = 1500 * time.Millisecond
-	// idlePause follows a watch that changed nothing in the view, so that
-	// heartbeats of servers do not cost a call each.
-	idlePause = 200 * time.Millisecond
-	// Backoff of failed calls to the store.
-	firstBackoff = 100 * time.Millisecond
-	maxBackoff   = 800 * time.Millisecond
-	// readerWait is how long the watch of a reader waits. While the store drops
-	// its history, a waiting watch hears nothing; the next one is told.
-	readerWait = 800 * time.Millisecond
-	// followerWait is how long the watches of the other instances wait, which learn
-	// from the readers what their own watch does not tell.
-	followerWait = 10 * time.Second
-	// snapshotTimeout bounds a list of all entries.
+	// readerIdlePause follows a watch that changed nothing in the view, so that the
+	// heartbeats of servers, which change their entries, do not cost a call each.
+	readerIdlePause = 200 * time.Millisecond
+	// initialBackoff and maxBackoff bound the mean delay before the retry of a failed
+	// store call.
+	initialBackoff = 100 * time.Millisecond
+	maxBackoff     = 800 * time.Millisecond
+	// readerWatchTimeout is how long the watch of a reader waits. It is short because a
+	// watch that waits while the store drops its history returns nothing; the next one
+	// fails with ErrHistoryLost.
+	readerWatchTimeout = 800 * time.Millisecond
+	// followerWatchTimeout is how long the watch of a follower waits. Followers pull
+	// from the readers what their own watch does not return.
+	followerWatchTimeout = 10 * time.Second
+	// snapshotTimeout bounds the listing of all entries.
 	snapshotTimeout = 2 * time.Second
-	// tickInterval is how often pulls and lapsed servers are considered.
+	// tickInterval is how often pulls and the grace periods of servers are checked.
 	tickInterval = 100 * time.Millisecond
-	// pullAfter is how long a version that a peer announced is awaited from the
-	// store.
-	pullAfter = 150 * time.Millisecond
-	// silentAfter is how long the store may not answer before peers are asked, and
-	// pullInterval how often they are.
-	silentAfter  = 700 * time.Millisecond
+	// announcementPullDelay is how long the store has to return a version that a peer
+	// announced before it is pulled from the peer.
+	announcementPullDelay = 150 * time.Millisecond
+	// outagePullDelay is the time since the last answer of an unreachable store after
+	// which changes are pulled from peers.
+	outagePullDelay = 700 * time.Millisecond
+	// pullInterval is the minimum time between two pulls. The first pull of a newly
+	// announced version may come sooner.
 	pullInterval = 500 * time.Millisecond
 )
 
-// Source is the store.
+// Source reads the store.
 type Source interface {
-	// Snapshot returns all entries of configuration and servers, and the version
-	// from which a watch goes on.
+	// Snapshot returns all entries of configuration and servers, and the version from
+	// which Watch continues.
 	Snapshot(ctx context.Context) ([]store.Entry, store.Version, error)
-	// Watch waits for changes after a version, until shortly before the deadline of
-	// the context. It returns ErrHistoryLost when these are not available any more.
+	// Watch waits for changes after a version, until shortly before the deadline of the
+	// context. It returns ErrHistoryLost when the store no longer has these changes.
 	Watch(ctx context.Context, prefix string, after store.Version) (store.WatchResult, error)
 }
 
-// errBecameReader ends the long watch of an instance that has become a reader.
+// errBecameReader interrupts the long watch of a follower that has become a reader.
 var errBecameReader = errors.New("instance has become a reader of the store")
 
-// ErrHistoryLost reports a watch from a version whose changes the store dropped.
+// ErrHistoryLost reports a watch from a version after which the store has dropped changes.
 var ErrHistoryLost = errors.New("history of the store is no longer available")
 
 // Peers are the other instances.
 type Peers interface {
-	// Pull returns what an instance has read of the store after a version. An empty
-	// address means any instance.
+	// Pull returns the changes after a version that an instance has read from the store.
+	// An empty address means any instance.
 	Pull(ctx context.Context, address string, have store.Version) (store.Changes, error)
-	// IsReader reports whether this instance is one of the few that look for changes
-	// often.
+	// IsReader reports whether this instance is one of the few readers, which watch the
+	// store at short intervals. All others are followers.
 	IsReader() bool
-	// Announce tells the others a version of the view.
+	// Announce announces the version of this instance's view to the others. fromStore is
+	// false when its newest change did not come from a store call of this instance.
 	Announce(version store.Version, fromStore bool)
 }
 
-// Sync keeps a view current.
+// Sync keeps a view up to date.
 type Sync struct {
 	source  Source
 	peers   Peers
@@ -89,18 +96,22 @@
 	mu        sync.Mutex
 	state     *State
 	observers []func(*View)
-	reached   time.Time
-	reachable bool
-	// heard is the highest version that a peer announced, since when, and where.
-	heard        store.Version
-	heardAt      time.Time
-	heardAddress string
-	pulledAt     time.Time
-	// endWatch ends the watch of a follower that waits; nil otherwise.
-	endWatch context.CancelCauseFunc
+	// lastReached is when a store call last succeeded, and reachable whether the latest
+	// one did.
+	lastReached time.Time
+	reachable   bool
+	// announced is the highest version that a peer announced, announcedAt the time of
+	// the announcement, and announcedBy the peer's address. The address is empty when
+	// the version may be pulled from any instance.
+	announced   store.Version
+	announcedAt time.Time
+	announcedBy string
+	lastPull    time.Time
+	// interruptWatch cancels the waiting watch of a follower; nil when there is none.
+	interruptWatch context.CancelCauseFunc
 }
 
-// NewSync returns a Sync that knows nothing.
+// NewSync returns a Sync without a view.
 func NewSync(source Source, peers Peers, decoder Decoder, logger *slog.Logger, scope tally.Scope) *Sync {
 	return &Sync{
 		source: source, peers: peers, logger: logger, state: NewState(decoder),
@@ -108,10 +119,11 @@
 	}
 }
 
-// Current returns the view, nil before anything is known.
+// Current returns the view, nil until there is one.
 func (s *Sync) Current() *View { return s.current.Load() }
 
-// Observe adds a function that gets each new view. Add observers before Run.
+// Observe adds a function that is called with each new view. It must be called before
+// Run.
 func (s *Sync) Observe(observer func(*View)) { s.observers = append(s.observers, observer) }
 
 // ChangesAfter implements peer.ViewHandler.
@@ -121,63 +133,66 @@
 	return s.state.ChangesAfter(have)
 }
 
-// RecordAnnouncement records that a peer has a version.
+// RecordAnnouncement records that the peer at an address announced a version.
 func (s *Sync) RecordAnnouncement(version store.Version, address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if version <= s.heard || version <= s.state.Position() {
+	if version <= s.announced || version <= s.state.Position() {
 		return
 	}
-	s.heard, s.heardAt, s.heardAddress = version, time.Now(), address
+	s.announced, s.announcedAt, s.announcedBy = version, time.Now(), address
 }
 
-// Run reads the store and the peers until the context ends.
+// Run keeps the view up to date from the store and the peers until the context ends.
 func (s *Sync) Run(ctx context.Context) {
 	var running sync.WaitGroup
 	running.Go(func() { s.watchStore(ctx) })
-	running.Go(func() { s.watchPeers(ctx) })
+	running.Go(func() { s.tickLoop(ctx) })
 	running.Wait()
 }
 
-// watchStore follows the store.
+// watchStore takes a snapshot of the store and then watches it for changes. It retries
+// failed calls with exponential backoff, and takes a new snapshot after a loss of history.
 func (s *Sync) watchStore(ctx context.Context) {
-	backoff := firstBackoff
-	known := false
+	backoff := initialBackoff
+	hasSnapshot := false
 	for ctx.Err() == nil {
-		changed, err := s.read(ctx, known)
+		changed, err := s.readStore(ctx, hasSnapshot)
 		if err == nil {
-			known, backoff = true, firstBackoff
-			clock.Sleep(ctx, s.pause(changed))
+			hasSnapshot, backoff = true, initialBackoff
+			clock.Sleep(ctx, s.pauseAfterWatch(changed))
 			continue
 		}
 		if errors.Is(err, errBecameReader) {
 			continue
 		}
 		if errors.Is(err, ErrHistoryLost) {
-			known = false
+			hasSnapshot = false
 			continue
 		}
-		s.unreachable(ctx, err)
+		s.markUnreachable(ctx, err)
 		clock.Sleep(ctx, backoff/2+rand.N(backoff))
 		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// pause returns the time between two watches.
-func (s *Sync) pause(changed bool) time.Duration {
+// pauseAfterWatch returns the pause before the next watch. changed is whether the last
+// call changed the view.
+func (s *Sync) pauseAfterWatch(changed bool) time.Duration {
 	switch {
 	case !s.peers.IsReader():
 		return followerPause
 	case changed:
-		return batchPause
+		return readerBatchPause
 	}
-	return idlePause
+	return readerIdlePause
 }
 
-// read makes one call to the store and reports whether the view changed.
-func (s *Sync) read(ctx context.Context, known bool) (changed bool, err error) {
+// readStore makes one call to the store, a snapshot or a watch, and reports whether the
+// view changed.
+func (s *Sync) readStore(ctx context.Context, hasSnapshot bool) (changed bool, err error) {
 	s.reads.Inc(1)
-	if !known {
+	if !hasSnapshot {
 		return s.snapshot(ctx)
 	}
 	s.mu.Lock()
@@ -191,19 +206,19 @@
 	return change.Any(), nil
 }
 
-// watch waits for changes after a version: a reader not for long, the others until they
-// become one.
+// watch waits for changes after a version. The watch of a follower is long, and is
+// interrupted when the instance becomes a reader.
 func (s *Sync) watch(ctx context.Context, after store.Version) (store.WatchResult, error) {
-	wait := readerWait
+	timeout := readerWatchTimeout
 	if !s.peers.IsReader() {
-		wait = followerWait
-		ended, end := context.WithCancelCause(ctx)
-		ctx = ended
-		s.setEndWatch(end)
-		defer s.setEndWatch(nil)
-		defer end(nil)
+		timeout = followerWatchTimeout
+		interruptible, interrupt := context.WithCancelCause(ctx)
+		ctx = interruptible
+		s.setInterruptWatch(interrupt)
+		defer s.setInterruptWatch(nil)
+		defer interrupt(nil)
 	}
-	bounded, cancel := context.WithTimeout(ctx, wait)
+	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	result, err := s.source.Watch(bounded, "", after)
 	if err != nil && errors.Is(context.Cause(ctx), errBecameReader) {
@@ -212,22 +227,22 @@
 	return result, err
 }
 
-func (s *Sync) setEndWatch(end context.CancelCauseFunc) {
+func (s *Sync) setInterruptWatch(interrupt context.CancelCauseFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.endWatch = end
+	s.interruptWatch = interrupt
 }
 
-// becomeReader ends the long watch of an instance that has become a reader: the store
-// may tell waiting watches nothing for a while.
-func (s *Sync) becomeReader() {
+// interruptFollowerWatch interrupts the long watch of an instance that has become a
+// reader, because the store may return nothing to waiting watches for a while.
+func (s *Sync) interruptFollowerWatch() {
 	if !s.peers.IsReader() {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.endWatch != nil {
-		s.endWatch(errBecameReader)
+	if s.interruptWatch != nil {
+		s.interruptWatch(errBecameReader)
 	}
 }
 
@@ -242,13 +257,14 @@
 	return change.Any(), nil
 }
 
-// update changes the state, publishes a new view and announces it.
+// update applies a change to the state. When the view changes, it publishes and announces
+// the new one.
 func (s *Sync) update(apply func(*State, time.Time) Change, fromStore bool) Change {
 	now := time.Now()
 	s.mu.Lock()
 	if fromStore {
-		s.reached = now
-		s.regained()
+		s.lastReached = now
+		s.markReachable()
 	}
 	change := apply(s.state, now)
 	if !change.Any() {
@@ -259,7 +275,7 @@
 	next := s.state.View()
 	s.current.Store(next)
 	s.mu.Unlock()
-	s.log(change, next, fromStore)
+	s.logChange(change, next, fromStore)
 	for _, observer := range s.observers {
 		observer(next)
 	}
@@ -267,28 +283,29 @@
 	return change
 }
 
-// regained logs that the store answers. It is called with the lock held.
-func (s *Sync) regained() {
+// markReachable records that the store answered, and logs it if it did not before. It is
+// called with the lock held.
+func (s *Sync) markReachable() {
 	if !s.reachable {
 		s.reachable = true
 		events.StoreReached.Log(context.Background(), s.logger, slog.Int64("version", int64(s.state.Position())))
 	}
 }
 
-func (s *Sync) unreachable(ctx context.Context, err error) {
+func (s *Sync) markUnreachable(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.state.Outage(time.Now())
+	s.state.RecordOutage(time.Now())
 	if s.reachable {
 		s.reachable = false
 		events.StoreLost.Log(ctx, s.logger, slog.Any("error", err), slog.Int64("version", int64(s.state.Position())))
 	}
 }
 
-func (s *Sync) log(change Change, next *View, fromStore bool) {
+func (s *Sync) logChange(change Change, next *View, fromStore bool) {
 	s.logRejected(change)
 	attrs := []slog.Attr{slog.Int64("version", int64(next.Version)), slog.Bool("from_store", fromStore)}
 	if next.Table != nil {
@@ -299,13 +316,14 @@
 	events.ViewChanged.Log(context.Background(), s.logger, attrs...)
 }
 
-// loggedServers bounds the servers that one line names: the first view has all.
-const loggedServers = 20
+// maxLoggedServers bounds the IDs of servers in one log line: the first view adds all
+// servers of the deployment.
+const maxLoggedServers = 20
 
-// serversAttr returns an attribute that names servers, or tells their number when there
-// are many.
+// serversAttr returns an attribute with the IDs of servers, or with their number when
+// there are more than maxLoggedServers.
 func serversAttr(name string, ids []string) slog.Attr {
-	if len(ids) > loggedServers {
+	if len(ids) > maxLoggedServers {
 		return slog.Int(name, len(ids))
 	}
 	return slog.Any(name, ids)
@@ -317,44 +335,45 @@
 	}
 }
 
-// watchPeers asks peers for what the store does not deliver.
-func (s *Sync) watchPeers(ctx context.Context) {
+// tickLoop checks the grace periods of servers, and pulls from peers what the store does
+// not return.
+func (s *Sync) tickLoop(ctx context.Context) {
 	for clock.Sleep(ctx, tickInterval) {
 		s.update(func(state *State, now time.Time) Change { return state.Tick(now) }, false)
-		s.becomeReader()
+		s.interruptFollowerWatch()
 		if address, due := s.pullDue(time.Now()); due {
 			s.pull(ctx, address)
 		}
 	}
 }
 
-// pullDue reports whether a peer should be asked, and which one; an empty address
-// means any.
+// pullDue reports whether a pull is due, and from which address; an empty address means
+// any instance.
 func (s *Sync) pullDue(now time.Time) (address string, due bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.heard > s.state.Position() && now.Sub(s.heardAt) >= pullAfter {
-		if now.Sub(s.pulledAt) < pullInterval {
-			return s.heardAddress, s.pulledAt.Before(s.heardAt)
+	if s.announced > s.state.Position() && now.Sub(s.announcedAt) >= announcementPullDelay {
+		if now.Sub(s.lastPull) < pullInterval {
+			return s.announcedBy, s.lastPull.Before(s.announcedAt)
 		}
-		return s.heardAddress, true
+		return s.announcedBy, true
 	}
-	silent := !s.reachable && now.Sub(s.reached) >= silentAfter
-	return "", silent && now.Sub(s.pulledAt) >= pullInterval
+	unreachable := !s.reachable && now.Sub(s.lastReached) >= outagePullDelay
+	return "", unreachable && now.Sub(s.lastPull) >= pullInterval
 }
 
 func (s *Sync) pull(ctx context.Context, address string) {
 	s.mu.Lock()
-	s.pulledAt = time.Now()
+	s.lastPull = time.Now()
 	have := s.state.Position()
 	s.mu.Unlock()
 	s.pulls.Inc(1)
 	changes, err := s.peers.Pull(ctx, address, have)
 	if err != nil {
 		events.PullFailed.Log(ctx, s.logger, slog.String("address", address), slog.Any("error", err))
-		// The next try may go to any instance.
+		// The next pull may go to any instance.
 		s.mu.Lock()
-		s.heardAddress = ""
+		s.announcedBy = ""
 		s.mu.Unlock()
 		return
 	}
--- a/internal/view/sync_test.go
+++ b/internal/view/sync_test.go
@@ -15,13 +15,13 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/store"
 )
 
-// fakeSource is a store whose calls hang, fail or answer.
+// fakeSource is a store that returns a fixed snapshot or error. onWatch answers its watches.
 type fakeSource struct {
 	mu       sync.Mutex
 	snapshot []store.Entry
 	version  store.Version
 	err      error
-	watch    func(ctx context.Context) (store.WatchResult, error)
+	onWatch  func(ctx context.Context) (store.WatchResult, error)
 }
 
 func (f *fakeSource) Snapshot(context.Context) ([]store.Entry, store.Version, error) {
@@ -31,28 +31,28 @@
 }
 
 func (f *fakeSource) Watch(ctx context.Context, _ string, _ store.Version) (store.WatchResult, error) {
-	return f.watch(ctx)
+	return f.onWatch(ctx)
 }
 
-func hang(ctx context.Context) (store.WatchResult, error) {
+func waitForCancel(ctx context.Context) (store.WatchResult, error) {
 	<-ctx.Done()
 	return store.WatchResult{}, ctx.Err()
 }
 
-// fakePeers have one state of the store.
+// fakePeers have one state of the store, which every pull returns.
 type fakePeers struct {
 	entries   []store.Entry
 	version   store.Version
 	announced chan store.Version
 	reader    bool
-	// becomes makes this instance a reader.
-	becomes atomic.Bool
+	// becomesReader turns this instance into a reader.
+	becomesReader atomic.Bool
 }
 
-func (f *fakePeers) IsReader() bool { return f.reader || f.becomes.Load() }
+func (f *fakePeers) IsReader() bool { return f.reader || f.becomesReader.Load() }
 
 func (f *fakePeers) Pull(context.Context, string, store.Version) (store.Changes, error) {
-	return store.Changes{WatchResult: changed(f.version, f.entries...)}, nil
+	return store.Changes{WatchResult: watchResult(f.version, f.entries...)}, nil
 }
 
 func (f *fakePeers) Announce(version store.Version, _ bool) { f.announced <- version }
@@ -73,11 +73,11 @@
 	return s
 }
 
-// Guards against an instance whose watch hangs, so that it keeps an old
-// configuration although a peer has a newer one.
-func TestVersionThatPeersAnnounceIsPulled(t *testing.T) {
+// Guards against an instance that keeps an old configuration because its watch hangs,
+// although a peer has announced a newer one.
+func TestAnnouncedVersionIsPulledFromPeer(t *testing.T) {
 	c := qt.New(t)
-	source := &fakeSource{snapshot: []store.Entry{entry("config", "1", 1)}, version: 1, watch: hang}
+	source := &fakeSource{snapshot: []store.Entry{entry("config", "1", 1)}, version: 1, onWatch: waitForCancel}
 	peers := &fakePeers{entries: []store.Entry{entry("config", "2", 5)}, version: 5}
 	s := startSync(c, source, peers)
 	c.Assert(<-peers.announced, qt.Equals, store.Version(1))
@@ -86,25 +86,25 @@
 	c.Assert(s.Current().Table.Version, qt.Equals, int64(2))
 }
 
-// Guards against an instance that starts while the store is down and never learns
-// a configuration.
-func TestStartWithoutTheStoreAsksPeers(t *testing.T) {
+// Guards against an instance that starts during a store outage and never gets a
+// configuration.
+func TestStartWithoutStorePullsFromPeers(t *testing.T) {
 	c := qt.New(t)
-	source := &fakeSource{err: store.ErrUnavailable, watch: hang}
+	source := &fakeSource{err: store.ErrUnavailable, onWatch: waitForCancel}
 	peers := &fakePeers{entries: []store.Entry{entry("config", "3", 9)}, version: 9}
 	s := startSync(c, source, peers)
 	c.Assert(<-peers.announced, qt.Equals, store.Version(9))
 	c.Assert(s.Current().Table.Version, qt.Equals, int64(3))
 }
 
-// Guards against a watch that goes on from a version whose changes the store has
-// dropped.
-func TestLostHistoryIsReadAnew(t *testing.T) {
+// Guards against a watch that is repeated from a version whose changes the store has
+// dropped, which misses them.
+func TestLostHistoryCausesSnapshot(t *testing.T) {
 	c := qt.New(t)
 	source := &fakeSource{snapshot: []store.Entry{entry("config", "1", 1)}, version: 1}
 	lost := make(chan struct{}, 1)
 	lost <- struct{}{}
-	source.watch = func(ctx context.Context) (store.WatchResult, error) {
+	source.onWatch = func(ctx context.Context) (store.WatchResult, error) {
 		select {
 		case <-lost:
 			source.mu.Lock()
@@ -112,7 +112,7 @@
 			source.mu.Unlock()
 			return store.WatchResult{}, ErrHistoryLost
 		default:
-			return hang(ctx)
+			return waitForCancel(ctx)
 		}
 	}
 	peers := &fakePeers{}
@@ -122,10 +122,10 @@
 	c.Assert(s.Current().Table.Version, qt.Equals, int64(4))
 }
 
-// Guards against a view that an instance hands to a peer which already has it.
-func TestEntriesAreServedToPeersThatHaveLess(t *testing.T) {
+// Guards against sending the view to a peer that already has it.
+func TestChangesAreServedToPeersThatLackThem(t *testing.T) {
 	c := qt.New(t)
-	source := &fakeSource{snapshot: []store.Entry{entry("config", "1", 1)}, version: 8, watch: hang}
+	source := &fakeSource{snapshot: []store.Entry{entry("config", "1", 1)}, version: 8, onWatch: waitForCancel}
 	peers := &fakePeers{}
 	s := startSync(c, source, peers)
 	<-peers.announced
@@ -135,52 +135,52 @@
 	c.Assert(s.ChangesAfter(8).Version, qt.Equals, store.Version(0))
 }
 
-// Guards against a watch that hears nothing while the store drops its history, so
-// that a new configuration is noticed only when a long wait ends.
-func TestReadersLookOften(t *testing.T) {
+// Guards against readers with long watches: a watch that waits while the store drops its
+// history returns nothing, so a new configuration would be found only at its end.
+func TestReadersUseShortWatches(t *testing.T) {
 	c := qt.New(t)
 	for _, reader := range []bool{true, false} {
-		waits := make(chan time.Duration, 1)
+		timeouts := make(chan time.Duration, 1)
 		source := &fakeSource{snapshot: []store.Entry{entry("config", "1", 1)}, version: 1}
-		source.watch = func(ctx context.Context) (store.WatchResult, error) {
+		source.onWatch = func(ctx context.Context) (store.WatchResult, error) {
 			deadline, _ := ctx.Deadline()
 			select {
-			case waits <- time.Until(deadline):
+			case timeouts <- time.Until(deadline):
 			default:
 			}
-			return hang(ctx)
+			return waitForCancel(ctx)
 		}
 		startSync(c, source, &fakePeers{reader: reader})
-		c.Assert(<-waits <= readerWait, qt.Equals, reader)
+		c.Assert(<-timeouts <= readerWatchTimeout, qt.Equals, reader)
 	}
 }
 
-// Guards against an instance that becomes a reader while its watch waits long: two
-// readers that had just started heard of a configuration 5 s late, because the store
-// told waiting watches nothing.
-func TestNewReadersDoNotFinishALongWatch(t *testing.T) {
+// Guards against a new reader that first waits for its long watch as a follower to end:
+// two readers that had just started got a configuration 5 s late, because the store
+// returned nothing to waiting watches.
+func TestBecomingReaderInterruptsLongWatch(t *testing.T) {
 	c := qt.New(t)
-	waits := make(chan time.Duration, 10)
+	timeouts := make(chan time.Duration, 10)
 	source := &fakeSource{snapshot: []store.Entry{entry("config", "1", 1)}, version: 1}
-	source.watch = func(ctx context.Context) (store.WatchResult, error) {
+	source.onWatch = func(ctx context.Context) (store.WatchResult, error) {
 		deadline, _ := ctx.Deadline()
-		waits <- time.Until(deadline)
-		return hang(ctx)
+		timeouts <- time.Until(deadline)
+		return waitForCancel(ctx)
 	}
 	peers := &fakePeers{}
 	s := startSync(c, source, peers)
-	c.Assert(<-waits > readerWait, qt.IsTrue)
-	peers.becomes.Store(true)
-	c.Assert(<-waits <= readerWait, qt.IsTrue)
+	c.Assert(<-timeouts > readerWatchTimeout, qt.IsTrue)
+	peers.becomesReader.Store(true)
+	c.Assert(<-timeouts <= readerWatchTimeout, qt.IsTrue)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c.Assert(s.reachable, qt.IsTrue)
 }
 
-// Guards against log lines that grow with the deployment.
-func TestLinesNameFewServers(t *testing.T) {
+// Guards against log lines that grow with the number of servers.
+func TestLogLinesListFewServers(t *testing.T) {
 	c := qt.New(t)
-	ids := make([]string, loggedServers+1)
-	c.Assert(serversAttr("joined", ids).Value.Any(), qt.Equals, any(int64(loggedServers+1)))
+	ids := make([]string, maxLoggedServers+1)
+	c.Assert(serversAttr("joined", ids).Value.Any(), qt.Equals, any(int64(maxLoggedServers+1)))
 	c.Assert(serversAttr("joined", ids[1:]).Value.Any(), qt.DeepEquals, any(ids[1:]))
 }
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -1,6 +1,6 @@
-// Package view keeps what the store holds for a gateway: the configuration and the
-// backend servers. It reads the store by one watch, and other instances where the
-// store cannot be reached.
+// Package view maintains an instance's copy of what a gateway needs from the store: the
+// configuration and the backend servers. It follows the store with one watch, and pulls
+// changes from other instances where the store cannot be reached.
 package view
 
 import (
@@ -10,55 +10,57 @@
 	"github.com/coltsfootdrift/coltsfootdrift/route"
 )
 
-// Server is a backend server as it registered itself.
+// Server is the registration of a backend server.
 type Server struct {
 	ID            string
 	Service       string
 	Address       string
 	FailureDomain string
-	// Slots is the number of requests that it runs at once.
+	// Slots is the number of requests that the server runs at once.
 	Slots int
-	// Draining servers get no new work.
+	// Draining is true for a server that gets no new requests.
 	Draining bool
-	// Incarnation tells starts of a server under one ID apart.
+	// Incarnation differs between the starts of a server under the same ID.
 	Incarnation int64
 }
 
-// View is one state of the store. It is immutable.
+// View is the configuration and the backend servers at one version of the store. It is
+// immutable.
 type View struct {
-	// Version is the store's version of the newest change that is in the view.
+	// Version is the store's version at the newest change that the view contains.
 	Version store.Version
-	// Table is the configuration in force, nil before the first one is known.
+	// Table is the configuration in force, nil until the first one is known.
 	Table *route.Table
-	// Servers holds the servers that may get work, by service.
+	// Servers holds the servers that may get new requests, by service.
 	Servers map[string][]Server
-	// ByAddress holds all registered servers by address, draining ones included.
+	// ByAddress holds all registered servers by address, including draining ones.
 	ByAddress map[string]Server
 }
 
-// KeyKind tells what a key of the store holds.
+// KeyKind is the kind of data under a key of the store.
 type KeyKind uint8
 
-// Kinds of keys.
+// Kinds of keys. KeyOther is data that the view does not use.
 const (
 	KeyOther KeyKind = iota
 	KeyConfiguration
 	KeyServer
 )
 
-// Decoder reads the values of the store.
+// Decoder decodes the entries of the store.
 type Decoder interface {
-	// Kind tells what a key holds.
+	// Kind returns the kind of data under a key.
 	Kind(key string) KeyKind
 	Configuration(value []byte) (route.Configuration, error)
-	// Server returns an error for entries that name no server to use.
+	// Server returns an error for an entry that is not the registration of a usable
+	// server.
 	Server(key string, value []byte) (Server, error)
 }
 
-// lapseGrace is how long a server whose entry was removed around an outage of the
-// store is still used: it registers again within that time if it lives.
-const lapseGrace = 2 * time.Second
+// reregisterGracePeriod is how long a server stays in use after its entry was removed
+// around a store outage: a running server registers again within that time.
+const reregisterGracePeriod = 2 * time.Second
 
-// outageMemory is how long after a failed call removals count as caused by the
-// outage.
-const outageMemory = 3 * time.Second
+// outageRemovalWindow is how long after a failed store call the removal of a server's
+// entry counts as caused by the outage.
+const outageRemovalWindow = 3 * time.Second
