--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -10,61 +10,62 @@
 	"time"
 )
 
-// conn is one connection to a server.
+// conn is one connection to a backend server.
 type conn struct {
-	server  string
-	address string
-	network net.Conn
-	reader  *bufio.Reader
-	reused  bool
-	// expires is when the connection must not be used any more.
+	serverID string
+	address  string
+	netConn  net.Conn
+	reader   *bufio.Reader
+	// reused is true when an earlier request was sent on the connection.
+	reused bool
+	// expires is the time from which the idle connection must not be used.
 	expires time.Time
 }
 
-// readBuffer holds the header of an answer and most plain answers.
-const readBuffer = 4 << 10
+// readBufferBytes is enough for the header of an answer and for most plain answers.
+const readBufferBytes = 4 << 10
 
-func newConn(network net.Conn, server Server) *conn {
-	return &conn{server: server.ID, address: server.Address, network: network, reader: bufio.NewReaderSize(network, readBuffer)}
+func newConn(netConn net.Conn, server Server) *conn {
+	return &conn{serverID: server.ID, address: server.Address, netConn: netConn, reader: bufio.NewReaderSize(netConn, readBufferBytes)}
 }
 
-// usable reports whether the server has neither closed an idle connection nor
-// sent anything on it.
-func (k *conn) usable(now time.Time) bool {
-	return now.Before(k.expires) && k.reader.Buffered() == 0 && quiet(k.network)
+// usable reports whether an idle connection has not expired, and the server has neither
+// closed it nor sent anything on it.
+func (cn *conn) usable(now time.Time) bool {
+	return now.Before(cn.expires) && cn.reader.Buffered() == 0 && readWouldBlock(cn.netConn)
 }
 
-// quiet reports whether a connection is open and has nothing to read.
-func quiet(network net.Conn) bool {
-	system, ok := network.(syscall.Conn)
+// readWouldBlock reports whether a connection is open and has nothing to read.
+func readWouldBlock(netConn net.Conn) bool {
+	sysConn, ok := netConn.(syscall.Conn)
 	if !ok {
 		return true
 	}
-	raw, err := system.SyscallConn()
+	rawConn, err := sysConn.SyscallConn()
 	if err != nil {
 		return false
 	}
-	silent := false
-	err = raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, _, failed := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		silent = failed == syscall.EAGAIN
+	wouldBlock := false
+	err = rawConn.Read(func(fd uintptr) bool {
+		var buffer [1]byte
+		_, _, errno := syscall.Recvfrom(int(fd), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		wouldBlock = errno == syscall.EAGAIN
 		return true
 	})
-	return err == nil && silent
+	return err == nil && wouldBlock
 }
 
-// idleUntil returns when an idle connection must be closed, by the header of its
-// last answer.
-func idleUntil(now time.Time, header http.Header) time.Time {
+// idleDeadline returns when an idle connection must be closed, according to the
+// Keep-Alive header of its last answer.
+func idleDeadline(now time.Time, header http.Header) time.Time {
 	for _, field := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
 		}
 		if seconds, err := strconv.Atoi(strings.TrimSpace(value)); err == nil && seconds >= 0 {
-			return now.Add(time.Duration(seconds)*time.Second - idleMargin)
+			return now.Add(time.Duration(seconds)*time.Second - idleTimeoutMargin)
 		}
 	}
-	return now.Add(defaultIdle)
+	return now.Add(defaultIdleTimeout)
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -19,48 +19,53 @@
 type exchange struct {
 	client *Client
 	conn   *conn
-	stop   func() bool
-	header http.Header
-	body   *wholeBody
-	// sent is closed when the request is written or its connection failed.
-	sent    chan struct{}
-	sentErr error
-	written atomic.Int64
-	// stray is true after an answer of another request.
-	stray  bool
-	closes bool
-	once   sync.Once
+	// stopAfterFunc keeps the end of the context from closing the connection. It
+	// returns false when the context has ended before.
+	stopAfterFunc func() bool
+	answerHeader  http.Header
+	body          *trackedBody
+	// sent is closed when the request has been written or its connection has failed.
+	// writeErr may be read after that.
+	sent         chan struct{}
+	writeErr     error
+	writtenBytes atomic.Int64
+	// stray is true after an answer to another request.
+	stray bool
+	// serverCloses is true when the server closes the connection after the answer.
+	serverCloses bool
+	// releaseOnce guards the return or closing of the connection.
+	releaseOnce sync.Once
 }
 
 // Send sends a request and returns the head of its answer. The end of the context
-// closes the connection, which cancels the request at the server.
+// closes the connection, which cancels the request on the server.
 func (c *Client) Send(ctx context.Context, server Server, request *Request) (*Answer, error) {
-	k, err := c.acquire(ctx, server)
+	cn, err := c.acquire(ctx, server)
 	if err != nil {
 		return nil, err
 	}
-	e := &exchange{client: c, conn: k, sent: make(chan struct{})}
-	e.stop = context.AfterFunc(ctx, func() { k.network.Close() })
-	e.write(request)
-	answer, err := e.read(request)
+	e := &exchange{client: c, conn: cn, sent: make(chan struct{})}
+	e.stopAfterFunc = context.AfterFunc(ctx, func() { cn.netConn.Close() })
+	e.writeRequest(request)
+	answer, err := e.readAnswer(request)
 	if err == nil {
 		return answer, nil
 	}
 	e.abort()
 	<-e.sent
-	kind := ErrMayHaveRun
-	if e.written.Load() == 0 {
-		kind = ErrNotSent
+	sendErr := ErrMayHaveRun
+	if e.writtenBytes.Load() == 0 {
+		sendErr = ErrNotSent
 	}
 	if cause := context.Cause(ctx); cause != nil {
 		err = cause
 	}
-	return nil, oops.In("upstream").Code("send_failed").With("server", server.ID, "address", server.Address, "reused", k.reused).Wrap(fmt.Errorf("%w: %w", kind, err))
+	return nil, oops.In("upstream").Code("send_failed").With("server", server.ID, "address", server.Address, "reused", cn.reused).Wrap(fmt.Errorf("%w: %w", sendErr, err))
 }
 
-// write sends the request, a long body while the answer is awaited: a server may
-// answer before it has read it.
-func (e *exchange) write(request *Request) {
+// writeRequest writes the request. A body over maxInlineBodyBytes is written while the
+// answer is awaited, because a server may answer before it has read the body.
+func (e *exchange) writeRequest(request *Request) {
 	var head bytes.Buffer
 	fmt.Fprintf(&head, "%s %s HTTP/1.1\r\nHost: %s\r\n", request.Method, request.Target, request.Host)
 	_ = request.Header.Write(&head) // a bytes.Buffer does not fail
@@ -68,16 +73,16 @@
 		head.WriteString("Content-Length: " + strconv.Itoa(len(request.Body)) + "\r\n")
 	}
 	head.WriteString("\r\n")
-	if len(request.Body) <= inlineBody {
+	if len(request.Body) <= maxInlineBodyBytes {
 		head.Write(request.Body)
-		e.send(head.Bytes())
+		e.writeBytes(head.Bytes())
 		close(e.sent)
 		return
 	}
 	go func() {
 		defer close(e.sent)
-		e.send(head.Bytes())
-		e.send(request.Body)
+		e.writeBytes(head.Bytes())
+		e.writeBytes(request.Body)
 	}()
 }
 
@@ -85,17 +90,17 @@
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
-func (e *exchange) send(data []byte) {
-	if e.sentErr != nil {
+func (e *exchange) writeBytes(data []byte) {
+	if e.writeErr != nil {
 		return
 	}
-	n, err := e.conn.network.Write(data)
-	e.written.Add(int64(n))
-	e.sentErr = err
+	n, err := e.conn.netConn.Write(data)
+	e.writtenBytes.Add(int64(n))
+	e.writeErr = err
 }
 
-// read returns the head of the answer. Answers of other requests are skipped.
-func (e *exchange) read(request *Request) (*Answer, error) {
+// readAnswer returns the head of the answer. Answers to other requests are skipped.
+func (e *exchange) readAnswer(request *Request) (*Answer, error) {
 	for range maxStrayAnswers + 1 {
 		response, err := http.ReadResponse(e.conn.reader, &http.Request{Method: request.Method})
 		if err != nil {
@@ -105,46 +110,47 @@
 			continue
 		}
 		if request.Belongs == nil || request.Belongs(response.Header) {
-			return e.answer(response), nil
+			return e.newAnswer(response), nil
 		}
 		e.client.strays.Inc(1)
 		e.stray = true
-		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxStrayBytes)); err != nil {
+		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxStrayAnswerBytes)); err != nil {
 			return nil, err
 		}
 	}
-	return nil, errors.New("answers belong to other requests")
+	return nil, errors.New("server sent only answers to other requests")
 }
 
-func (e *exchange) answer(response *http.Response) *Answer {
-	e.header = response.Header
-	e.closes = response.Close
-	e.body = &wholeBody{reader: response.Body}
+func (e *exchange) newAnswer(response *http.Response) *Answer {
+	e.answerHeader = response.Header
+	e.serverCloses = response.Close
+	e.body = &trackedBody{reader: response.Body}
 	return &Answer{Status: response.StatusCode, Header: response.Header, Length: response.ContentLength, Body: e.body, exchange: e}
 }
 
 // abort closes the connection.
 func (e *exchange) abort() {
-	e.once.Do(func() {
-		e.stop()
+	e.releaseOnce.Do(func() {
+		e.stopAfterFunc()
 		e.client.discard(e.conn)
 	})
 }
 
-// close keeps the connection if the exchange is complete.
+// close returns the connection to the idle ones if it is reusable, and closes it
+// otherwise.
 func (e *exchange) close() {
 	if !e.reusable() {
 		e.abort()
 		return
 	}
-	e.once.Do(func() {
-		if !e.stop() {
+	e.releaseOnce.Do(func() {
+		if !e.stopAfterFunc() {
 			// The end of the context has closed the connection.
 			e.client.discard(e.conn)
 			return
 		}
-		e.conn.expires = idleUntil(time.Now(), e.header)
-		e.client.keep(e.conn)
+		e.conn.expires = idleDeadline(time.Now(), e.answerHeader)
+		e.client.putIdle(e.conn)
 	})
 }
 
@@ -152,24 +158,24 @@
 	select {
 	case <-e.sent:
 	default:
-		// The server answered before it read the body; what is left of it must not
-		// be followed by another request.
+		// The server answered before it read the whole body. No other request may follow
+		// the part of the body that is not yet written.
 		return false
 	}
-	return e.sentErr == nil && e.body.ended && !e.closes && !e.stray && e.conn.reader.Buffered() == 0
+	return e.writeErr == nil && e.body.complete && !e.serverCloses && !e.stray && e.conn.reader.Buffered() == 0
 }
 
-// wholeBody remembers whether the body was read to its end.
-type wholeBody struct {
-	reader io.Reader
-	ended  bool
+// trackedBody records whether a body was read to its end.
+type trackedBody struct {
+	reader   io.Reader
+	complete bool
 }
 
-// Read reads the body. io.EOF means that it is whole.
-func (b *wholeBody) Read(p []byte) (int, error) {
+// Read reads the body. io.EOF means that the body is complete.
+func (b *trackedBody) Read(p []byte) (int, error) {
 	n, err := b.reader.Read(p)
 	if errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
-		b.ended = true
+		b.complete = true
 	}
 	return n, err
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -13,13 +13,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Client keeps connections to backend servers.
+// Client sends requests to backend servers over a pool of connections.
 type Client struct {
 	dialer net.Dialer
 	dials  tally.Counter
 	strays tally.Counter
 
-	mu   sync.Mutex
+	mu sync.Mutex
+	// idle holds the idle connections, and open the number of all connections, by the ID
+	// of the server.
 	idle map[string][]*conn
 	open map[string]int
 }
@@ -29,7 +31,7 @@
 	return &Client{
 		dialer: net.Dialer{
 			Timeout:         dialTimeout,
-			KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeInterval, Interval: probeInterval, Count: probeCount},
+			KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveCount},
 			Control:         setUserTimeout,
 		},
 		dials:  scope.Counter("upstream_connections_opened"),
@@ -39,60 +41,62 @@
 	}
 }
 
-// setUserTimeout ends a connection whose peer no longer acknowledges what is sent.
-func setUserTimeout(_, _ string, raw syscall.RawConn) error {
-	var failed error
-	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+// setUserTimeout makes the system close a connection when the server does not acknowledge
+// sent bytes within tcpUserTimeout.
+func setUserTimeout(_, _ string, rawConn syscall.RawConn) error {
+	var sockoptErr error
+	err := rawConn.Control(func(fd uintptr) {
+		sockoptErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return sockoptErr
 }
 
-// acquire returns a kept connection that is still usable, or a new one.
+// acquire returns an idle connection that is still usable, or a new one. Its error wraps
+// ErrNotSent.
 func (c *Client) acquire(ctx context.Context, server Server) (*conn, error) {
 	for {
-		kept := c.takeIdle(server.ID)
-		if kept == nil {
+		idle := c.takeIdle(server.ID)
+		if idle == nil {
 			break
 		}
-		if kept.usable(time.Now()) && kept.address == server.Address {
-			kept.reused = true
-			return kept, nil
+		if idle.usable(time.Now()) && idle.address == server.Address {
+			idle.reused = true
+			return idle, nil
 		}
-		c.discard(kept)
+		c.discard(idle)
 	}
-	if !c.reserve(server) {
-		return nil, c.notSent(server, "too_many_connections", fmt.Errorf("%d connections are open", server.MaxConnections))
+	if !c.reserveSlot(server) {
+		return nil, c.notSentError(server, "too_many_connections", fmt.Errorf("limit of %d connections is reached", server.MaxConnections))
 	}
 	c.dials.Inc(1)
-	network, err := c.dialer.DialContext(ctx, "tcp", server.Address)
+	netConn, err := c.dialer.DialContext(ctx, "tcp", server.Address)
 	if err != nil {
-		c.release(server.ID)
-		return nil, c.notSent(server, "dial_failed", err)
+		c.releaseSlot(server.ID)
+		return nil, c.notSentError(server, "dial_failed", err)
 	}
-	return newConn(network, server), nil
+	return newConn(netConn, server), nil
 }
 
-func (c *Client) notSent(server Server, code string, err error) error {
+func (c *Client) notSentError(server Server, code string, err error) error {
 	return oops.In("upstream").Code(code).With("server", server.ID, "address", server.Address).Wrap(fmt.Errorf("%w: %w", ErrNotSent, err))
 }
 
-func (c *Client) takeIdle(id string) *conn {
+func (c *Client) takeIdle(serverID string) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	list := c.idle[id]
-	if len(list) == 0 {
+	idle := c.idle[serverID]
+	if len(idle) == 0 {
 		return nil
 	}
-	last := list[len(list)-1]
-	c.idle[id] = list[:len(list)-1]
-	return last
+	newest := idle[len(idle)-1]
+	c.idle[serverID] = idle[:len(idle)-1]
+	return newest
 }
 
-func (c *Client) reserve(server Server) bool {
+func (c *Client) reserveSlot(server Server) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if server.MaxConnections > 0 && c.open[server.ID] >= server.MaxConnections {
@@ -102,47 +106,47 @@
 	return true
 }
 
-func (c *Client) release(id string) {
+func (c *Client) releaseSlot(serverID string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.open[id]--; c.open[id] <= 0 {
-		delete(c.open, id)
+	if c.open[serverID]--; c.open[serverID] <= 0 {
+		delete(c.open, serverID)
 	}
 }
 
-// keep returns a connection to the idle ones.
-func (c *Client) keep(k *conn) {
+// putIdle adds a connection to the idle ones.
+func (c *Client) putIdle(cn *conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.idle[k.server] = append(c.idle[k.server], k)
+	c.idle[cn.serverID] = append(c.idle[cn.serverID], cn)
 }
 
-func (c *Client) discard(k *conn) {
-	k.network.Close()
-	c.release(k.server)
+func (c *Client) discard(cn *conn) {
+	cn.netConn.Close()
+	c.releaseSlot(cn.serverID)
 }
 
-// CloseIdle closes the idle connections whose time is over and those to servers
-// that are not in use any more.
-func (c *Client) CloseIdle(now time.Time, inUse func(id string) bool) {
+// CloseIdle closes the idle connections that have expired and those to servers that are
+// not in use any more.
+func (c *Client) CloseIdle(now time.Time, inUse func(serverID string) bool) {
 	c.mu.Lock()
 	var closing []*conn
-	for id, list := range c.idle {
+	for serverID, idle := range c.idle {
 		var kept []*conn
-		for _, k := range list {
-			if now.Before(k.expires) && inUse(id) {
-				kept = append(kept, k)
+		for _, cn := range idle {
+			if now.Before(cn.expires) && inUse(serverID) {
+				kept = append(kept, cn)
 			} else {
-				closing = append(closing, k)
+				closing = append(closing, cn)
 			}
 		}
-		c.idle[id] = kept
+		c.idle[serverID] = kept
 		if len(kept) == 0 {
-			delete(c.idle, id)
+			delete(c.idle, serverID)
 		}
 	}
 	c.mu.Unlock()
-	for _, k := range closing {
-		c.discard(k)
+	for _, cn := range closing {
+		c.discard(cn)
 	}
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,6 +1,6 @@
-// Package upstream sends requests to backend servers over connections that it
-// keeps. One request is sent on one connection at a time and never twice; an
-// answer belongs to its request or is dropped.
+// Package upstream sends HTTP/1.1 requests to backend servers over a pool of persistent
+// connections. A connection carries one request at a time, and the package never sends a
+// request again by itself. An answer to another request is dropped.
 package upstream
 
 import (
@@ -10,73 +10,76 @@
 	"time"
 )
 
-// Errors of a send. Each says what is known of the request.
+// Errors of Send. Each tells whether the server can have received the request.
 var (
-	// ErrNotSent reports a request of which no byte left.
+	// ErrNotSent reports a request of which no byte was sent.
 	ErrNotSent = errors.New("request was not sent")
-	// ErrMayHaveRun reports a request without a whole answer.
+	// ErrMayHaveRun reports a request that was sent, at least in part, and got no valid
+	// answer.
 	ErrMayHaveRun = errors.New("request may have run")
 )
 
-// Server is where a request is sent.
+// Server is the backend server that a request is sent to.
 type Server struct {
 	ID string
-	// Address is an IP number and a port.
+	// Address is an IP address and a port.
 	Address string
-	// MaxConnections bounds the connections of this instance to the server.
+	// MaxConnections bounds the connections of this instance to the server; 0 means that
+	// there is no bound.
 	MaxConnections int
 }
 
 // Request is one request to a backend server.
 type Request struct {
 	Method string
-	// Target is the path and query as they stand in the request line.
+	// Target is the path and query as in the request line.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Belongs reports whether an answer with a header is the one to this request;
-	// nil accepts every answer.
+	// Belongs reports whether an answer with a header is an answer to this request; nil
+	// accepts every answer.
 	Belongs func(http.Header) bool
 }
 
-// Answer is the answer to a request. Its body ends with io.EOF only when it is
-// whole.
+// Answer is the answer to a request. Its body ends with io.EOF only when it is complete.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Length is the length of the body, -1 when it is not known beforehand.
+	// Length is the length of the body in bytes, -1 when it is not known beforehand.
 	Length int64
 	Body   io.Reader
 
 	exchange *exchange
 }
 
-// Close ends the use of the answer. Its connection is kept when the whole answer
-// was read and nothing follows it.
+// Close ends the use of the answer. Its connection is kept for other requests when the
+// whole answer was read and nothing follows it, and closed otherwise.
 func (a *Answer) Close() { a.exchange.close() }
 
-// Timings of connections.
+// Timeouts and limits of connections.
 const (
-	// dialTimeout bounds the time for a new connection. It is many times the delay
-	// between regions.
+	// dialTimeout bounds the time to establish a connection. It is many times the network
+	// delay between regions.
 	dialTimeout = 400 * time.Millisecond
-	// userTimeout is how long sent bytes may stay without an acknowledgement.
-	userTimeout = 1500 * time.Millisecond
-	// probeInterval and probeCount notice silent connections.
-	probeInterval = time.Second
-	probeCount    = 2
-	// defaultIdle is how long an idle connection is kept when the server does not
-	// say; the check before each use notices those that it closed earlier.
-	defaultIdle = 8 * time.Second
-	// idleMargin is subtracted from the idle timeout of a server, for the time
-	// that a request needs to reach it.
-	idleMargin = 300 * time.Millisecond
-	// inlineBody is the size up to which a body is written before the answer is
-	// awaited. It fits the smallest window.
-	inlineBody = 1 << 10
-	// maxStrayAnswers bounds the answers of other requests that are skipped.
+	// tcpUserTimeout is how long sent bytes may remain unacknowledged.
+	tcpUserTimeout = 1500 * time.Millisecond
+	// keepAliveInterval and keepAliveCount are the interval and number of the keep-alive
+	// probes after which a connection without an answer is closed.
+	keepAliveInterval = time.Second
+	keepAliveCount    = 2
+	// defaultIdleTimeout is how long an idle connection is kept when the server does not
+	// announce its own timeout. The check before each use finds connections that the
+	// server closed earlier.
+	defaultIdleTimeout = 8 * time.Second
+	// idleTimeoutMargin is subtracted from the idle timeout of a server, to cover the
+	// time that a request needs to reach it.
+	idleTimeoutMargin = 300 * time.Millisecond
+	// maxInlineBodyBytes is the size up to which a body is written before the answer is
+	// awaited. It fits the smallest TCP window.
+	maxInlineBodyBytes = 1 << 10
+	// maxStrayAnswers bounds the answers to other requests that are skipped.
 	maxStrayAnswers = 2
-	// maxStrayBytes bounds the body of a skipped answer.
-	maxStrayBytes = 1 << 20
+	// maxStrayAnswerBytes bounds what is read of the body of a skipped answer.
+	maxStrayAnswerBytes = 1 << 20
 )
