--- a/internal/view/state.go
+++ b/internal/view/state.go
@@ -41,8 +41,8 @@
 	entries  map[string]store.Entry
 	table    *route.Table
 	servers  map[string]Server
-	// graceUntil holds, by ID, when the grace period ends of each server whose entry was
-	// removed around a store outage.
+	// graceUntil holds, by server ID, the end of the grace period of the servers whose
+	// entries were removed around a store outage.
 	graceUntil map[string]time.Time
 	// removals holds the latest removals in order: all those after the version
 	// removalsSince.
