--- a/internal/entry/state.go
+++ b/internal/entry/state.go
@@ -114,8 +114,8 @@
 	}
 	return jobs.New(jobs.Config{
 		Instance: s.Entry.Instance, Store: s.Access.Store, Members: jobPeers{s.Members, s.Client},
-		Runner: JobRunner{Configuration: s.Configuration, Executor: s.Executor, Admission: s.Admission, Now: time.Now},
-		BootTime:   clock.Boot{}.Now, WallTime: time.Now, Scope: s.Metrics.Scope, Log: s.Logger,
+		Runner:   JobRunner{Configuration: s.Configuration, Executor: s.Executor, Admission: s.Admission, Now: time.Now},
+		BootTime: clock.Boot{}.Now, WallTime: time.Now, Scope: s.Metrics.Scope, Log: s.Logger,
 	})
 }
 
