--- a/internal/backend/http_test.go
+++ b/internal/backend/http_test.go
@@ -51,8 +51,9 @@
 
 func event(name, data string) string { return fmt.Sprintf("event: %s\ndata: %s\n\n", name, data) }
 
-// Guards against an answer that is garbage, half, crossed or too large and is
-// taken for a whole one, and against an error that claims too much about what ran.
+// Guards against an answer that is malformed, truncated, too large or of another
+// attempt and is accepted as complete, and against an error that states wrongly
+// whether the stage may have run.
 func TestAnswers(t *testing.T) {
 	c := qt.New(t)
 	first := event(EventChunk, `{"attempt":"a1","offset":0,"data":"abc"}`)
@@ -68,7 +69,7 @@
 		{200, jsonType, `{"attempt":"a1","output":`, "", ErrBadAnswer, false},
 		{200, jsonType, `{"attempt":"a1","output":1}<cut>`, "", ErrBadAnswer, false},
 		{200, jsonType, `{"attempt":"a1","output":1}{}`, "", ErrBadAnswer, false},
-		{200, jsonType, `{"attempt":"a2","output":1}`, "", ErrCrossedAnswer, false},
+		{200, jsonType, `{"attempt":"a2","output":1}`, "", ErrWrongAttempt, false},
 		{200, jsonType, `{"attempt":"a1","output":"` + strings.Repeat("x", 20) + `"}`, "", ErrBadAnswer, false},
 		{200, jsonType, strings.Repeat("x", 10000), "", ErrBadAnswer, false},
 		{200, "text/html", "<html>", "", ErrBadAnswer, false},
@@ -77,8 +78,8 @@
 		{200, eventType, first, "abc", ErrBrokenStream, false},
 		{200, eventType, first + "<cut>", "abc", ErrBrokenStream, false},
 		{200, eventType, first + event(EventEnd, `{"attempt":"a1","bytes":4}`), "abc", ErrBadAnswer, false},
-		{200, eventType, first + event(EventEnd, `{"attempt":"a2","bytes":3}`), "abc", ErrCrossedAnswer, false},
-		{200, eventType, first + event(EventChunk, `{"attempt":"a2","offset":3,"data":"d"}`), "abc", ErrCrossedAnswer, false},
+		{200, eventType, first + event(EventEnd, `{"attempt":"a2","bytes":3}`), "abc", ErrWrongAttempt, false},
+		{200, eventType, first + event(EventChunk, `{"attempt":"a2","offset":3,"data":"d"}`), "abc", ErrWrongAttempt, false},
 		{200, eventType, first + first, "abc", ErrBadAnswer, false},
 		{200, eventType, event(EventChunk, `{"attempt":"a1","data":"`+strings.Repeat("x", 21)+`"}`), "", ErrBadAnswer, false},
 		{200, eventType, event(EventChunk, `{`), "", ErrBadAnswer, false},
@@ -101,8 +102,7 @@
 	}
 }
 
-// Guards against a connection that was refused and counts as a call that may
-// have run.
+// Guards against a refused connection that is reported as a call that may have run.
 func TestConnectionRefusedIsNotSent(t *testing.T) {
 	c := qt.New(t)
 	server := httptest.NewServer(nil)
--- a/internal/entry/admission_test.go
+++ b/internal/entry/admission_test.go
@@ -18,15 +18,15 @@
 	"github.com/coltsfootdrift/coltsfootdrift/routing"
 )
 
-// Guards against callers that wait forever, run above the limit, or leave their
-// place taken when they go away while they wait.
+// Guards against callers that wait forever or run above the limit, and against
+// tickets that stay in the queue when their callers disconnect while they wait.
 func TestAdmissionKeepsLimitUnderConcurrency(t *testing.T) {
 	c := qt.New(t)
 	set := &pipeline.Set{Deployment: pipeline.Deployment{Pools: []pipeline.Pool{{Name: "shelf", Slots: 3}}}}
 	discard := slog.New(slog.NewTextHandler(io.Discard, nil))
 	servers := NewServers("i", routing.Location{}, 1, discard, time.Now)
 	servers.Update([]platform.Member{{ID: "s", Role: platform.RoleBackend, Pool: "shelf", State: platform.StateLive}}, set)
-	control := NewAdmissionControl(servers, NewDecisionMetrics(tally.NoopScope), discard, time.Now)
+	control := NewAdmissionControl(servers, NewAdmissionMetrics(tally.NoopScope), discard, time.Now)
 	request := &Request{
 		Pipeline: &pipeline.Pipeline{Stages: []pipeline.Stage{{Name: "fetch", Pool: "shelf"}}},
 		Kind:     pipeline.Kind{Class: pipeline.ClassNormal},
@@ -56,13 +56,13 @@
 	callers.Wait()
 	control.Tick()
 	left, waiting := control.queues["shelf"].queue.Load()
-	c.Assert([]int{int(over.Load()), left, waiting, len(control.queues["shelf"].waiting)}, qt.DeepEquals, []int{0, 0, 0, 0})
+	c.Assert([]int{int(over.Load()), left, waiting, len(control.queues["shelf"].waiters)}, qt.DeepEquals, []int{0, 0, 0, 0})
 }
 
 // Guards against requests that are refused by a region above its capacity while
-// the other region and the link have room, and against ones that leave without a
-// budget for the link.
-func TestRefusedRequestLeavesTheRegion(t *testing.T) {
+// the other region and the link have capacity, and against requests that run in
+// another region without a budget for the link.
+func TestRefusedRequestRunsInOtherRegion(t *testing.T) {
 	c := qt.New(t)
 	set := &pipeline.Set{Deployment: pipeline.Deployment{LinkMbits: 30, Pools: []pipeline.Pool{{Name: "shelf", Slots: 1}}}}
 	discard := slog.New(slog.DiscardHandler)
@@ -71,7 +71,7 @@
 		{ID: "s", Role: platform.RoleBackend, Region: "near", FailureDomain: "near-a", Pool: "shelf", State: platform.StateLive},
 		{ID: "f", Role: platform.RoleBackend, Region: "far", FailureDomain: "far-a", Pool: "shelf", State: platform.StateLive},
 	}, set)
-	control := NewAdmissionControl(servers, NewDecisionMetrics(tally.NoopScope), discard, time.Now)
+	control := NewAdmissionControl(servers, NewAdmissionMetrics(tally.NoopScope), discard, time.Now)
 	admit := func(linkBytes int64) (*Request, *Problem) {
 		request := &Request{
 			Pipeline: &pipeline.Pipeline{Stages: []pipeline.Stage{{Name: "fetch", Pool: "shelf"}}},
@@ -89,9 +89,9 @@
 	c.Assert(problem == nil, qt.IsFalse)
 	request, problem := admit(1000)
 	c.Assert(problem == nil, qt.IsTrue)
-	picked, ok := servers.Pick(Query{Pool: "shelf", LinkBytes: 1000, Leave: request.leave, Remaining: time.Second})
+	picked, ok := servers.Pick(Query{Pool: "shelf", LinkBytes: 1000, CrossRegion: request.crossRegion, Remaining: time.Second})
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(picked.Server().ID, qt.Equals, "f")
 	picked.Done(nil, 600)
-	c.Assert(servers.LinkUsed(), qt.DeepEquals, map[quota.LinkUse]int64{{}: 600})
+	c.Assert(servers.LinkUsage(), qt.DeepEquals, map[quota.LinkUse]int64{{}: 600})
 }
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -13,25 +13,26 @@
 	"github.com/coltsfootdrift/coltsfootdrift/pipeline"
 )
 
-// maxResumes bounds how often one generated stream is continued.
+// maxResumes limits how often one generated stream is resumed.
 const maxResumes = 3
 
-// answer receives the answer of one server, over several attempts when a
-// generated stream breaks.
+// answer receives the answer of one server. It takes several attempts when a
+// generated stream breaks and is resumed.
 type answer struct {
 	call *stageCall
 	emit func([]byte) error
-	// whole is true when the answer is kept.
-	whole  bool
-	buffer bytes.Buffer
-	// bytes is the length of the answer so far.
+	// keepAnswer is true when the answer is also collected in buffer.
+	keepAnswer bool
+	buffer     bytes.Buffer
+	// bytes is the number of bytes received so far.
 	bytes int64
 }
 
-// receive calls the server and reads its answer to the end mark.
-func (a *answer) receive(ctx context.Context, picked Picked) error {
+// receive calls the server and reads its answer up to the end marker. It resumes
+// a broken stream at the same server.
+func (a *answer) receive(ctx context.Context, picked PickedServer) error {
 	for resumes := 0; ; resumes++ {
-		err := a.exchange(ctx, picked)
+		err := a.sendAttempt(ctx, picked)
 		if err == nil || resumes == maxResumes || !a.mayResume(ctx, err) {
 			return err
 		}
@@ -39,7 +40,7 @@
 	}
 }
 
-// mayResume reports whether the same server may continue a broken stream.
+// mayResume reports whether a broken stream may be resumed at the same server.
 func (a *answer) mayResume(ctx context.Context, err error) bool {
 	c := a.call
 	return errors.Is(err, backend.ErrBrokenStream) && a.bytes > 0 &&
@@ -47,8 +48,8 @@
 		!errors.Is(err, context.DeadlineExceeded) && c.Retries.Allow()
 }
 
-// exchange sends one attempt and reads what it answers.
-func (a *answer) exchange(ctx context.Context, picked Picked) error {
+// sendAttempt sends one attempt and reads its answer.
+func (a *answer) sendAttempt(ctx context.Context, picked PickedServer) error {
 	c := a.call
 	c.countAttempt(1)
 	stream, err := c.Caller.Call(ctx, picked.Server(), c.stageRequest(uuid.NewString(), a.bytes))
@@ -56,19 +57,19 @@
 		if backend.DefinitelyNotRun(err) {
 			c.countAttempt(-1)
 		}
-		c.countCrossed(err)
+		c.countMismatched(err)
 		return err
 	}
 	err = a.read(stream, picked)
-	c.countCrossed(err)
-	// The end mark was verified, so that an error of Close loses nothing.
+	c.countMismatched(err)
+	// The end marker was verified, so an error from Close cannot mean lost data.
 	_ = stream.Close()
 	return err
 }
 
-func (a *answer) read(stream backend.StageStream, picked Picked) error {
+func (a *answer) read(stream backend.StageStream, picked PickedServer) error {
 	for {
-		piece, err := stream.Next()
+		chunk, err := stream.Next()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
@@ -78,24 +79,25 @@
 		if a.bytes == 0 {
 			picked.FirstByte()
 		}
-		if err := a.add(piece); err != nil {
+		if err := a.addChunk(chunk); err != nil {
 			return err
 		}
 	}
 }
 
-// add hands a piece on. When the caller has gone but a once call was sent, the
-// rest is read for the record only.
-func (a *answer) add(piece []byte) error {
-	a.bytes += int64(len(piece))
-	if a.whole {
-		a.buffer.Write(piece)
+// addChunk passes a chunk to the caller and to the buffer. When the caller has
+// disconnected but a non-idempotent call was sent, the rest of the answer is read
+// only to be recorded.
+func (a *answer) addChunk(chunk []byte) error {
+	a.bytes += int64(len(chunk))
+	if a.keepAnswer {
+		a.buffer.Write(chunk)
 	}
 	if a.emit == nil {
 		return nil
 	}
 	a.call.emitted = true
-	err := a.emit(piece)
+	err := a.emit(chunk)
 	if err != nil && a.call.isDetached() {
 		a.emit = nil
 		return nil
@@ -103,11 +105,12 @@
 	return err
 }
 
-// output returns the kept answer as JSON, or nil. Only generated text can be
-// something else than JSON; the other stage types answer a JSON value.
+// output returns the collected answer as JSON, or nil when it was not collected.
+// Only generated text may be no JSON; the other stage types answer with a JSON
+// value.
 func (a *answer) output() json.RawMessage {
 	switch {
-	case !a.whole:
+	case !a.keepAnswer:
 		return nil
 	case a.call.stage.Type == pipeline.StageGenerate:
 		return asJSON(a.buffer.Bytes())
@@ -116,8 +119,9 @@
 	}
 }
 
-// asJSON returns generated text as a JSON document: data itself when it is one,
-// unless it is a JSON string, and otherwise a JSON string of it. asText reverses it.
+// asJSON encodes generated text as a JSON document. Data that is a JSON document
+// other than a string is returned unchanged; all other data becomes a JSON string.
+// asText reverses it.
 func asJSON(data []byte) json.RawMessage {
 	if json.Valid(data) && !isJSONString(data) {
 		return data
@@ -129,8 +133,8 @@
 	return text
 }
 
-// asText returns an answer as it is streamed: the text of a JSON string, and any
-// other document itself.
+// asText returns an answer in the form in which it is streamed: the decoded text
+// of a JSON string, or any other JSON document unchanged.
 func asText(answer json.RawMessage) []byte {
 	var text string
 	if isJSONString(answer) && json.Unmarshal(answer, &text) == nil {
@@ -143,7 +147,8 @@
 	return bytes.HasPrefix(bytes.TrimLeft(data, " \t\r\n"), []byte(`"`))
 }
 
-// countAttempt records that an attempt may have run (1), or did not (-1).
+// countAttempt adds n to the number of attempts that may have run: 1 before an
+// attempt is sent, -1 when it certainly did not run.
 func (c *stageCall) countAttempt(n int32) {
 	c.maybeRan.Add(n)
 	if c.stage.Once {
@@ -151,9 +156,10 @@
 	}
 }
 
-// countCrossed counts an answer that belongs to another attempt.
-func (c *stageCall) countCrossed(err error) {
-	if errors.Is(err, backend.ErrCrossedAnswer) {
+// countMismatched counts an answer that was dropped because it belongs to another
+// attempt.
+func (c *stageCall) countMismatched(err error) {
+	if errors.Is(err, backend.ErrWrongAttempt) {
 		c.Metrics.dropped.Inc(1)
 	}
 }
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -11,24 +11,26 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/claims"
 )
 
-// releaseRetryAfter is when a caller may come back whose key is about to be freed.
+// releaseRetryAfter is the Retry-After delay for a caller whose key is about to be
+// freed.
 const releaseRetryAfter = time.Second
 
-// storeRetryAfter is when a caller may come back while the store is down. It is
-// the longest backoff after an outage.
+// storeRetryAfter is the Retry-After delay while the store is down. It equals the
+// longest backoff after an outage.
 const storeRetryAfter = 5 * time.Second
 
-// StoreClaims are Claims that are kept in the store.
+// StoreClaims implements Claims with records in the store.
 type StoreClaims struct {
 	Claims *claims.Claims
 }
 
-// Claim implements Claims. It waits for a running attempt until the deadline.
+// Claim implements Claims. It waits for a running attempt with the same key until
+// ctx ends.
 func (s StoreClaims) Claim(ctx context.Context, request *Request) (Claim, *RecordedAnswer, *Problem) {
 	reply := s.Claims.Claim(ctx, claims.Request{
-		ID:        claim.NewID(request.Organisation.Name, request.Pipeline.Name, request.Kind.Name, request.Key),
-		Body:      sha256.Sum256(request.Body),
-		Retention: claimRetention(request),
+		ID:         claim.NewID(request.Organisation.Name, request.Pipeline.Name, request.Kind.Name, request.Key),
+		BodySHA256: sha256.Sum256(request.Body),
+		Retention:  claimRetention(request),
 	})
 	switch {
 	case reply.Grant != nil:
@@ -36,14 +38,14 @@
 	case reply.Answer != nil:
 		return nil, recordedAnswer(reply.Answer), nil
 	default:
-		return nil, nil, claimRefusal(reply.Refusal)
+		return nil, nil, claimProblem(reply.Refusal)
 	}
 }
 
-// claimRetention outlasts the request itself, so that a key does not expire while
-// its attempt runs.
+// claimRetention returns how long a claim is kept. It is at least the longest
+// duration of the request, so that a key does not expire while its attempt runs.
 func claimRetention(request *Request) time.Duration {
-	return max(request.Kind.Retention(), request.Kind.MaxWait()+claims.GrantLife)
+	return max(request.Kind.Retention(), request.Kind.MaxWait()+claims.GrantLifetime)
 }
 
 func recordedAnswer(answer *claim.Answer) *RecordedAnswer {
@@ -54,23 +56,24 @@
 	return recorded
 }
 
-// claimRefusal is the answer to a caller whose key is neither granted nor recorded.
-func claimRefusal(reason claims.Refusal) *Problem {
+// claimProblem returns the problem for a caller whose key was not granted and has
+// no recorded answer.
+func claimProblem(reason claims.Refusal) *Problem {
 	switch reason {
-	case claims.RefusedBody:
-		return notRun(http.StatusConflict, ProblemInvalid, "key used with another body",
+	case claims.RefusedBodyMismatch:
+		return notRunProblem(http.StatusConflict, ProblemInvalid, "key used with another body",
 			"the idempotency key belongs to a request with another body")
-	case claims.RefusedStore:
-		return retryLater("the store cannot be reached", storeRetryAfter)
-	case claims.RefusedReleasing:
-		return retryLater("an earlier attempt had no effect and its key is being freed", releaseRetryAfter)
-	case claims.RefusedUnread:
+	case claims.RefusedStoreUnavailable:
+		return claimUnavailable("the store cannot be reached", storeRetryAfter)
+	case claims.RefusedReleasePending:
+		return claimUnavailable("an earlier attempt had no effect and its key is being freed", releaseRetryAfter)
+	case claims.RefusedAnswerUnavailable:
 		return &Problem{
 			Type: ProblemUnavailable, Title: "the recorded answer cannot be read now", Status: http.StatusServiceUnavailable,
 			Detail: "an earlier request with the same key has finished", Outcome: OutcomeUnknown,
 			RetryAfterMS: storeRetryAfter.Milliseconds(),
 		}
-	case claims.RefusedWaiting:
+	case claims.RefusedStillRunning:
 		return &Problem{
 			Type: ProblemDeadline, Title: "deadline expired", Status: http.StatusGatewayTimeout,
 			Detail: "an earlier request with the same key is still running", Outcome: OutcomeUnknown,
@@ -82,13 +85,15 @@
 	}
 }
 
-func retryLater(detail string, after time.Duration) *Problem {
-	problem := notRun(http.StatusServiceUnavailable, ProblemUnavailable, "keys cannot be claimed now", detail)
+// claimUnavailable returns the problem of a request whose key cannot be claimed
+// now; the caller may retry after the given time.
+func claimUnavailable(detail string, after time.Duration) *Problem {
+	problem := notRunProblem(http.StatusServiceUnavailable, ProblemUnavailable, "keys cannot be claimed now", detail)
 	problem.RetryAfterMS = after.Milliseconds()
 	return problem
 }
 
-// storeClaim is a granted claim.
+// storeClaim implements Claim with a grant from the store.
 type storeClaim struct {
 	grant *claims.Grant
 }
--- a/internal/entry/claimwait_test.go
+++ b/internal/entry/claimwait_test.go
@@ -10,20 +10,20 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/claims"
 )
 
-// waitingClaims stands for a key whose holder never answers.
+// waitingClaims implements Claims for a key whose owner never answers.
 type waitingClaims struct{}
 
 func (waitingClaims) Claim(ctx context.Context, _ *Request) (Claim, *RecordedAnswer, *Problem) {
 	<-ctx.Done()
-	return nil, nil, claimRefusal(claims.RefusedWaiting)
+	return nil, nil, claimProblem(claims.RefusedStillRunning)
 }
 
-// Guards against a repeated key that waits for a paused holder beyond the deadline
-// of its request.
+// Guards against a request with a repeated key that waits beyond its deadline for
+// the owner of the key, which is paused.
 func TestClaimWaitsUntilDeadline(t *testing.T) {
 	c := qt.New(t)
 	h := newTestHandler(&fakeCaller{}, waitingClaims{})
-	recorder := do(h, "order", "{}", http.Header{"Idempotency-Key": {"k"}, "Grpc-Timeout": {"50m"}})
+	recorder := postRequest(h, "order", "{}", http.Header{"Idempotency-Key": {"k"}, "Grpc-Timeout": {"50m"}})
 	c.Assert(recorder.Code, qt.Equals, http.StatusGatewayTimeout)
 	c.Assert(recorder.Header().Get(HeaderOutcome), qt.Equals, string(OutcomeUnknown))
 }
--- a/internal/entry/shutdown_test.go
+++ b/internal/entry/shutdown_test.go
@@ -20,47 +20,47 @@
 	"github.com/coltsfootdrift/coltsfootdrift/pipeline"
 )
 
-// stopped is a daemon that was told to stop while one request is running.
-type stopped struct {
+// stoppingDaemon is a daemon that received a stop signal while one request runs.
+type stoppingDaemon struct {
 	entry   settings.Entry
 	signals chan os.Signal
 	// release lets the running request finish.
 	release chan struct{}
 	answer  chan int
 	result  chan error
-	log     *lockedBuffer
+	log     *syncBuffer
 }
 
-// lockedBuffer is a log that is read while a shutdown that was cut short goes on
-// in the background.
-type lockedBuffer struct {
+// syncBuffer is a log buffer that may be read while a shutdown that returned early
+// still writes to it in the background.
+type syncBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
 }
 
-func (b *lockedBuffer) Write(data []byte) (int, error) {
+func (b *syncBuffer) Write(data []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.buffer.Write(data)
 }
 
-func (b *lockedBuffer) String() string {
+func (b *syncBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.buffer.String()
 }
 
-// stopWhileRunning runs a daemon, starts a request that blocks and sends a signal.
-func stopWhileRunning(c *qt.C, entry settings.Entry, options ...fx.Option) *stopped {
-	s := &stopped{
+// startAndSignal runs a daemon, starts a request that blocks and sends a signal.
+func startAndSignal(c *qt.C, entry settings.Entry, options ...fx.Option) *stoppingDaemon {
+	s := &stoppingDaemon{
 		entry: entry, signals: make(chan os.Signal, 2), release: make(chan struct{}),
-		answer: make(chan int, 1), result: make(chan error, 1), log: &lockedBuffer{},
+		answer: make(chan int, 1), result: make(chan error, 1), log: &syncBuffer{},
 	}
 	called := make(chan struct{}, 2)
 	caller := &fakeCaller{answer: func(context.Context, string, backend.StageRequest) (backend.StageStream, error) {
 		called <- struct{}{}
 		<-s.release
-		return whole(`1`), nil
+		return completeStream(`1`), nil
 	}}
 	options = append(options, fx.Decorate(func() backend.Caller { return caller }))
 	logger := slog.New(slog.NewTextHandler(s.log, nil))
@@ -93,13 +93,13 @@
 	return response.StatusCode
 }
 
-// Guards against a planned stop that cuts off a request, closes the listener
+// Guards against a graceful shutdown that cuts off a request, closes the listener
 // while the instance is still ready, or runs its steps out of order.
 func TestGracefulShutdown(t *testing.T) {
 	c := qt.New(t)
 	entry := entrySettings(c)
 	var steps []string
-	var s *stopped
+	var s *stoppingDaemon
 	withdrawn := make(chan struct{})
 	addSteps := func(registry *StopSteps) {
 		add := func(phase StopPhase, name string) {
@@ -122,7 +122,7 @@
 			return response.Body.Close()
 		}})
 	}
-	s = stopWhileRunning(c, entry, fx.Invoke(addSteps))
+	s = startAndSignal(c, entry, fx.Invoke(addSteps))
 	<-withdrawn
 	close(s.release)
 	c.Assert(<-s.answer, qt.Equals, http.StatusOK)
@@ -131,8 +131,8 @@
 	c.Assert(s.log.String(), qt.Contains, "event=1003")
 }
 
-// Guards against a second signal or a passed deadline that is ignored, or that
-// hides how many requests were cut off.
+// Guards against a second signal or an expired deadline that is ignored, and
+// against an early end that does not report the number of requests cut off.
 func TestShutdownCutOff(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
@@ -145,7 +145,7 @@
 	} {
 		entry := entrySettings(c)
 		entry.ShutdownDeadlineMS = test.deadlineMS
-		s := stopWhileRunning(c, entry)
+		s := startAndSignal(c, entry)
 		if test.signal {
 			s.signals <- syscall.SIGTERM
 		}
@@ -156,7 +156,8 @@
 	}
 }
 
-// Guards against a shutdown deadline below the longest request in force.
+// Guards against a shutdown deadline that is shorter than the longest request of
+// the configuration.
 func TestShutdownDeadline(t *testing.T) {
 	c := qt.New(t)
 	set := &pipeline.Set{Pipelines: []pipeline.Pipeline{
--- a/internal/entry/state.go
+++ b/internal/entry/state.go
@@ -18,15 +18,16 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/settings"
 )
 
-// state provides claims and durable work to an instance with a store.
-var state = fx.Options(
-	fx.Provide(newDirectory, newClaims, newJobs, provideState),
+// stateOptions provides claims and jobs to an instance with a store.
+var stateOptions = fx.Options(
+	fx.Provide(newDirectory, newClaims, newJobs, newClaimsAndJobs),
 	fx.Invoke(runState),
 )
 
-// directory knows the other instances from the platform's list. The list lags,
-// but all instances see the same one, so that they agree on the appenders.
-type directory struct {
+// instanceDirectory implements claims.Directory with the platform's instance list.
+// The list lags, but all instances read the same one, so that they agree on the
+// appenders.
+type instanceDirectory struct {
 	entry         settings.Entry
 	configuration ConfigurationSource
 
@@ -34,13 +35,13 @@
 	listed map[string]platform.Member
 }
 
-func newDirectory(entry settings.Entry, configuration ConfigurationSource, feed *ListFeed) *directory {
-	d := &directory{entry: entry, configuration: configuration}
-	feed.Observe(d.update)
+func newDirectory(entry settings.Entry, configuration ConfigurationSource, poller *InstanceListPoller) *instanceDirectory {
+	d := &instanceDirectory{entry: entry, configuration: configuration}
+	poller.Observe(d.update)
 	return d
 }
 
-func (d *directory) update(members []platform.Member) {
+func (d *instanceDirectory) update(members []platform.Member) {
 	listed := map[string]platform.Member{}
 	for _, member := range members {
 		if member.Role == platform.RoleEntry {
@@ -52,9 +53,9 @@
 	d.listed = listed
 }
 
-// Appenders implements claims.Directory, in no particular order. A deployment
-// without a store region uses all instances.
-func (d *directory) Appenders() []string {
+// Appenders implements claims.Directory. The IDs are in no particular order. In a
+// deployment without a store region all live instances are appenders.
+func (d *instanceDirectory) Appenders() []string {
 	region := ""
 	if set := d.configuration.Current(); set != nil {
 		region = set.Deployment.StoreRegion
@@ -71,7 +72,7 @@
 }
 
 // Address implements claims.Directory.
-func (d *directory) Address(instance string) (string, bool) {
+func (d *instanceDirectory) Address(instance string) (string, bool) {
 	if instance == d.entry.Instance {
 		return d.entry.PeerAddress, true
 	}
@@ -81,20 +82,20 @@
 	return member.Address, ok
 }
 
-func newClaims(entry settings.Entry, access *StoreAccess, d *directory, client *peer.Client, m *metrics.Metrics, logger *slog.Logger) *claims.Claims {
+func newClaims(entry settings.Entry, access *StoreAccess, d *instanceDirectory, client *peer.Client, m *metrics.Metrics, logger *slog.Logger) *claims.Claims {
 	if access.Store == nil {
 		return nil
 	}
 	peers := claims.Peers{Client: client, Directory: d}
 	return claims.New(claims.Config{
 		Instance: entry.Instance, Store: access.Store, Forwarder: peers, Awaiter: peers,
-		Boot: clock.Boot{}.Now, Wall: time.Now, Scope: m.Scope, Log: logger,
-		WriteInterval: claims.WriteInterval, SettleInterval: claims.SettleInterval,
+		BootTime: clock.Boot{}.Now, WallTime: time.Now, Scope: m.Scope, Log: logger,
+		WriteInterval: claims.WriteInterval, RecordRetryInterval: claims.RecordRetryInterval,
 	})
 }
 
-// jobService is what newJobs combines.
-type jobService struct {
+// jobsParams are the dependencies of newJobs.
+type jobsParams struct {
 	fx.In
 	Entry         settings.Entry
 	Access        *StoreAccess
@@ -107,20 +108,20 @@
 	Logger        *slog.Logger
 }
 
-func newJobs(s jobService) *jobs.Jobs {
+func newJobs(s jobsParams) *jobs.Jobs {
 	if s.Access.Store == nil {
 		return nil
 	}
 	return jobs.New(jobs.Config{
 		Instance: s.Entry.Instance, Store: s.Access.Store, Members: jobPeers{s.Members, s.Client},
-		Runner: JobRunner{Configuration: s.Configuration, Executor: s.Executor, Admission: s.Admission, Now: time.Now},
-		Boot:   clock.Boot{}.Now, Wall: time.Now, Scope: s.Metrics.Scope, Log: s.Logger,
+		Runner:   JobRunner{Configuration: s.Configuration, Executor: s.Executor, Admission: s.Admission, Now: time.Now},
+		BootTime: clock.Boot{}.Now, WallTime: time.Now, Scope: s.Metrics.Scope, Log: s.Logger,
 	})
 }
 
-// provideState returns nil interfaces for an instance without a store, which
+// newClaimsAndJobs returns nil interfaces for an instance without a store, which
 // then refuses at-most-once and durable requests.
-func provideState(c *claims.Claims, j *jobs.Jobs) (Claims, Jobs) {
+func newClaimsAndJobs(c *claims.Claims, j *jobs.Jobs) (Claims, Jobs) {
 	if c == nil || j == nil {
 		return nil, nil
 	}
@@ -128,30 +129,31 @@
 	return granted, StoreJobs{Jobs: j, Claims: granted}
 }
 
-// jobPeers offers the jobs of an instance that stops to the other members of its
-// failure domain.
+// jobPeers implements jobs.Members. It offers the jobs of an instance that stops to
+// the other members of its failure domain.
 type jobPeers struct {
 	members *Members
 	client  *peer.Client
 }
 
-// Domain implements jobs.Members.
-func (p jobPeers) Domain() []string { return p.members.Live() }
+// FailureDomainInstances implements jobs.Members.
+func (p jobPeers) FailureDomainInstances() []string { return p.members.Live() }
 
-// JobsReleased implements jobs.Members. The members get the jobs in turn.
+// JobsReleased implements jobs.Members. It distributes the jobs among the other
+// members in turn (round robin).
 func (p jobPeers) JobsReleased(ctx context.Context, ids []string) {
-	addresses := p.members.others()
+	addresses := p.members.peerAddresses()
 	if len(addresses) == 0 {
 		return
 	}
 	for i, id := range ids {
-		// A job that is not taken is found by a scan.
+		// A job whose hand-over fails is found by a later scan of the store.
 		_, _ = p.client.HandOverJob(ctx, addresses[i%len(addresses)], []byte(id))
 	}
 }
 
-// stateService is what runState starts and stops.
-type stateService struct {
+// stateParams are the dependencies of runState.
+type stateParams struct {
 	fx.In
 	Claims *claims.Claims
 	Jobs   *jobs.Jobs
@@ -159,8 +161,8 @@
 	Steps  *StopSteps
 }
 
-// runState serves claims and jobs to the other instances and runs durable work.
-func runState(lc fx.Lifecycle, s stateService) {
+// runState serves claims and jobs to the other instances and runs jobs.
+func runState(lc fx.Lifecycle, s stateParams) {
 	if s.Claims == nil || s.Jobs == nil {
 		return
 	}
@@ -171,8 +173,8 @@
 		return nil
 	}})
 	s.Steps.Add(StopStep{StopClaims, "claims", func(ctx context.Context) error {
-		if left := s.Claims.Settle(ctx); left > 0 {
-			return fmt.Errorf("%d ends of claims are not recorded", left)
+		if left := s.Claims.WaitRecorded(ctx); left > 0 {
+			return fmt.Errorf("the outcomes of %d claims are not recorded", left)
 		}
 		return nil
 	}})
@@ -180,7 +182,7 @@
 	var running sync.WaitGroup
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
-			running.Go(func() { s.Jobs.Work(ctx) })
+			running.Go(func() { s.Jobs.Serve(ctx) })
 			return nil
 		},
 		OnStop: func(context.Context) error {
