--- a/internal/entry/claimwait_test.go
+++ b/internal/entry/claimwait_test.go
@@ -15,7 +15,7 @@
 
 func (waitingClaims) Claim(ctx context.Context, _ *Request) (Claim, *RecordedAnswer, *Problem) {
 	<-ctx.Done()
-	return nil, nil, claimProblem(claims.RefusedWaiting)
+	return nil, nil, claimProblem(claims.RefusedStillRunning)
 }
 
 // Guards against a request with a repeated key that waits beyond its deadline for
--- a/internal/entry/execute.go
+++ b/internal/entry/execute.go
@@ -94,7 +94,7 @@
 // Execute runs all stages until the deadline. When parent ends, the execution is
 // cancelled unless a non-idempotent call was sent, whose outcome must be recorded.
 func (e *Executor) Execute(parent context.Context, request *Request, options ExecutionOptions) Result {
-	order, err := request.Pipeline.Order()
+	order, err := request.Pipeline.TopologicalOrder()
 	if err != nil {
 		return failedResult(notRunProblem(500, ProblemInvalid, "invalid pipeline", err.Error()))
 	}
--- a/internal/entry/jobs_test.go
+++ b/internal/entry/jobs_test.go
@@ -26,7 +26,7 @@
 // singleInstance implements jobs.Members for a failure domain of one instance.
 type singleInstance struct{}
 
-func (singleInstance) Domain() []string                       { return []string{"a"} }
+func (singleInstance) FailureDomainInstances() []string       { return []string{"a"} }
 func (singleInstance) JobsReleased(context.Context, []string) {}
 
 // newDurableHandler returns a handler that serves the durable kind k of the
@@ -37,16 +37,16 @@
 	set.Pipelines[0].Kinds = []pipeline.Kind{{Name: "k", Repeat: pipeline.RepeatIdempotent, MaxWaitMS: 60000, Durable: true}}
 	fake, log := storetest.New(), slog.New(slog.DiscardHandler)
 	h.Claims = StoreClaims{claims.New(claims.Config{
-		Instance: "a", Store: fake, Forwarder: claims.Alone{}, Awaiter: claims.Alone{}, Boot: time.Now, Wall: time.Now,
-		Scope: tally.NoopScope, Log: log, SettleInterval: time.Millisecond,
+		Instance: "a", Store: fake, Forwarder: claims.NoPeers{}, Awaiter: claims.NoPeers{}, BootTime: time.Now, WallTime: time.Now,
+		Scope: tally.NoopScope, Log: log, RecordRetryInterval: time.Millisecond,
 	})}
 	durable := jobs.New(jobs.Config{
-		Instance: "a", Store: fake, Members: singleInstance{}, Boot: time.Now, Wall: time.Now, Scope: tally.NoopScope, Log: log,
+		Instance: "a", Store: fake, Members: singleInstance{}, BootTime: time.Now, WallTime: time.Now, Scope: tally.NoopScope, Log: log,
 		Runner: JobRunner{Configuration: h.Configuration, Executor: h.Executor, Now: time.Now},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	c.Cleanup(cancel)
-	go durable.Work(ctx)
+	go durable.Serve(ctx)
 	h.Jobs = StoreJobs{Jobs: durable, Claims: h.Claims}
 	for {
 		if _, err := durable.Submit(ctx, jobs.Job{Organisation: "none"}); err == nil {
--- a/internal/entry/state.go
+++ b/internal/entry/state.go
@@ -89,8 +89,8 @@
 	peers := claims.Peers{Client: client, Directory: d}
 	return claims.New(claims.Config{
 		Instance: entry.Instance, Store: access.Store, Forwarder: peers, Awaiter: peers,
-		Boot: clock.Boot{}.Now, Wall: time.Now, Scope: m.Scope, Log: logger,
-		WriteInterval: claims.WriteInterval, SettleInterval: claims.SettleInterval,
+		BootTime: clock.Boot{}.Now, WallTime: time.Now, Scope: m.Scope, Log: logger,
+		WriteInterval: claims.WriteInterval, RecordRetryInterval: claims.RecordRetryInterval,
 	})
 }
 
@@ -114,8 +114,8 @@
 	}
 	return jobs.New(jobs.Config{
 		Instance: s.Entry.Instance, Store: s.Access.Store, Members: jobPeers{s.Members, s.Client},
-		Runner: JobRunner{Configuration: s.Configuration, Executor: s.Executor, Admission: s.Admission, Now: time.Now},
-		Boot:   clock.Boot{}.Now, Wall: time.Now, Scope: s.Metrics.Scope, Log: s.Logger,
+		Runner:   JobRunner{Configuration: s.Configuration, Executor: s.Executor, Admission: s.Admission, Now: time.Now},
+		BootTime: clock.Boot{}.Now, WallTime: time.Now, Scope: s.Metrics.Scope, Log: s.Logger,
 	})
 }
 
@@ -136,8 +136,8 @@
 	client  *peer.Client
 }
 
-// Domain implements jobs.Members.
-func (p jobPeers) Domain() []string { return p.members.Live() }
+// FailureDomainInstances implements jobs.Members.
+func (p jobPeers) FailureDomainInstances() []string { return p.members.Live() }
 
 // JobsReleased implements jobs.Members. It distributes the jobs among the other
 // members in turn (round robin).
@@ -173,7 +173,7 @@
 		return nil
 	}})
 	s.Steps.Add(StopStep{StopClaims, "claims", func(ctx context.Context) error {
-		if left := s.Claims.Settle(ctx); left > 0 {
+		if left := s.Claims.WaitRecorded(ctx); left > 0 {
 			return fmt.Errorf("the outcomes of %d claims are not recorded", left)
 		}
 		return nil
@@ -182,7 +182,7 @@
 	var running sync.WaitGroup
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
-			running.Go(func() { s.Jobs.Work(ctx) })
+			running.Go(func() { s.Jobs.Serve(ctx) })
 			return nil
 		},
 		OnStop: func(context.Context) error {
--- a/internal/proof/crash_test.go
+++ b/internal/proof/crash_test.go
@@ -51,7 +51,7 @@
 	pausedAt := time.Now()
 	l.resend(keyed)
 	// The pause lasts longer than the grant and the leases of 10 s.
-	f.waitUntil("end of the pause", func() bool { return time.Since(pausedAt) > claims.GrantLife+time.Second })
+	f.waitUntil("end of the pause", func() bool { return time.Since(pausedAt) > claims.GrantLifetime+time.Second })
 	victim.signal(syscall.SIGCONT)
 	running.Wait()
 	l.addBurst(keyed)
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -116,16 +116,16 @@
 		return http.StatusBadRequest
 	case e.acceptedOrders[order.ID]:
 		return http.StatusOK
-	case e.config.FencesOrders && order.Fencing < e.fencingToken:
+	case e.config.FencesOrders && order.FencingToken < e.fencingToken:
 		return http.StatusConflict
-	case order.LifeMS <= 0:
+	case order.TTLMS <= 0:
 		return http.StatusGone
 	case e.state.Loading:
 		return http.StatusTooManyRequests
 	case order.Action == actionLoad && !e.config.Weights.Allow():
 		return http.StatusTooManyRequests
 	}
-	e.fencingToken = max(e.fencingToken, order.Fencing)
+	e.fencingToken = max(e.fencingToken, order.FencingToken)
 	e.acceptedOrders[order.ID] = true
 	e.execute(order)
 	return http.StatusAccepted
--- a/pipeline/order_test.go
+++ b/pipeline/topology_test.go
@@ -8,7 +8,7 @@
 )
 
 // Guards against a stage that runs before the stages whose results it reads.
-func TestOrderFollowsPredecessors(t *testing.T) {
+func TestTopologicalOrderFollowsPredecessors(t *testing.T) {
 	c := qt.New(t)
 	p := Pipeline{Name: "p", Stages: []Stage{
 		{Name: "answer", After: []string{"rank", "fetch"}},
@@ -17,8 +17,8 @@
 		{Name: "encode"},
 	}}
 	p.Stages[3].After = nil
-	// The last stage of the file reads its neighbour unless it says otherwise.
-	_, err := p.Order()
+	// A stage without After reads the preceding stage, here "fetch".
+	_, err := p.TopologicalOrder()
 	var cycle *CycleError
 	c.Assert(errors.As(err, &cycle), qt.IsTrue)
 
@@ -28,7 +28,7 @@
 		{Name: "rank", After: []string{"fetch"}},
 		{Name: "fetch", After: []string{"encode"}},
 	}
-	order, err := p.Order()
+	order, err := p.TopologicalOrder()
 	c.Assert(err, qt.IsNil)
 	c.Assert(order, qt.DeepEquals, []int{0, 3, 2, 1})
 }
