--- a/internal/traffic/client.go
+++ b/internal/traffic/client.go
@@ -33,7 +33,7 @@
 	// Body is the whole answer body when the outcome is completed.
 	Body []byte
 	// Digest is the SHA-256 of the answer in hexadecimal. It is set instead of Body
-	// for a repeated request whose answer is no longer stored.
+	// for a repeated request whose answer is not stored.
 	Digest string
 	// Location is the status path of an accepted durable request.
 	Location string
