--- a/internal/experiment/baselines.go
+++ b/internal/experiment/baselines.go
@@ -10,38 +10,38 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/entry"
 )
 
-// Policies that are compared. PolicyOwn is the system's.
+// Policies that are compared. PolicyColtsfootdrift is the system's.
 const (
-	PolicyOwn          = "coltsfootdrift"
-	PolicyRoundRobin   = "round robin"
-	PolicyLeast        = "least requests"
-	PolicyTwoReported  = "two choices, reported load"
-	PolicyLatency      = "latency average"
-	latencyGain        = 0.2
-	unmeasuredIsFaster = 0
+	PolicyColtsfootdrift = "coltsfootdrift"
+	PolicyRoundRobin     = "round robin"
+	PolicyLeastRequests  = "least requests"
+	PolicyTwoChoices     = "two choices, reported load"
+	PolicyLatencyAverage = "latency average"
+	latencyWeight        = 0.2
+	unmeasuredLatency    = 0
 )
 
 // Policies lists all policies, the system's own first.
-var Policies = []string{PolicyOwn, PolicyRoundRobin, PolicyLeast, PolicyTwoReported, PolicyLatency}
+var Policies = []string{PolicyColtsfootdrift, PolicyRoundRobin, PolicyLeastRequests, PolicyTwoChoices, PolicyLatencyAverage}
 
 // baseline is a Picker that knows nothing of regions, peers or stragglers.
 type baseline struct {
 	policy  string
 	servers []backend.Server
 
-	mu       sync.Mutex
-	random   *rand.Rand
-	next     int
-	inFlight []int
-	reported []int
-	mean     []float64
+	mu           sync.Mutex
+	random       *rand.Rand
+	next         int
+	inFlight     []int
+	reportedLoad []int
+	meanLatency  []float64
 }
 
 func newBaseline(policy string, servers []backend.Server, seed uint64) *baseline {
 	random := rand.New(rand.NewPCG(seed, 2))
 	return &baseline{
 		policy: policy, servers: servers, random: random, next: random.IntN(len(servers)),
-		inFlight: make([]int, len(servers)), reported: make([]int, len(servers)), mean: make([]float64, len(servers)),
+		inFlight: make([]int, len(servers)), reportedLoad: make([]int, len(servers)), meanLatency: make([]float64, len(servers)),
 	}
 }
 
@@ -66,13 +66,13 @@
 func (b *baseline) choose(candidates []int) int {
 	b.next++
 	switch b.policy {
-	case PolicyLeast:
+	case PolicyLeastRequests:
 		return b.lowest(candidates, func(i int) float64 { return float64(b.inFlight[i]) })
-	case PolicyLatency:
-		return b.lowest(candidates, func(i int) float64 { return b.mean[i] })
-	case PolicyTwoReported:
-		two := []int{candidates[b.random.IntN(len(candidates))], candidates[b.random.IntN(len(candidates))]}
-		return b.lowest(two, func(i int) float64 { return float64(b.reported[i]) })
+	case PolicyLatencyAverage:
+		return b.lowest(candidates, func(i int) float64 { return b.meanLatency[i] })
+	case PolicyTwoChoices:
+		pair := []int{candidates[b.random.IntN(len(candidates))], candidates[b.random.IntN(len(candidates))]}
+		return b.lowest(pair, func(i int) float64 { return float64(b.reportedLoad[i]) })
 	default:
 		return candidates[b.next%len(candidates)]
 	}
@@ -94,7 +94,7 @@
 func (b *baseline) report(i int, report backend.LoadReport) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.reported[i] = report.Running + report.Waiting
+	b.reportedLoad[i] = report.Running + report.Waiting
 }
 
 // baselinePicked is a call in flight.
@@ -116,8 +116,8 @@
 	defer p.mu.Unlock()
 	p.inFlight[p.index]--
 	took := time.Since(p.started).Seconds()
-	if p.mean[p.index] == unmeasuredIsFaster {
-		p.mean[p.index] = took
+	if p.meanLatency[p.index] == unmeasuredLatency {
+		p.meanLatency[p.index] = took
 	}
-	p.mean[p.index] += latencyGain * (took - p.mean[p.index])
+	p.meanLatency[p.index] += latencyWeight * (took - p.meanLatency[p.index])
 }
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -27,13 +27,13 @@
 
 // layout describes the servers and instances of an experiment.
 type layout struct {
-	regions   int
-	servers   int // per region
-	instances int // per region
-	slots     int
-	service   time.Duration
-	stage     pipeline.StageType
-	kinds     []kind
+	regions     int
+	servers     int // per region
+	instances   int // per region
+	slots       int
+	serviceTime time.Duration
+	stage       pipeline.StageType
+	kinds       []kind
 }
 
 const (
@@ -63,9 +63,9 @@
 
 func startFleet(l layout, policy string, seed uint64) *fleet {
 	f := &fleet{layout: l, link: &linkCounter{}, urls: make([][]string, l.regions)}
-	f.client = &http.Client{Transport: connections.transport()}
-	if sockets, ok := f.client.Transport.(*http.Transport); ok {
-		sockets.MaxIdleConnsPerHost = callerConnections
+	f.client = &http.Client{Transport: fleetNetwork.transport()}
+	if httpTransport, ok := f.client.Transport.(*http.Transport); ok {
+		httpTransport.MaxIdleConnsPerHost = callerConnections
 	}
 	for region := range l.regions {
 		for i := range l.servers {
@@ -78,15 +78,15 @@
 	for region := range l.regions {
 		for i := range l.instances {
 			id := fmt.Sprintf("i%d-%d", region, i)
-			if policy == PolicyOwn {
-				peers = append(peers, f.startOwn(ctx, region, id))
+			if policy == PolicyColtsfootdrift {
+				peers = append(peers, f.startInstance(ctx, region, id))
 				continue
 			}
-			f.startBaseline(ctx, policy, region, seed+uint64(i))
+			f.startBaselineInstance(ctx, policy, region, seed+uint64(i))
 		}
 	}
-	go exchange(ctx, peers)
-	go repeatEvery(ctx, markerInterval, func() { exchangeStragglers(peers) })
+	go exchangeCounts(ctx, peers)
+	go repeatEvery(ctx, stragglerInterval, func() { exchangeStragglers(peers) })
 	return f
 }
 
@@ -103,10 +103,10 @@
 func (f *fleet) startServer(region, i int) {
 	id := fmt.Sprintf("s%d-%d", region, i)
 	b := standin.NewBackend(standin.BackendConfig{
-		ID: id, Pool: poolName, Slots: f.slots, ServiceTime: f.service,
+		ID: id, Pool: poolName, Slots: f.slots, ServiceTime: f.serviceTime,
 		AnswerBytes: answerBytes, ChunkBytes: answerBytes, LoadLag: reportLag,
 	})
-	address, stop := connections.serve(b.Handler())
+	address, stop := fleetNetwork.serve(b.Handler())
 	f.close = append(f.close, stop)
 	f.backends = append(f.backends, b)
 	f.servers = append(f.servers, backend.Server{
@@ -162,18 +162,18 @@
 	handler := &entry.Handler{
 		Configuration: fixedConfiguration{f.set()}, Executor: executor, Admission: control, Now: time.Now,
 	}
-	address, stop := connections.serve(handler.Router())
+	address, stop := fleetNetwork.serve(handler.Router())
 	f.close = append(f.close, stop)
 	f.urls[region] = append(f.urls[region], "http://"+address)
 }
 
 func (f *fleet) caller(region int) backend.Caller {
 	return &linkCaller{
-		Caller: backend.NewHTTPCaller(connections.transport()), region: regionName(region), counter: f.link,
+		Caller: backend.NewHTTPCaller(fleetNetwork.transport()), region: regionName(region), counter: f.link,
 	}
 }
 
-func (f *fleet) startOwn(ctx context.Context, region int, id string) *entry.Servers {
+func (f *fleet) startInstance(ctx context.Context, region int, id string) *entry.Servers {
 	logger := slog.New(slog.NewTextHandler(io.Discard, nil))
 	location := routing.Location{Region: regionName(region), FailureDomain: regionName(region)}
 	servers := entry.NewServers(id, location, f.instances, logger, time.Now)
@@ -187,10 +187,10 @@
 	return servers
 }
 
-func (f *fleet) startBaseline(ctx context.Context, policy string, region int, seed uint64) {
+func (f *fleet) startBaselineInstance(ctx context.Context, policy string, region int, seed uint64) {
 	picker := newBaseline(policy, f.servers, seed)
 	f.serve(region, entry.NewExecutor(f.caller(region), picker, time.Now), nil)
-	if policy != PolicyTwoReported {
+	if policy != PolicyTwoChoices {
 		return
 	}
 	reader := &backend.HTTPLoadReader{Client: f.client}
@@ -205,7 +205,7 @@
 
 // exchange hands the counts of each instance to the others, as heartbeats do, which
 // take some rounds to reach all of them.
-func exchange(ctx context.Context, peers []*entry.Servers) {
+func exchangeCounts(ctx context.Context, peers []*entry.Servers) {
 	repeatEvery(ctx, heartbeatInterval, func() {
 		for from, sender := range peers {
 			counts := sender.Counts()[poolName]
@@ -220,23 +220,23 @@
 
 // markerInterval is the time after which a new straggler marker reaches the other
 // instances, as gossip of the daemon sends it.
-const markerInterval = 100 * time.Millisecond
+const stragglerInterval = 100 * time.Millisecond
 
 func exchangeStragglers(peers []*entry.Servers) {
-	own := make([][]string, len(peers))
+	reported := make([][]string, len(peers))
 	for i, peer := range peers {
-		own[i] = peer.Stragglers()
+		reported[i] = peer.Stragglers()
 	}
 	for to, receiver := range peers {
-		seen := map[string]int{}
-		for from, ids := range own {
+		reports := map[string]int{}
+		for from, ids := range reported {
 			for _, id := range ids {
 				if from != to {
-					seen[id]++
+					reports[id]++
 				}
 			}
 		}
-		receiver.PeerStragglers(seen)
+		receiver.PeerStragglers(reports)
 	}
 }
 
--- a/internal/experiment/generate.go
+++ b/internal/experiment/generate.go
@@ -20,24 +20,24 @@
 )
 
 // answered is what became of one arrival.
-type answered struct {
+type requestResult struct {
 	// took is the time from the intended start to the end of the answer.
-	took    time.Duration
-	outcome entry.Outcome
-	inTime  bool
+	duration time.Duration
+	outcome  entry.Outcome
+	onTime   bool
 }
 
 // results holds the outcome of each arrival of a run.
 type results struct {
 	kinds    []kind
 	arrivals []arrival
-	answers  []answered
+	requests []requestResult
 }
 
 // generate sends each arrival at its intended time, whether earlier ones were
 // answered or not, and waits for all answers. events run at their times.
-func (f *fleet) generate(arrivals []arrival, events map[time.Duration]func()) *results {
-	r := &results{f.kinds, arrivals, make([]answered, len(arrivals))}
+func (f *fleet) runLoad(arrivals []arrival, events map[time.Duration]func()) *results {
+	r := &results{f.kinds, arrivals, make([]requestResult, len(arrivals))}
 	start := time.Now()
 	for at, event := range events {
 		defer time.AfterFunc(at, event).Stop()
@@ -45,20 +45,20 @@
 	var sent sync.WaitGroup
 	for i, a := range arrivals {
 		time.Sleep(time.Until(start.Add(a.at)))
-		sent.Go(func() { r.answers[i] = f.send(a, start.Add(a.at)) })
+		sent.Go(func() { r.requests[i] = f.send(a, start.Add(a.at)) })
 	}
 	sent.Wait()
 	return r
 }
 
 // send posts one request. The caller gives up at twice the deadline.
-func (f *fleet) send(a arrival, intended time.Time) answered {
+func (f *fleet) send(a arrival, intended time.Time) requestResult {
 	k := f.kinds[a.kind]
 	ctx, cancel := context.WithDeadline(context.Background(), intended.Add(2*k.deadline))
 	defer cancel()
 	outcome := f.post(ctx, a, k)
 	took := time.Since(intended)
-	return answered{took, outcome, outcome == entry.OutcomeCompleted && took <= k.deadline}
+	return requestResult{took, outcome, outcome == entry.OutcomeCompleted && took <= k.deadline}
 }
 
 func (f *fleet) post(ctx context.Context, a arrival, k kind) entry.Outcome {
@@ -83,7 +83,7 @@
 // selection chooses arrivals of one kind and phase, -1 for all.
 type selection struct{ kind, phase int }
 
-func (s selection) holds(a arrival) bool {
+func (s selection) matches(a arrival) bool {
 	return (s.kind < 0 || s.kind == a.kind) && (s.phase < 0 || s.phase == a.phase)
 }
 
@@ -92,8 +92,8 @@
 func (r *results) latency(s selection, from time.Duration) *hdrhistogram.Histogram {
 	h := hdrhistogram.New(1, histogramMax, histogramDigits)
 	for i, a := range r.arrivals {
-		if s.holds(a) && a.at >= from && r.answers[i].outcome == entry.OutcomeCompleted {
-			_ = h.RecordValue(max(1, r.answers[i].took.Microseconds()))
+		if s.matches(a) && a.at >= from && r.requests[i].outcome == entry.OutcomeCompleted {
+			_ = h.RecordValue(max(1, r.requests[i].duration.Microseconds()))
 		}
 	}
 	return h
@@ -101,24 +101,24 @@
 
 // inTime returns the share of requests that were answered by their deadline,
 // without those that started before from.
-func (r *results) inTime(s selection, from time.Duration) float64 {
-	all, good := 0, 0
+func (r *results) onTimeShare(s selection, from time.Duration) float64 {
+	total, onTime := 0, 0
 	for i, a := range r.arrivals {
-		if s.holds(a) && a.at >= from {
-			all++
-			if r.answers[i].inTime {
-				good++
+		if s.matches(a) && a.at >= from {
+			total++
+			if r.requests[i].onTime {
+				onTime++
 			}
 		}
 	}
-	return float64(good) / float64(max(1, all))
+	return float64(onTime) / float64(max(1, total))
 }
 
 // delivered returns the answers in time per second that ended within a window.
-func (r *results) delivered(from, to time.Duration) float64 {
+func (r *results) onTimeRate(from, to time.Duration) float64 {
 	count := 0
 	for i, a := range r.arrivals {
-		if end := a.at + r.answers[i].took; r.answers[i].inTime && end >= from && end < to {
+		if end := a.at + r.requests[i].duration; r.requests[i].onTime && end >= from && end < to {
 			count++
 		}
 	}
--- a/internal/experiment/link.go
+++ b/internal/experiment/link.go
@@ -30,7 +30,7 @@
 }
 
 // result returns all bytes and those of the busiest second.
-func (c *linkCounter) result() (total, busiest int64) {
+func (c *linkCounter) totals() (total, busiest int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, bytes := range c.seconds {
--- a/internal/experiment/network.go
+++ b/internal/experiment/network.go
@@ -15,7 +15,7 @@
 }
 
 // connections is the network of the experiments. A test replaces it.
-var connections network = loopback{}
+var fleetNetwork network = loopback{}
 
 // loopback is a network of sockets.
 type loopback struct{}
--- a/internal/experiment/overhead.go
+++ b/internal/experiment/overhead.go
@@ -25,10 +25,10 @@
 
 // relayRounds is the number of interleaved batches, so that noise of a shared
 // machine falls on all paths alike.
-const relayRounds = 20
+const overheadBatches = 20
 
 // relayInput is the caller's document of every request.
-var relayInput = `{"text":"` + strings.Repeat("lot 4711 ", 60) + `"}`
+var overheadInput = `{"text":"` + strings.Repeat("lot 4711 ", 60) + `"}`
 
 // Overhead is the processor time per request of the whole process: client, hop
 // and stand-in.
@@ -47,31 +47,31 @@
 // MeasureOverhead sends at least the given number of requests on each path to
 // the same stand-in.
 func MeasureOverhead(requests int) (Overhead, error) {
-	shelf := httptest.NewServer(standin.NewBackend(standin.BackendConfig{ID: "r1", Slots: 64}).Handler())
-	defer shelf.Close()
-	address := shelf.Listener.Addr().String()
-	stage := shelf.URL + backend.PathStage + string(pipeline.StageRetrieve)
+	backendServer := httptest.NewServer(standin.NewBackend(standin.BackendConfig{ID: "r1", Slots: 64}).Handler())
+	defer backendServer.Close()
+	address := backendServer.Listener.Addr().String()
+	stage := backendServer.URL + backend.PathStage + string(pipeline.StageRetrieve)
 	relay := httptest.NewServer(bareRelay(stage))
 	defer relay.Close()
-	instance := httptest.NewServer(entryHop(address))
+	instance := httptest.NewServer(entryHandler(address))
 	defer instance.Close()
-	body := `{"organisation":"acme","pipeline":"notes","kind":"note","class":"normal","input":` + relayInput + `}`
-	return measure((requests+relayRounds-1)/relayRounds, []relayPath{
+	body := `{"organisation":"acme","pipeline":"notes","kind":"note","class":"normal","input":` + overheadInput + `}`
+	return measure((requests+overheadBatches-1)/overheadBatches, []overheadPath{
 		{stage, body},
 		{relay.URL, body},
-		{instance.URL + "/v1/organisations/acme/pipelines/notes/kinds/note", relayInput},
+		{instance.URL + "/v1/organisations/acme/pipelines/notes/kinds/note", overheadInput},
 	})
 }
 
 // relayPath is one way to the stand-in.
-type relayPath struct{ url, body string }
+type overheadPath struct{ url, body string }
 
 // measure sends batches on the paths in turn: direct, relay and entry.
-func measure(batch int, paths []relayPath) (Overhead, error) {
+func measure(batch int, paths []overheadPath) (Overhead, error) {
 	client := &http.Client{Transport: backend.NewTransport()}
 	defer client.CloseIdleConnections()
 	used := make([]time.Duration, len(paths))
-	for range relayRounds {
+	for range overheadBatches {
 		for i, path := range paths {
 			took, err := sendBatch(client, path, batch)
 			if err != nil {
@@ -80,12 +80,12 @@
 			used[i] += took
 		}
 	}
-	total := time.Duration(batch * relayRounds)
+	total := time.Duration(batch * overheadBatches)
 	return Overhead{Direct: used[0] / total, Relay: used[1] / total, Entry: used[2] / total}, nil
 }
 
 // sendBatch returns the processor time of a batch.
-func sendBatch(client *http.Client, path relayPath, batch int) (time.Duration, error) {
+func sendBatch(client *http.Client, path overheadPath, batch int) (time.Duration, error) {
 	start, err := processorTime()
 	if err != nil {
 		return 0, err
@@ -99,7 +99,7 @@
 	return end - start, err
 }
 
-func post(client *http.Client, path relayPath) error {
+func post(client *http.Client, path overheadPath) error {
 	response, err := client.Post(path.url, "application/json", strings.NewReader(path.body))
 	if err != nil {
 		return err
@@ -145,7 +145,7 @@
 }
 
 // entryHop is the request path of an entry instance with a pipeline of one stage.
-func entryHop(address string) http.Handler {
+func entryHandler(address string) http.Handler {
 	set := &pipeline.Set{
 		Deployment: pipeline.Deployment{
 			Pools:         []pipeline.Pool{{Name: "shelf", Type: pipeline.StageRetrieve, Slots: 64}},
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -97,12 +97,12 @@
 				continue
 			}
 			slices.Sort(sample)
-			row := Row{policy, figure, middle(sample), sample[0], sample[len(sample)-1]}
+			row := Row{policy, figure, median(sample), sample[0], sample[len(sample)-1]}
 			report.Rows = append(report.Rows, row)
 		}
 	}
 	for _, goal := range s.goals {
-		goal.Median = middle(values[[2]string{PolicyOwn, goal.Figure}])
+		goal.Median = median(values[[2]string{PolicyColtsfootdrift, goal.Figure}])
 		order := cmp.Compare(goal.Median, goal.Bound)
 		goal.Reached = order == 0 || (order > 0) == goal.AtLeast
 		report.Goals = append(report.Goals, goal)
@@ -111,7 +111,7 @@
 }
 
 // middle is the median of sorted values.
-func middle(sorted []float64) float64 {
+func median(sorted []float64) float64 {
 	n := len(sorted)
 	if n == 0 {
 		return 0
--- a/internal/experiment/scenarios.go
+++ b/internal/experiment/scenarios.go
@@ -14,7 +14,7 @@
 const smallBody = `{"text":"lot 4711"}`
 
 // all selects every request.
-var all = selection{-1, -1}
+var allRequests = selection{-1, -1}
 
 // Two of twelve servers become ten times slower in the middle of the run.
 var straggler = scenario{
@@ -23,19 +23,19 @@
 	goals:    []Goal{{Figure: "p99 ratio", Bound: 1.5}},
 	trial: func(policy string, seed uint64) (map[string]float64, error) {
 		f := startFleet(layout{
-			regions: 1, servers: 12, instances: 9, slots: 4, service: 20 * time.Millisecond, stage: pipeline.StageRerank,
+			regions: 1, servers: 12, instances: 9, slots: 4, serviceTime: 20 * time.Millisecond, stage: pipeline.StageRerank,
 			kinds: []kind{{name: "lookup", class: "interactive", deadline: time.Second, body: smallBody}},
 		}, policy, seed)
 		defer f.stop()
 		const warm, before, slowed = 500 * time.Millisecond, 1500 * time.Millisecond, 2 * time.Second
 		lookups := []flow{{perSecond: 700}}
 		arrivals := schedule([]phase{{before, lookups}, {slowed, lookups}}, seed)
-		r := f.generate(arrivals, map[time.Duration]func(){before: func() {
+		r := f.runLoad(arrivals, map[time.Duration]func(){before: func() {
 			f.backends[0].SetSlowdown(10)
 			f.backends[1].SetSlowdown(10)
 		}})
-		base, slow := r.p99(selection{-1, 0}, warm), r.p99(selection{-1, 1}, 0)
-		return map[string]float64{"p99 before ms": base, "p99 slowed ms": slow, "p99 ratio": slow / base, "in time": r.inTime(all, 0)}, nil
+		baseP99, slowedP99 := r.p99(selection{-1, 0}, warm), r.p99(selection{-1, 1}, 0)
+		return map[string]float64{"p99 before ms": baseP99, "p99 slowed ms": slowedP99, "p99 ratio": slowedP99 / baseP99, "in time": r.onTimeShare(allRequests, 0)}, nil
 	},
 }
 
@@ -46,7 +46,7 @@
 	goals:    []Goal{{Figure: "short p99 ratio", Bound: 1.2}, {Figure: "long mean ratio", Bound: 1.3}},
 	trial: func(policy string, seed uint64) (map[string]float64, error) {
 		f := startFleet(layout{
-			regions: 1, servers: 8, instances: 4, slots: 5, service: 20 * time.Millisecond, stage: pipeline.StageGenerate,
+			regions: 1, servers: 8, instances: 4, slots: 5, serviceTime: 20 * time.Millisecond, stage: pipeline.StageGenerate,
 			kinds: []kind{
 				{name: "check", class: "interactive", deadline: 500 * time.Millisecond, body: smallBody},
 				{name: "dossier", class: "long", deadline: 10 * time.Second, body: `{"answer_bytes":40960}`},
@@ -61,13 +61,13 @@
 			{600 * time.Millisecond, nil},
 			{1600 * time.Millisecond, []flow{checks, dossiers}},
 		}, seed)
-		r := f.generate(arrivals, nil)
-		alone, both := r.p99(selection{short, 0}, 200*time.Millisecond), r.p99(selection{short, 3}, 0)
+		r := f.runLoad(arrivals, nil)
+		shortAlone, shortBoth := r.p99(selection{short, 0}, 200*time.Millisecond), r.p99(selection{short, 3}, 0)
 		longAlone := r.latency(selection{long, 1}, 0).Mean() / 1000
 		longBoth := r.latency(selection{long, 3}, 0).Mean() / 1000
 		return map[string]float64{
-			"short p99 alone ms": alone, "short p99 ratio": both / alone,
-			"long mean alone ms": longAlone, "long mean ratio": longBoth / longAlone, "in time": r.inTime(all, 0),
+			"short p99 alone ms": shortAlone, "short p99 ratio": shortBoth / shortAlone,
+			"long mean alone ms": longAlone, "long mean ratio": longBoth / longAlone, "in time": r.onTimeShare(allRequests, 0),
 		}, nil
 	},
 }
@@ -83,7 +83,7 @@
 	},
 	trial: func(policy string, seed uint64) (map[string]float64, error) {
 		l := layout{
-			regions: 1, servers: 12, instances: 9, slots: 4, service: 80 * time.Millisecond, stage: pipeline.StageRerank,
+			regions: 1, servers: 12, instances: 9, slots: 4, serviceTime: 80 * time.Millisecond, stage: pipeline.StageRerank,
 			kinds: []kind{
 				{name: "read", class: "interactive", deadline: 400 * time.Millisecond, body: smallBody},
 				{name: "draft", class: "normal", deadline: time.Second, body: smallBody},
@@ -91,33 +91,33 @@
 		}
 		f := startFleet(l, policy, seed)
 		defer f.stop()
-		capacity := f.capacity(capacityLength)
+		capacity := f.measureCapacity(capacityMeasureTime)
 		const base, peak, after = 600 * time.Millisecond, 1600 * time.Millisecond, 600 * time.Millisecond
 		flows := func(load float64) []flow {
 			return []flow{{kind: 0, perSecond: 0.4 * load * capacity}, {kind: 1, perSecond: 0.6 * load * capacity}}
 		}
 		arrivals := schedule([]phase{{base, flows(0.4)}, {peak, flows(2)}, {after, flows(0.4)}}, seed)
-		r := f.generate(arrivals, nil)
+		r := f.runLoad(arrivals, nil)
 		return map[string]float64{
 			"capacity per s":      capacity,
-			"delivered share":     r.delivered(base+l.service, base+peak) / capacity,
-			"interactive in time": r.inTime(selection{0, -1}, 0),
-			"normal in time":      r.inTime(selection{1, -1}, 0),
-			"in time after":       r.inTime(selection{-1, 2}, 0),
+			"delivered share":     r.onTimeRate(base+l.serviceTime, base+peak) / capacity,
+			"interactive in time": r.onTimeShare(selection{0, -1}, 0),
+			"normal in time":      r.onTimeShare(selection{1, -1}, 0),
+			"in time after":       r.onTimeShare(selection{-1, 2}, 0),
 		}, nil
 	},
 }
 
 // capacityLength is 20 service times, so that cold connections at its start hardly
 // count. Two repetitions of all policies still end within a minute.
-const capacityLength = 1600 * time.Millisecond
+const capacityMeasureTime = 1600 * time.Millisecond
 
 // capacity measures what the servers answer per second when every slot is busy.
-func (f *fleet) capacity(length time.Duration) float64 {
-	caller := backend.NewHTTPCaller(connections.transport())
+func (f *fleet) measureCapacity(duration time.Duration) float64 {
+	caller := backend.NewHTTPCaller(fleetNetwork.transport())
 	var answers atomic.Int64
 	var workers sync.WaitGroup
-	end := time.Now().Add(length)
+	end := time.Now().Add(duration)
 	started := time.Now()
 	for _, server := range f.servers {
 		for range f.slots {
@@ -151,7 +151,7 @@
 	},
 	trial: func(policy string, seed uint64) (map[string]float64, error) {
 		f := startFleet(layout{
-			regions: 2, servers: 6, instances: 4, slots: 4, service: 40 * time.Millisecond, stage: pipeline.StageRerank,
+			regions: 2, servers: 6, instances: 4, slots: 4, serviceTime: 40 * time.Millisecond, stage: pipeline.StageRerank,
 			kinds: []kind{{
 				name: "label", class: "interactive", deadline: 300 * time.Millisecond, linkBytes: 8 << 10,
 				body: `{"text":"` + strings.Repeat("lot 4711 ", 200) + `"}`,
@@ -166,17 +166,17 @@
 			{400 * time.Millisecond, []flow{{region: 0, perSecond: 700}, quiet}},
 			{1200 * time.Millisecond, []flow{{region: 0, perSecond: 350}, quiet}},
 		}, seed)
-		r := f.generate(arrivals, nil)
-		total, busiest := f.link.result()
+		r := f.runLoad(arrivals, nil)
+		total, busiest := f.link.totals()
 		return map[string]float64{
-			"in time": r.inTime(all, warm), "link MB": float64(total) / 1e6,
+			"in time": r.onTimeShare(allRequests, warm), "link MB": float64(total) / 1e6,
 			"busiest second share of budget": float64(busiest) / (linkMbits * 1e6 / 8),
 		}, nil
 	},
 	derive: func(byPolicy map[string]map[string]float64) {
-		own, blind := byPolicy[PolicyOwn], byPolicy[PolicyLeast]
-		own["link share of blind"] = own["link MB"] / blind["link MB"]
-		own["in time less blind"] = own["in time"] - blind["in time"]
+		product, leastRequests := byPolicy[PolicyColtsfootdrift], byPolicy[PolicyLeastRequests]
+		product["link share of blind"] = product["link MB"] / leastRequests["link MB"]
+		product["in time less blind"] = product["in time"] - leastRequests["in time"]
 	},
 }
 
@@ -185,7 +185,7 @@
 
 // The processor time that an instance adds to one relayed request.
 var overhead = scenario{
-	policies: []string{PolicyOwn},
+	policies: []string{PolicyColtsfootdrift},
 	figures:  []string{"direct us", "relay us", "entry us", "added ratio"},
 	goals:    []Goal{{Figure: "added ratio", Bound: 1.5}},
 	trial: func(string, uint64) (map[string]float64, error) {
--- a/internal/experiment/stagesim.go
+++ b/internal/experiment/stagesim.go
@@ -10,23 +10,23 @@
 )
 
 // stageShape is the stage server of the experiments.
-var stageShape = stagework.ServerProfile{
+var stageProfile = stagework.ServerProfile{
 	Slots: 1, Batch: 8, CallTime: 200 * time.Millisecond, PieceTime: 20 * time.Millisecond,
-	RoomBytes: 12 * stageResult, ResultLife: 4 * time.Second,
+	RoomBytes: 12 * stageResultBytes, ResultLife: 4 * time.Second,
 }
 
 const (
 	// stageResult is the size in bytes of a result, of which a server holds twelve.
-	stageResult    = 1_500_000
-	stageServers   = 4
-	stageInstances = 9
-	stageTarget    = 900 * time.Millisecond
-	stageDeadline  = 3 * time.Second
-	mostPieces     = 6
+	stageResultBytes   = 1_500_000
+	stageServers       = 4
+	stageInstances     = 9
+	stageTargetLatency = 900 * time.Millisecond
+	stageDeadline      = 3 * time.Second
+	maxPieces          = 6
 	// firstEventAfter is how long after the send of a request its model server sends
 	// the first event.
-	firstEventAfter = 350 * time.Millisecond
-	reviewEvery     = 25 * time.Millisecond
+	firstEventDelay = 350 * time.Millisecond
+	expiryInterval  = 25 * time.Millisecond
 )
 
 // stageArrival is one request that needs pieces of the stage.
@@ -49,7 +49,7 @@
 		if at >= length {
 			return arrivals
 		}
-		arrivals = append(arrivals, stageArrival{at, random.IntN(stageInstances), 1 + random.IntN(mostPieces)})
+		arrivals = append(arrivals, stageArrival{at, random.IntN(stageInstances), 1 + random.IntN(maxPieces)})
 	}
 }
 
@@ -58,17 +58,17 @@
 	// queues is the number of queues that instances divide among them.
 	queues int
 	// alone gives each request a call of its own.
-	alone bool
+	callPerRequest bool
 	// freedAfter is how long after a stage its results are freed.
-	freedAfter time.Duration
+	resultHoldTime time.Duration
 	// offered returns the job of a request; its times are those that the queue knows.
-	offered func(j stagework.Job, now time.Time) stagework.Job
+	adjustJob func(j stagework.Job, now time.Time) stagework.Job
 }
 
 // stageSim plays requests in virtual time.
-type stageSim struct {
+type stageSimulation struct {
 	policy   stagePolicy
-	agenda   virtualtime.Agenda
+	events   virtualtime.EventQueue
 	queues   []*stagework.Queue
 	busy     map[string]bool
 	requests map[stagework.JobID]stageRequest
@@ -83,21 +83,21 @@
 // stageFigures count what became of the requests.
 type stageFigures struct {
 	all, onTime, served, refused int
-	calls, turnedAway            int
+	calls, refusedCalls          int
 	produced, used               int
 	// refusedAfter is the sum of the times after which requests were refused.
-	refusedAfter time.Duration
+	totalRefusalDelay time.Duration
 }
 
 // playStages plays arrivals under a policy.
-func playStages(policy stagePolicy, arrivals []stageArrival) stageFigures {
-	s := &stageSim{policy: policy, busy: map[string]bool{}, requests: map[stagework.JobID]stageRequest{}}
+func simulateStages(policy stagePolicy, arrivals []stageArrival) stageFigures {
+	s := &stageSimulation{policy: policy, busy: map[string]bool{}, requests: map[stagework.JobID]stageRequest{}}
 	var servers []stagework.Server
 	for i := range stageServers {
 		servers = append(servers, stagework.Server{ID: fmt.Sprint(i), FailureDomain: "d"})
 	}
 	for range policy.queues {
-		q := stagework.NewQueue(stageShape)
+		q := stagework.NewQueue(stageProfile)
 		q.SetServers(servers)
 		s.queues = append(s.queues, q)
 	}
@@ -106,50 +106,50 @@
 		s.after(epoch, a.at, func(now time.Time) { s.arrive(stagework.JobID(i+1), a, now) })
 	}
 	end := arrivals[len(arrivals)-1].at + stageDeadline
-	for at := time.Duration(0); at < end; at += reviewEvery {
-		s.after(epoch, at, s.review)
+	for at := time.Duration(0); at < end; at += expiryInterval {
+		s.after(epoch, at, s.expire)
 	}
-	s.agenda.Run()
+	s.events.Run()
 	return s.figures
 }
 
-func (s *stageSim) after(now time.Time, d time.Duration, run func(time.Time)) {
-	s.agenda.At(now.Add(d), run)
+func (s *stageSimulation) after(now time.Time, d time.Duration, run func(time.Time)) {
+	s.events.At(now.Add(d), run)
 }
 
-func (s *stageSim) arrive(id stagework.JobID, a stageArrival, now time.Time) {
-	r := stageRequest{now.Add(stageTarget), now.Add(stageDeadline), a.pieces}
+func (s *stageSimulation) arrive(id stagework.JobID, arrival stageArrival, now time.Time) {
+	r := stageRequest{now.Add(stageTargetLatency), now.Add(stageDeadline), arrival.pieces}
 	s.figures.all++
-	job := stagework.Job{ID: id, ResultBytes: stageResult, FailureDomain: "d", Due: r.due, Deadline: r.deadline}
-	for piece := range a.pieces {
+	job := stagework.Job{ID: id, ResultBytes: stageResultBytes, FailureDomain: "d", Due: r.due, Deadline: r.deadline}
+	for piece := range arrival.pieces {
 		job.Pieces = append(job.Pieces, piece)
 	}
-	if s.policy.offered != nil {
-		job = s.policy.offered(job, now)
+	if s.policy.adjustJob != nil {
+		job = s.policy.adjustJob(job, now)
 	}
-	if _, ok := s.queues[a.instance%len(s.queues)].Offer(now, job); !ok {
+	if _, ok := s.queues[arrival.instance%len(s.queues)].Offer(now, job); !ok {
 		s.figures.refused++
 		return
 	}
 	s.requests[id] = r
-	s.pump(now)
+	s.startCalls(now)
 }
 
-func (s *stageSim) review(now time.Time) {
+func (s *stageSimulation) expire(now time.Time) {
 	for _, q := range s.queues {
-		s.apply(q, q.Expire(now), now)
+		s.applyEffects(q, q.Expire(now), now)
 	}
-	s.pump(now)
+	s.startCalls(now)
 }
 
 // pump makes the calls that the queues ask for. A busy server turns them away.
-func (s *stageSim) pump(now time.Time) {
+func (s *stageSimulation) startCalls(now time.Time) {
 	for _, q := range s.queues {
 		for {
-			if s.policy.alone {
-				shape := stageShape
-				shape.Batch = max(1, q.WaitingOfFirstJob(now))
-				q.SetProfile(shape)
+			if s.policy.callPerRequest {
+				profile := stageProfile
+				profile.Batch = max(1, q.WaitingOfFirstJob(now))
+				q.SetProfile(profile)
 			}
 			call, ok := q.Next(now)
 			if !ok {
@@ -157,37 +157,37 @@
 			}
 			s.figures.calls++
 			if s.busy[call.Server] {
-				s.figures.turnedAway++
+				s.figures.refusedCalls++
 				s.after(now, time.Millisecond, func(now time.Time) {
 					q.Finished(now, call.ID, stagework.SameOutcome(stagework.Refused, len(call.Items)))
 				})
 				continue
 			}
 			s.busy[call.Server] = true
-			s.after(now, stageShape.CallDuration(len(call.Items)), func(now time.Time) { s.end(q, call, now) })
+			s.after(now, stageProfile.CallDuration(len(call.Items)), func(now time.Time) { s.finishCall(q, call, now) })
 		}
 	}
 }
 
-func (s *stageSim) end(q *stagework.Queue, call stagework.Call, now time.Time) {
+func (s *stageSimulation) finishCall(q *stagework.Queue, call stagework.Call, now time.Time) {
 	s.busy[call.Server] = false
 	outcomes := make([]stagework.Outcome, len(call.Items))
 	for i, item := range call.Items {
 		outcomes[i].Result = fmt.Sprintf("%s/%d-%d", call.Server, item.Job, item.Piece)
 	}
 	s.figures.produced += len(outcomes)
-	s.apply(q, q.Finished(now, call.ID, outcomes), now)
-	s.pump(now)
+	s.applyEffects(q, q.Finished(now, call.ID, outcomes), now)
+	s.startCalls(now)
 }
 
-func (s *stageSim) apply(q *stagework.Queue, e stagework.Effects, now time.Time) {
+func (s *stageSimulation) applyEffects(q *stagework.Queue, e stagework.Effects, now time.Time) {
 	q.Freed(e.Orphans)
 	for _, done := range e.Done {
 		r := s.requests[done.Job]
 		switch {
 		case done.Refusal != "":
 			s.figures.refused++
-			s.figures.refusedAfter += now.Sub(r.deadline.Add(-stageDeadline))
+			s.figures.totalRefusalDelay += now.Sub(r.deadline.Add(-stageDeadline))
 			continue
 		case now.After(r.deadline):
 		case now.After(r.due):
@@ -198,9 +198,9 @@
 			s.figures.onTime++
 			s.figures.used += r.pieces
 		}
-		s.after(now, s.policy.freedAfter, func(now time.Time) {
+		s.after(now, s.policy.resultHoldTime, func(now time.Time) {
 			q.Freed(done.Results)
-			s.pump(now)
+			s.startCalls(now)
 		})
 	}
 }
--- a/internal/experiment/virtual_test.go
+++ b/internal/experiment/virtual_test.go
@@ -20,22 +20,22 @@
 )
 
 // direct is a network of function calls, so that time can be virtual.
-type direct struct {
+type inProcessNetwork struct {
 	mu       sync.Mutex
 	handlers []http.Handler
 }
 
-func (d *direct) serve(handler http.Handler) (address string, stop func()) {
+func (d *inProcessNetwork) serve(handler http.Handler) (address string, stop func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.handlers = append(d.handlers, handler)
 	return strconv.Itoa(len(d.handlers) - 1), func() {}
 }
 
-func (d *direct) transport() http.RoundTripper { return d }
+func (d *inProcessNetwork) transport() http.RoundTripper { return d }
 
 // RoundTrip runs the handler of the address to its end.
-func (d *direct) RoundTrip(r *http.Request) (*http.Response, error) {
+func (d *inProcessNetwork) RoundTrip(r *http.Request) (*http.Response, error) {
 	number, err := strconv.Atoi(r.URL.Host)
 	if err != nil {
 		return nil, err
@@ -63,12 +63,12 @@
 // load fits, apart from the noise of a machine. It logs the figures, so that a
 // change of a decision can be compared.
 func TestInVirtualTime(t *testing.T) {
-	usual := connections
-	defer func() { connections = usual }()
-	for _, policy := range []string{PolicyOwn, PolicyLeast} {
+	original := fleetNetwork
+	defer func() { fleetNetwork = original }()
+	for _, policy := range []string{PolicyColtsfootdrift, PolicyLeastRequests} {
 		for seed := range *virtualSeeds {
 			synctest.Test(t, func(t *testing.T) {
-				connections = &direct{}
+				fleetNetwork = &inProcessNetwork{}
 				figures, err := scenarios[*virtualName].trial(policy, seed+1)
 				qt.Assert(t, err, qt.IsNil)
 				t.Log(policy, seed+1, figures)
--- a/internal/readiness/readiness.go
+++ b/internal/readiness/readiness.go
@@ -41,8 +41,8 @@
 	r.withdrawn = true
 }
 
-// Missing returns why the instance is not ready, or an empty string.
-func (r *Readiness) Missing() string {
+// NotReadyReason returns why the instance is not ready, or an empty string.
+func (r *Readiness) NotReadyReason() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.withdrawn {
@@ -58,7 +58,7 @@
 
 // ServeHTTP answers 200 when ready, and otherwise 503 with the reason.
 func (r *Readiness) ServeHTTP(w http.ResponseWriter, request *http.Request) {
-	missing := r.Missing()
+	missing := r.NotReadyReason()
 	if missing == "" {
 		r.reported.Do(func() { r.Ready.Log(request.Context(), r.Logger) })
 		w.WriteHeader(http.StatusOK)
--- a/internal/virtualtime/virtualtime.go
+++ b/internal/virtualtime/virtualtime.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Agenda is the events to come. The zero value is empty. It is not safe for
+// EventQueue is the events to come. The zero value is empty. It is not safe for
 // concurrent use.
-type Agenda struct{ events events }
+type EventQueue struct{ events events }
 
 // event is something that happens at a time.
 type event struct {
@@ -17,14 +17,14 @@
 }
 
 // At adds an event. Events of one time run in no certain order.
-func (a *Agenda) At(at time.Time, run func(now time.Time)) {
-	heap.Push(&a.events, event{at, run})
+func (q *EventQueue) At(at time.Time, run func(now time.Time)) {
+	heap.Push(&q.events, event{at, run})
 }
 
 // Run runs all events, also those that events add, until there are none.
-func (a *Agenda) Run() {
-	for a.events.Len() > 0 {
-		e := heap.Pop(&a.events).(event)
+func (q *EventQueue) Run() {
+	for q.events.Len() > 0 {
+		e := heap.Pop(&q.events).(event)
 		e.run(e.at)
 	}
 }
--- a/internal/virtualtime/virtualtime_test.go
+++ b/internal/virtualtime/virtualtime_test.go
@@ -11,7 +11,7 @@
 func TestEventsRunInOrder(t *testing.T) {
 	c := qt.New(t)
 	start := time.Unix(1000, 0)
-	var a Agenda
+	var a EventQueue
 	var seen []time.Duration
 	note := func(now time.Time) { seen = append(seen, now.Sub(start)) }
 	a.At(start.Add(3), note)
--- a/stagework/load_test.go
+++ b/stagework/load_test.go
@@ -14,7 +14,7 @@
 // simulation runs requests of one stage against three servers in virtual time. Each
 // request arrives at one of several instances, which share one queue or have one each.
 type simulation struct {
-	agenda virtualtime.Agenda
+	agenda virtualtime.EventQueue
 	queues []*Queue
 	// perRequest is true when each call carries the pieces of one request only.
 	perRequest bool
