--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -1,6 +1,6 @@
 // Package capacity measures what each role of the system costs at several sizes
-// and fits a line per figure, from which docs/CAPACITY.md works out the load at
-// the sizes that the design page expects.
+// and fits a straight line to each figure. docs/CAPACITY.md uses these lines to
+// calculate the load at the sizes that the design page expects.
 package capacity
 
 import (
@@ -32,15 +32,15 @@
 	Seconds float64 `json:"seconds"`
 }
 
-// Line is one figure at several sizes with the line fitted through them.
+// Line is one figure measured at several sizes, with the line fitted to the values.
 type Line struct {
 	Role   string `json:"role"`
 	Figure string `json:"figure"`
 	Unit   string `json:"unit"`
-	// Per is what a size counts.
+	// Per names what a size counts, such as instances or organisations.
 	Per   string    `json:"per"`
 	Sizes []float64 `json:"sizes"`
-	// Values are the medians of the repetitions at the sizes.
+	// Values holds, for each size, the median of the repetitions.
 	Values []float64 `json:"values"`
 	// Base and Slope are those of the least-squares line, R2 its coefficient of
 	// determination.
@@ -48,7 +48,7 @@
 	Slope float64 `json:"slope"`
 	R2    float64 `json:"r2"`
 	// Target is the size expected in two years. AtTarget is the value measured
-	// there, or that of the line when Extrapolated.
+	// at that size, or the value of the fitted line when Extrapolated is true.
 	Target       float64 `json:"target"`
 	AtTarget     float64 `json:"at_target"`
 	Extrapolated bool    `json:"extrapolated"`
@@ -65,21 +65,23 @@
 	role, per string
 	sizes     []int
 	target    float64
-	// once is true when repetitions would give the same figures.
-	once bool
-	// prepare is called once before the first size; its result ends the sweep.
-	prepare func() (measure func(size int) ([]figure, error), end func(), err error)
+	// singleRun measures each size once, because repetitions would give the same
+	// figures.
+	singleRun bool
+	// setUp is called once before the first size. It returns the function that
+	// measures one size, and tearDown, which is called after the last size.
+	setUp func() (measure func(size int) ([]figure, error), tearDown func(), err error)
 }
 
-// fixed is the prepare of a sweep without common state.
-func fixed(measure func(size int) ([]figure, error)) func() (func(int) ([]figure, error), func(), error) {
+// withoutState returns the setUp of a sweep whose sizes share no state.
+func withoutState(measure func(size int) ([]figure, error)) func() (func(int) ([]figure, error), func(), error) {
 	return func() (func(int) ([]figure, error), func(), error) { return measure, func() {}, nil }
 }
 
 // sweeps lists all sweeps in the order of the report.
 func sweeps() []sweep {
 	return slices.Concat(requestSweeps(), routingSweeps(), limitsSweeps(), membershipSweeps(),
-		configurationSweeps(), claimsSweeps(), jobsSweeps(), ordersSweeps(), metricsSweeps(), daemonSweeps())
+		configurationSweeps(), claimsSweeps(), jobsSweeps(), ordersSweeps(), metricsSweeps(), controlSweeps())
 }
 
 // Roles lists the roles in the order of the report.
@@ -93,8 +95,9 @@
 	return roles
 }
 
-// Run measures one role, or all when only is empty. Each size is measured
-// repeats times.
+// Run measures the role named by only, or all roles when it is empty. Each size is
+// measured repeats times, except in sweeps that run once. The error reports an
+// unknown role, fewer than one repetition or a failed measurement.
 func Run(only string, repeats int) (Report, error) {
 	if only != "" && !slices.Contains(Roles(), only) {
 		return Report{}, fmt.Errorf("role %q does not exist, expected one of %s", only, strings.Join(Roles(), ", "))
@@ -119,12 +122,12 @@
 }
 
 func (s sweep) run(repeats int) ([]Line, error) {
-	measure, end, err := s.prepare()
+	measure, tearDown, err := s.setUp()
 	if err != nil {
 		return nil, err
 	}
-	defer end()
-	if s.once {
+	defer tearDown()
+	if s.singleRun {
 		repeats = 1
 	}
 	var lines []Line
@@ -138,7 +141,7 @@
 		}
 		for i := range lines {
 			lines[i].Sizes = append(lines[i].Sizes, float64(size))
-			lines[i].Values = append(lines[i].Values, medianOf(runs, i))
+			lines[i].Values = append(lines[i].Values, median(runs, i))
 		}
 	}
 	for i := range lines {
@@ -147,7 +150,7 @@
 	return lines, nil
 }
 
-// lines returns an empty line for each figure.
+// lines returns a Line without values for each figure.
 func (s sweep) lines(figures []figure) []Line {
 	lines := make([]Line, len(figures))
 	for i, f := range figures {
@@ -168,8 +171,8 @@
 	return runs, nil
 }
 
-// medianOf returns the median of the figure with an index.
-func medianOf(runs [][]figure, index int) float64 {
+// median returns the median over all runs of the figure at index.
+func median(runs [][]figure, index int) float64 {
 	var values []float64
 	for _, run := range runs {
 		values = append(values, run[index].value)
@@ -178,7 +181,7 @@
 	return stat.Quantile(0.5, stat.Empirical, values, nil)
 }
 
-// fit computes the line and its value at the target.
+// fit computes the least-squares line and the value at the target.
 func (l *Line) fit() {
 	if len(l.Sizes) > 1 {
 		l.Base, l.Slope = stat.LinearRegression(l.Sizes, l.Values, nil, false)
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -6,12 +6,12 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Guards against a fit that mixes up base and slope, takes the mean for the
-// median, or extrapolates although the target's size was measured.
+// Guards against a fit that swaps base and slope, uses the mean instead of the
+// median, or extrapolates although the target size was measured.
 func TestSweepFitsMedians(t *testing.T) {
 	c := qt.New(t)
 	values := map[int][]float64{1: {7, 5, 900}, 2: {7, 0, 9}, 4: {11, 11, 1}}
-	s := sweep{role: "r", per: "thing", sizes: []int{1, 2, 4}, target: 4, prepare: fixed(func(size int) ([]figure, error) {
+	s := sweep{role: "r", per: "thing", sizes: []int{1, 2, 4}, target: 4, setUp: withoutState(func(size int) ([]figure, error) {
 		value := values[size][0]
 		values[size] = values[size][1:]
 		return []figure{{"f", "B", value}}, nil
@@ -28,15 +28,15 @@
 	c.Assert(straight.Extrapolated, qt.IsTrue)
 }
 
-// Guards against counted figures, which do not depend on the machine, that leave
-// the bounds of the design page: heartbeats within 4 KB/s for each instance and
-// writes of the claim shards within 160/s, or a replaced failure domain whose
-// members do not find each other.
+// Checks figures that are counted and so don't depend on the machine against the
+// bounds of the design page: heartbeats of at most 4 KB/s for each instance and at
+// most 160 writes/s of the claim shards. Also guards against members of a replaced
+// failure domain that don't discover each other.
 func TestCountedFigures(t *testing.T) {
 	c := qt.New(t)
 	fleet, err := newWarmFleet(40, 6)
 	c.Assert(err, qt.IsNil)
-	figures, err := fleet.steady(40)
+	figures, err := fleet.measureSteadyState(40)
 	c.Assert(err, qt.IsNil)
 	c.Assert(figures[2].name, qt.Equals, "bytes sent by the busiest instance")
 	c.Assert(figures[2].value > 0 && figures[2].value <= 4096, qt.IsTrue, qt.Commentf("%v", figures[2]))
--- a/internal/capacity/claims.go
+++ b/internal/capacity/claims.go
@@ -16,34 +16,35 @@
 )
 
 const (
-	// claimRate is the number of claims per second when each request of the
-	// two-year peak is at-most-once.
+	// claimRate is the number of claims per second at the peak expected in two
+	// years, when every request is at-most-once.
 	claimRate = 2500
-	// simulatedSeconds is how long a rate is held, finishAfter the time from a
-	// claim to its finish in write intervals.
-	simulatedSeconds = 10
-	finishAfter      = 3
-	// answerBytes is the length of a recorded response.
+	// simulatedSeconds is how long claims arrive at a rate, finishDelayIntervals
+	// the time from a claim to its finish in write intervals.
+	simulatedSeconds     = 10
+	finishDelayIntervals = 3
+	// answerBytes is the length of a stored response.
 	answerBytes = 200
 	// segmentsPerList is the page size of internal/claims.
 	segmentsPerList = 64
-	// claimBatch is the number of operations of one append of a filled shard.
-	claimBatch = 100
+	// claimsPerAppend is the number of operations in one append while a shard is
+	// filled.
+	claimsPerAppend = 100
 )
 
 func claimsSweeps() []sweep {
 	return []sweep{
 		{
 			role: RoleClaims, per: "claim/s", sizes: []int{50, 160, 500, 1000, claimRate}, target: claimRate,
-			prepare: fixed(measureClaimRate),
+			setUp: withoutState(measureClaimRate),
 		},
 		{
 			role: RoleClaims, per: "retained claim of a shard", sizes: []int{5_000, 20_000, 60_000, 140_000},
-			target: claimRate * 3600 / claim.Shards, prepare: fixed(measureTakeover),
+			target: claimRate * 3600 / claim.Shards, setUp: withoutState(measureTakeover),
 		},
 		{
 			role: RoleClaims, per: "claim through the adapter", sizes: []int{200, 1000, 3000}, target: claimRate,
-			prepare: fixed(measureAdapter),
+			setUp: withoutState(measureAdapter),
 		},
 	}
 }
@@ -60,21 +61,21 @@
 	return op
 }
 
-// shardChain is one shard with its segments in a simulated store.
-type shardChain struct {
-	shard    *claim.Shard
-	segments map[uint64]claim.Segment
-	version  int64
-	writes   int
-	written  int
+// storedShard is one shard with its segments in a simulated store.
+type storedShard struct {
+	shard        *claim.Shard
+	segments     map[uint64]claim.Segment
+	version      int64
+	writes       int
+	writtenBytes int
 }
 
-func newShardChain() *shardChain {
-	return &shardChain{shard: claim.NewShard(), segments: map[uint64]claim.Segment{}}
+func newStoredShard() *storedShard {
+	return &storedShard{shard: claim.NewShard(), segments: map[uint64]claim.Segment{}}
 }
 
-// append writes operations in one or more writes.
-func (s *shardChain) append(now time.Time, ops []claim.Op) {
+// append appends operations, with as many writes as the shard needs for them.
+func (s *storedShard) append(now time.Time, ops []claim.Op) {
 	for len(ops) > 0 {
 		write, decisions := s.shard.PrepareAppend(now, ops)
 		ops = ops[len(decisions):]
@@ -83,57 +84,57 @@
 		}
 		s.version++
 		s.writes++
-		s.written += len(write.Segment.Data)
+		s.writtenBytes += len(write.Segment.Data)
 		s.shard.CommitWrite(s.version)
 		write.Segment.Version = s.version
 		s.segments[write.Segment.Number] = write.Segment
 	}
 }
 
-func (s *shardChain) stored() (bytes int) {
+func (s *storedShard) storedBytes() (bytes int) {
 	for _, segment := range s.segments {
 		bytes += len(segment.Data)
 	}
 	return bytes
 }
 
-// measureClaimRate appends claims and their finishes at a rate, with one write
-// per shard and write interval.
+// measureClaimRate appends claims and their finishes at a rate per second, once for
+// each shard and write interval.
 func measureClaimRate(rate int) ([]figure, error) {
-	var chains [claim.Shards]*shardChain
-	for i := range chains {
-		chains[i] = newShardChain()
+	var shards [claim.Shards]*storedShard
+	for i := range shards {
+		shards[i] = newStoredShard()
 	}
 	took, err := processorTime(func() error {
-		holdRate(chains[:], rate)
+		appendAtRate(shards[:], rate)
 		return nil
 	})
-	writes, written, stored := 0, 0, 0
-	for _, chain := range chains {
-		writes += chain.writes
-		written += chain.written
-		stored += chain.stored()
+	writes, writtenBytes, storedBytes := 0, 0, 0
+	for _, shard := range shards {
+		writes += shard.writes
+		writtenBytes += shard.writtenBytes
+		storedBytes += shard.storedBytes()
 	}
 	claimed := float64(rate * simulatedSeconds)
-	elapsed := (simulatedSeconds*time.Second + finishAfter*claims.WriteInterval).Seconds()
+	elapsed := (simulatedSeconds*time.Second + finishDelayIntervals*claims.WriteInterval).Seconds()
 	return []figure{
 		{"store writes", "1/s", float64(writes) / elapsed},
-		{"bytes sent to the store", "B/s", float64(written) / elapsed},
-		{"bytes stored per claim", "B", float64(stored) / claimed},
+		{"bytes sent to the store", "B/s", float64(writtenBytes) / elapsed},
+		{"bytes stored per claim", "B", float64(storedBytes) / claimed},
 		{"processor time of all appenders", "us/s", float64(took.Microseconds()) / elapsed},
 	}, err
 }
 
-func holdRate(chains []*shardChain, rate int) {
+func appendAtRate(shards []*storedShard, rate int) {
 	now := simulatedStart
 	steps := simulatedSeconds * int(time.Second/claims.WriteInterval)
-	first := make([]int, steps+finishAfter+1) // first claim of each interval
+	first := make([]int, steps+finishDelayIntervals+1) // number of the first claim in each interval
 	for step := range first {
 		first[step] = min(step, steps) * rate * simulatedSeconds / steps
 	}
-	for step := range steps + finishAfter {
+	for step := range steps + finishDelayIntervals {
 		now = now.Add(claims.WriteInterval)
-		batches := make([][]claim.Op, len(chains))
+		batches := make([][]claim.Op, len(shards))
 		add := func(kind claim.OpKind, from, to int) {
 			for n := from; n < to; n++ {
 				op := claimOp(kind, n)
@@ -141,59 +142,60 @@
 			}
 		}
 		add(claim.OpClaim, first[step], first[step+1])
-		if step >= finishAfter {
-			add(claim.OpFinish, first[step-finishAfter], first[step-finishAfter+1])
+		if step >= finishDelayIntervals {
+			add(claim.OpFinish, first[step-finishDelayIntervals], first[step-finishDelayIntervals+1])
 		}
 		for i, batch := range batches {
-			chains[i].append(now, batch)
+			shards[i].append(now, batch)
 		}
 	}
 }
 
-// measureTakeover loads a shard with a number of finished claims, as an instance
-// does that appends for the first time.
+// measureTakeover measures loading a shard that holds finished claims, as an
+// instance does before its first append to the shard.
 func measureTakeover(retainedClaims int) ([]figure, error) {
-	chain := newShardChain()
-	for from := 0; from < retainedClaims; from += claimBatch {
+	shard := newStoredShard()
+	for from := 0; from < retainedClaims; from += claimsPerAppend {
 		for _, kind := range []claim.OpKind{claim.OpClaim, claim.OpFinish} {
 			var ops []claim.Op
-			for n := from; n < min(from+claimBatch, retainedClaims); n++ {
+			for n := from; n < min(from+claimsPerAppend, retainedClaims); n++ {
 				ops = append(ops, claimOp(kind, n))
 			}
-			chain.append(simulatedStart, ops)
+			shard.append(simulatedStart, ops)
 		}
 	}
-	segments := make([]claim.Segment, 0, len(chain.segments))
-	for _, segment := range chain.segments {
+	segments := make([]claim.Segment, 0, len(shard.segments))
+	for _, segment := range shard.segments {
 		segments = append(segments, segment)
 	}
 	slices.SortFunc(segments, func(a, b claim.Segment) int { return int(a.Number) - int(b.Number) })
-	stored := chain.stored()
-	chain = nil
-	return loadShard(segments, stored)
+	storedBytes := shard.storedBytes()
+	shard = nil
+	return loadShard(segments, storedBytes)
 }
 
-func loadShard(segments []claim.Segment, stored int) ([]figure, error) {
+func loadShard(segments []claim.Segment, storedBytes int) ([]figure, error) {
 	var took time.Duration
-	var passing float64
-	index, _, err := retained(func() (shard *claim.Shard, err error) {
+	var allocatedBytes float64
+	indexBytes, _, err := retained(func() (shard *claim.Shard, err error) {
 		shard = claim.NewShard()
-		passing, _, err = allocated(func() (err error) {
+		allocatedBytes, _, err = allocated(func() (err error) {
 			took, err = processorTime(func() error { return shard.Load(segments) })
 			return err
 		})
 		return shard, err
 	})
 	return []figure{
-		{"memory of the index", "B", index},
-		{"bytes read by a takeover", "B", float64(stored)},
+		{"memory of the index", "B", indexBytes},
+		{"bytes read by a takeover", "B", float64(storedBytes)},
 		{"store reads of a takeover", "calls", float64(len(segments)/segmentsPerList + 1)},
 		{"processor time of a takeover", "ms", milliseconds(took)},
-		{"memory allocated by a takeover with the bytes read", "B", passing + float64(stored)},
+		{"memory allocated by a takeover with the bytes read", "B", allocatedBytes + float64(storedBytes)},
 	}, err
 }
 
-// measureAdapter claims and finishes through internal/claims.
+// measureAdapter claims and finishes n operations concurrently through
+// internal/claims.
 func measureAdapter(n int) ([]figure, error) {
 	fake := storetest.New()
 	c := claims.New(claims.Config{
@@ -204,14 +206,14 @@
 	took, err := processorTime(func() error {
 		var group errgroup.Group
 		for i := range n {
-			group.Go(func() error { return claimOnce(c, i) })
+			group.Go(func() error { return claimAndFinish(c, i) })
 		}
 		return group.Wait()
 	})
 	return []figure{{"processor time", "us", float64(took.Microseconds())}}, err
 }
 
-func claimOnce(c *claims.Claims, n int) error {
+func claimAndFinish(c *claims.Claims, n int) error {
 	ctx := context.Background()
 	id := claim.NewID("organisation-00001", "pipeline-01", "dispatch-order", fmt.Sprint(n))
 	reply := c.Claim(ctx, claims.Request{ID: id, Retention: time.Hour})
--- a/internal/capacity/configuration.go
+++ b/internal/capacity/configuration.go
@@ -17,18 +17,19 @@
 	return []sweep{
 		{
 			role: RoleConfiguration, per: "organisation", sizes: []int{5, 100, 1000, 5000, targetOrganisations},
-			target:  targetOrganisations,
-			prepare: fixed(func(n int) ([]figure, error) { return measureConfiguration(n, targetPipelines) }),
+			target: targetOrganisations,
+			setUp:  withoutState(func(n int) ([]figure, error) { return measureConfiguration(n, targetPipelines) }),
 		},
 		{
 			role: RoleConfiguration, per: "pipeline with 1000 organisations", sizes: []int{1, 5, 10, targetPipelines},
-			target:  targetPipelines,
-			prepare: fixed(func(n int) ([]figure, error) { return measureConfiguration(1000, n) }),
+			target: targetPipelines,
+			setUp:  withoutState(func(n int) ([]figure, error) { return measureConfiguration(1000, n) }),
 		},
 	}
 }
 
-// sampleSet returns operators' files of a size, with pipelines of six stages.
+// sampleSet returns a set of operators' files with the given numbers of
+// organisations and pipelines. Each pipeline has six stages.
 func sampleSet(organisations, pipelines int) *pipeline.Set {
 	set := &pipeline.Set{Deployment: pipeline.Deployment{
 		Name: "two-years", LinkMbits: 30, Regions: sampleRegions(),
@@ -61,7 +62,7 @@
 	return regions
 }
 
-// sampleStages returns a chain of stages that all use one pool.
+// sampleStages returns n stages that run one after the other, all in one pool.
 func sampleStages(n int) []pipeline.Stage {
 	stages := make([]pipeline.Stage, n)
 	for i := range stages {
@@ -73,19 +74,21 @@
 	return stages
 }
 
-// published is a store in which two revisions were put in force.
-type published struct {
+// publishedRevisions is a store in which two revisions were published, one after
+// the other.
+type publishedRevisions struct {
 	store         *storetest.Fake
 	first, second *config.Head
 	firstParts    config.Parts
 	changedParts  config.Parts
-	calls         float64
+	changeCalls   float64
 }
 
-// measureConfiguration publishes a set, then changes one organisation.
+// measureConfiguration publishes a set and then a second revision that changes one
+// organisation.
 func measureConfiguration(organisations, pipelines int) ([]figure, error) {
 	set := sampleSet(organisations, pipelines)
-	check, err := processorTime(func() error {
+	validateTime, err := processorTime(func() error {
 		if mistakes := pipeline.Validate(set); len(mistakes) > 0 {
 			return mistakes
 		}
@@ -98,7 +101,7 @@
 	if err != nil {
 		return nil, err
 	}
-	state, current, err := retained(func() (*config.Current, error) {
+	stateBytes, current, err := retained(func() (*config.Current, error) {
 		current := &config.Current{}
 		_, err := current.Offer(p.first, p.firstParts)
 		return current, err
@@ -106,7 +109,7 @@
 	if err != nil {
 		return nil, err
 	}
-	take, err := processorTime(func() error {
+	applyTime, err := processorTime(func() error {
 		_, err := current.Offer(p.second, p.changedParts)
 		return err
 	})
@@ -115,15 +118,15 @@
 	}
 	sizes, err := p.sizes()
 	return append(sizes,
-		figure{"processor time of a check", "ms", milliseconds(check)},
-		figure{"processor time to take a change in force", "ms", milliseconds(take)},
-		figure{"memory of an instance's configuration", "B", state}), err
+		figure{"processor time of a check", "ms", milliseconds(validateTime)},
+		figure{"processor time to take a change in force", "ms", milliseconds(applyTime)},
+		figure{"memory of an instance's configuration", "B", stateBytes}), err
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-func publishTwice(set *pipeline.Set) (*published, error) {
-	p := &published{store: storetest.New()}
+func publishTwice(set *pipeline.Set) (*publishedRevisions, error) {
+	p := &publishedRevisions{store: storetest.New()}
 	ctx := context.Background()
 	request := config.Request{Author: "operator", Reason: "first files", Set: set}
 	if _, err := configuration.Publish(ctx, p.store, request, false); err != nil {
@@ -141,12 +144,12 @@
 	if _, err := configuration.Publish(ctx, p.store, request, false); err != nil {
 		return nil, err
 	}
-	p.calls = storeCalls(p.store) - before
+	p.changeCalls = storeCalls(p.store) - before
 	p.second, p.changedParts, err = readAll(ctx, p.store, p.firstParts)
 	return p, err
 }
 
-// readAll returns the head in force and those of its parts that are not held.
+// readAll returns the current head and those of its parts that are not in held.
 func readAll(ctx context.Context, s store.Store, held config.Parts) (*config.Head, config.Parts, error) {
 	entry, err := s.Get(ctx, config.KeyHead)
 	if err != nil {
@@ -187,8 +190,9 @@
 	return total
 }
 
-// sizes are those of the values in the store and of what an instance pulls.
-func (p *published) sizes() ([]figure, error) {
+// sizes returns the sizes of the stored values and of what an instance pulls after a
+// change, and the store calls of publishing the change.
+func (p *publishedRevisions) sizes() ([]figure, error) {
 	change, err := p.second.ChangeSince(p.first)
 	if err != nil {
 		return nil, err
@@ -210,6 +214,6 @@
 		{"bytes of the head with a full audit trail", "B", float64(len(fullHead))},
 		{"parts", "parts", float64(len(p.second.Parts))},
 		{"bytes that an instance pulls per change", "B", float64(len(encoded) + partBytes(p.changedParts))},
-		{"store calls of a publish", "calls", p.calls},
+		{"store calls of a publish", "calls", p.changeCalls},
 	}, err
 }
--- a/internal/capacity/gossip.go
+++ b/internal/capacity/gossip.go
@@ -9,23 +9,25 @@
 	"github.com/coltsfootdrift/coltsfootdrift/membership"
 )
 
-// datagramHeader is the size of the IP and UDP headers.
-const datagramHeader = 28
-
-// maxSpreadRounds bounds the wait for a revision.
-const maxSpreadRounds = 60
-
-// gossip runs instances in memory and passes on their encoded heartbeats. Its
-// clock is simulated.
-type gossip struct {
-	now     time.Time
-	random  *rand.Rand
-	nodes   map[string]*membership.State
-	domains int
-	started int
-	queue   []datagram
-	sent    map[string]traffic
-	// revision is the newest one in force.
+// datagramHeaderBytes is the size of the IP and UDP headers.
+const datagramHeaderBytes = 28
+
+// maxRevisionRounds is the most rounds to wait until all instances know a revision.
+const maxRevisionRounds = 60
+
+// gossipSimulation runs the membership of instances in memory, delivers their
+// encoded heartbeats and simulates the clock.
+type gossipSimulation struct {
+	now    time.Time
+	random *rand.Rand
+	// instances is keyed by address.
+	instances map[string]*membership.State
+	domains   int
+	started   int
+	queue     []datagram
+	// sent is keyed by the sender's address.
+	sent map[string]traffic
+	// revision is the newest published configuration revision.
 	revision int64
 }
 
@@ -36,21 +38,21 @@
 
 type traffic struct{ messages, bytes int }
 
-// newGossip starts instances that report as much as fits.
-func newGossip(instances, domains int) *gossip {
-	g := &gossip{
+// newGossipSimulation starts instances whose heartbeats carry as much as fits.
+func newGossipSimulation(instances, domains int) *gossipSimulation {
+	g := &gossipSimulation{
 		now: simulatedStart, random: rand.New(rand.NewPCG(1, uint64(instances))),
-		nodes: map[string]*membership.State{}, domains: domains, sent: map[string]traffic{},
+		instances: map[string]*membership.State{}, domains: domains, sent: map[string]traffic{},
 	}
 	for range instances {
 		g.start(g.started % domains)
 	}
-	g.hint()
+	g.shareCandidates()
 	return g
 }
 
 // start adds an instance with a new name and address.
-func (g *gossip) start(domain int) {
+func (g *gossipSimulation) start(domain int) {
 	n := g.started
 	g.started++
 	identity := membership.Identity{
@@ -62,35 +64,35 @@
 	state.SetInFlightCounts(sampleCounts())
 	state.SetDemand(sampleDemand(n))
 	state.SetStragglers([]membership.Straggler{{Server: "backend-server-0007", Remaining: time.Hour}})
-	g.nodes[identity.Address] = state
+	g.instances[identity.Address] = state
 }
 
-// hint gives all instances the current instance list.
-func (g *gossip) hint() {
+// shareCandidates gives all instances the current instance list.
+func (g *gossipSimulation) shareCandidates() {
 	var candidates []membership.Candidate
-	for _, state := range g.nodes {
+	for _, state := range g.instances {
 		self := state.Self()
 		candidates = append(candidates, membership.Candidate{FailureDomain: self.FailureDomain, Address: self.Address})
 	}
-	for _, state := range g.nodes {
+	for _, state := range g.instances {
 		state.SetCandidates(candidates)
 	}
 }
 
-// replaceDomain ends all instances of a failure domain without notice and
+// replaceDomain stops all instances of a failure domain without notice and
 // starts as many new ones.
-func (g *gossip) replaceDomain(domain int) {
+func (g *gossipSimulation) replaceDomain(domain int) {
 	ended := 0
-	for address, state := range g.nodes {
+	for address, state := range g.instances {
 		if state.Self().FailureDomain == domainName(domain) {
-			delete(g.nodes, address)
+			delete(g.instances, address)
 			ended++
 		}
 	}
 	for range ended {
 		g.start(domain)
 	}
-	g.hint()
+	g.shareCandidates()
 }
 
 func sampleCounts() []membership.InFlightCount {
@@ -110,9 +112,9 @@
 	return demand
 }
 
-// emit sends the messages of one instance. Revisions that it hears of are in
-// force at once.
-func (g *gossip) emit(state *membership.State, outputs []membership.Output) error {
+// send queues the messages of one instance. A revision that the instance learns from
+// a message becomes its current one at once.
+func (g *gossipSimulation) send(state *membership.State, outputs []membership.Output) error {
 	for _, output := range outputs {
 		switch out := output.(type) {
 		case membership.Send:
@@ -121,10 +123,10 @@
 				return err
 			}
 			used := g.sent[state.Self().Address]
-			g.sent[state.Self().Address] = traffic{used.messages + 1, used.bytes + len(data) + datagramHeader}
+			g.sent[state.Self().Address] = traffic{used.messages + 1, used.bytes + len(data) + datagramHeaderBytes}
 			g.queue = append(g.queue, datagram{out.Address, data})
 		case membership.NewRevision:
-			if err := g.emit(state, state.SetRevision(out.Revision, false)); err != nil {
+			if err := g.send(state, state.SetRevision(out.Revision, false)); err != nil {
 				return err
 			}
 		}
@@ -132,36 +134,39 @@
 	return nil
 }
 
-func (g *gossip) deliver() error {
+// deliver passes queued messages to their receivers, and the messages sent in
+// response, until the queue is empty.
+func (g *gossipSimulation) deliver() error {
 	for len(g.queue) > 0 {
 		next := g.queue[0]
 		g.queue = g.queue[1:]
-		state, ok := g.nodes[next.address]
+		state, ok := g.instances[next.address]
 		if !ok {
-			continue // the instance has ended
+			continue // the instance was stopped
 		}
 		message, err := peer.Decode(next.data)
 		if err != nil {
 			return err
 		}
-		if err := g.emit(state, state.Receive(g.now, message)); err != nil {
+		if err := g.send(state, state.Receive(g.now, message)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// rounds lets heartbeat intervals pass; instances tick at different moments.
-func (g *gossip) rounds(n int) error {
+// runRounds simulates n heartbeat intervals. The ticks of the instances are spread
+// evenly over an interval.
+func (g *gossipSimulation) runRounds(n int) error {
 	for range n {
-		order := make([]*membership.State, 0, len(g.nodes))
-		for _, state := range g.nodes {
+		order := make([]*membership.State, 0, len(g.instances))
+		for _, state := range g.instances {
 			order = append(order, state)
 		}
 		start := g.now
 		for i, state := range order {
 			g.now = start.Add(membership.Interval * time.Duration(i) / time.Duration(len(order)))
-			if err := g.emit(state, state.Tick(g.now)); err != nil {
+			if err := g.send(state, state.Tick(g.now)); err != nil {
 				return err
 			}
 			if err := g.deliver(); err != nil {
@@ -173,12 +178,12 @@
 	return nil
 }
 
-// publish puts the next revision in force at one instance and counts the rounds
-// until all have it.
-func (g *gossip) publish() (rounds int, err error) {
+// publish gives the next revision to one instance and counts the rounds until all
+// instances have it.
+func (g *gossipSimulation) publish() (rounds int, err error) {
 	g.revision++
-	for _, state := range g.nodes {
-		if err := g.emit(state, state.SetRevision(g.revision, true)); err != nil {
+	for _, state := range g.instances {
+		if err := g.send(state, state.SetRevision(g.revision, true)); err != nil {
 			return 0, err
 		}
 		break
@@ -186,16 +191,16 @@
 	if err := g.deliver(); err != nil {
 		return 0, err
 	}
-	for ; rounds < maxSpreadRounds && !g.haveRevision(); rounds++ {
-		if err := g.rounds(1); err != nil {
+	for ; rounds < maxRevisionRounds && !g.allHaveRevision(); rounds++ {
+		if err := g.runRounds(1); err != nil {
 			return rounds, err
 		}
 	}
 	return rounds, nil
 }
 
-func (g *gossip) haveRevision() bool {
-	for _, state := range g.nodes {
+func (g *gossipSimulation) allHaveRevision() bool {
+	for _, state := range g.instances {
 		if state.Self().Revision < g.revision {
 			return false
 		}
@@ -203,9 +208,9 @@
 	return true
 }
 
-// total returns the traffic since the last call, and the largest number of bytes
-// of one instance.
-func (g *gossip) total() (all traffic, largest int) {
+// takeTraffic returns the traffic since the last call, and the largest number of
+// bytes that one instance sent.
+func (g *gossipSimulation) takeTraffic() (all traffic, largest int) {
 	for _, used := range g.sent {
 		all.messages += used.messages
 		all.bytes += used.bytes
@@ -215,23 +220,23 @@
 	return all, largest
 }
 
-// wrongViews counts the instances of a failure domain that do not see exactly
-// its running members.
-func (g *gossip) wrongViews(domain int) int {
+// countWrongViews counts the instances of a failure domain whose membership list is
+// not exactly its running members.
+func (g *gossipSimulation) countWrongViews(domain int) int {
 	var members []*membership.State
-	for _, state := range g.nodes {
+	for _, state := range g.instances {
 		if state.Self().FailureDomain == domainName(domain) {
 			members = append(members, state)
 		}
 	}
 	wrong := 0
 	for _, state := range members {
-		right := len(state.LiveMembers()) == len(members)
+		correct := len(state.LiveMembers()) == len(members)
 		for _, record := range state.LiveMembers() {
-			_, running := g.nodes[record.Address]
-			right = right && running
+			_, running := g.instances[record.Address]
+			correct = correct && running
 		}
-		if !right {
+		if !correct {
 			wrong++
 		}
 	}
--- a/internal/capacity/jobs.go
+++ b/internal/capacity/jobs.go
@@ -20,64 +20,64 @@
 )
 
 const (
-	// jobStages is the number of stages of a job when it is not the size.
+	// jobStages is the number of stages of a job in sweeps over other sizes.
 	jobStages = 4
-	// jobBatch is the number of jobs when it is not the size.
-	jobBatch = 40
-	// leaseWait bounds the wait for the lease.
-	leaseWait = 5 * time.Second
+	// jobCount is the number of jobs in sweeps over other sizes.
+	jobCount = 40
+	// leaseTimeout is how long an instance may take to acquire its lease.
+	leaseTimeout = 5 * time.Second
 )
 
 func jobsSweeps() []sweep {
 	return []sweep{
 		{
 			role: RoleJobs, per: "job of 4 stages", sizes: []int{10, 40, 160}, target: 1,
-			prepare: fixed(func(n int) ([]figure, error) { return measureJobs(n, jobStages) }),
+			setUp: withoutState(func(n int) ([]figure, error) { return measureJobs(n, jobStages) }),
 		},
 		{
 			role: RoleJobs, per: "stage of 40 jobs", sizes: []int{1, 3, 6}, target: 6,
-			prepare: fixed(func(n int) ([]figure, error) { return measureJobs(jobBatch, n) }),
+			setUp: withoutState(func(n int) ([]figure, error) { return measureJobs(jobCount, n) }),
 		},
 		{
 			role: RoleJobs, per: "unfinished job of a failure domain's scan", sizes: []int{0, 16, 64, 256, 1024}, target: 1024,
-			prepare: fixed(measureScan),
+			setUp: withoutState(measureScanOfRunning),
 		},
 		{
 			role: RoleJobs, per: "finished job of a failure domain's scan", sizes: []int{0, 16, 64, 256}, target: 256,
-			prepare: fixed(measureSweep),
+			setUp: withoutState(measureScanOfFinished),
 		},
 		{
 			role: RoleJobs, per: "instance with a lease", sizes: []int{9, 130, targetInstances}, target: targetInstances,
-			once: true, prepare: fixed(measureLeases),
+			singleRun: true, setUp: withoutState(measureLeases),
 		},
 	}
 }
 
-// worker is one instance that runs jobs.
-type worker struct {
+// jobInstance is one instance that runs jobs.
+type jobInstance struct {
 	*jobs.Jobs
 	store *storetest.Fake
-	// held delays the end of jobs; nil for none.
-	held   chan struct{}
-	begun  atomic.Int64
-	stages int
-	stop   func()
+	// unblock keeps jobs running until it is closed; nil: jobs end at once.
+	unblock     chan struct{}
+	startedJobs atomic.Int64
+	stages      int
+	stop        func()
 }
 
 // FailureDomainInstances implements jobs.Members: the failure domain has one instance.
-func (w *worker) FailureDomainInstances() []string { return []string{"entry-instance-001"} }
+func (j *jobInstance) FailureDomainInstances() []string { return []string{"entry-instance-001"} }
 
 // JobsReleased implements jobs.Members.
-func (w *worker) JobsReleased(context.Context, []string) {}
+func (j *jobInstance) JobsReleased(context.Context, []string) {}
 
 // Run implements jobs.Runner.
-func (w *worker) Run(ctx context.Context, _ jobs.Job, progress jobs.Progress) jobs.Result {
-	w.begun.Add(1)
-	if w.held != nil {
-		<-w.held
+func (j *jobInstance) Run(ctx context.Context, _ jobs.Job, progress jobs.Progress) jobs.Result {
+	j.startedJobs.Add(1)
+	if j.unblock != nil {
+		<-j.unblock
 	}
 	result := json.RawMessage(`"` + strings.Repeat("x", answerBytes) + `"`)
-	for i := range w.stages {
+	for i := range j.stages {
 		if err := progress.StageDone(ctx, fmt.Sprintf("stage-%d", i), result); err != nil {
 			return jobs.Result{Outcome: job.OutcomeFailed, Detail: err.Error()}
 		}
@@ -85,37 +85,38 @@
 	return jobs.Result{Outcome: "completed", Answer: result}
 }
 
-// newWorker returns an instance that holds its lease.
-func newWorker(stages int, held chan struct{}) (*worker, error) {
-	w := &worker{store: storetest.New(), held: held, stages: stages}
-	w.Jobs = jobs.New(jobs.Config{
-		Instance: "entry-instance-001", Store: w.store, Members: w, Runner: w, BootTime: time.Now, WallTime: time.Now,
+// newJobInstance returns an instance that holds its lease. It submits jobs until one
+// is accepted, which shows that the lease is held.
+func newJobInstance(stages int, unblock chan struct{}) (*jobInstance, error) {
+	j := &jobInstance{store: storetest.New(), unblock: unblock, stages: stages}
+	j.Jobs = jobs.New(jobs.Config{
+		Instance: "entry-instance-001", Store: j.store, Members: j, Runner: j, BootTime: time.Now, WallTime: time.Now,
 		Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
-	w.stop = cancel
-	go w.Serve(ctx)
+	j.stop = cancel
+	go j.Serve(ctx)
 	for waited := stopwatch(); ; time.Sleep(time.Millisecond) {
-		_, err := w.submit()
-		if err == nil || waited() > leaseWait {
-			return w, err
+		_, err := j.submit()
+		if err == nil || waited() > leaseTimeout {
+			return j, err
 		}
 		if !errors.Is(err, jobs.ErrNotAccepted) {
-			return w, err
+			return j, err
 		}
 	}
 }
 
-func (w *worker) submit() (string, error) {
-	return w.Submit(context.Background(), jobs.Job{
+func (j *jobInstance) submit() (string, error) {
+	return j.Submit(context.Background(), jobs.Job{
 		Organisation: "organisation-00001", Pipeline: "pipeline-01", Kind: "dossier",
 		Body: json.RawMessage(`{"text":"lot 4711"}`), Retention: time.Hour,
 	})
 }
 
-func (w *worker) submitAll(n int) (ids []string, err error) {
+func (j *jobInstance) submitAll(n int) (ids []string, err error) {
 	for range n {
-		id, err := w.submit()
+		id, err := j.submit()
 		if err != nil {
 			return ids, err
 		}
@@ -124,116 +125,118 @@
 	return ids, nil
 }
 
-// reads and writes count calls as the store's limits do.
-func (w *worker) reads() float64 {
-	return float64(w.store.Count(storetest.Get) + w.store.Count(storetest.List))
+// reads and writes count store calls in the same two groups as the store's limits.
+func (j *jobInstance) reads() float64 {
+	return float64(j.store.Count(storetest.Get) + j.store.Count(storetest.List))
 }
 
-func (w *worker) writes() float64 { return storeCalls(w.store) - w.reads() }
+func (j *jobInstance) writes() float64 { return storeCalls(j.store) - j.reads() }
 
-// measureJobs runs jobs to their end.
+// measureJobs runs n jobs until all of them are finished.
 func measureJobs(n, stages int) ([]figure, error) {
-	w, err := newWorker(stages, nil)
+	j, err := newJobInstance(stages, nil)
 	if err != nil {
 		return nil, err
 	}
-	defer w.stop()
-	reads, writes, stored := w.reads(), w.writes(), w.store.Bytes("job")
-	took, err := processorTime(func() error { return w.finish(n) })
-	jobCount := float64(n)
+	defer j.stop()
+	reads, writes, stored := j.reads(), j.writes(), j.store.Bytes("job")
+	took, err := processorTime(func() error { return j.runToEnd(n) })
+	count := float64(n)
 	return []figure{
-		{"store reads per job", "calls", (w.reads() - reads) / jobCount},
-		{"store writes per job", "calls", (w.writes() - writes) / jobCount},
-		{"bytes stored per finished job", "B", float64(w.store.Bytes("job")-stored) / jobCount},
-		{"processor time per job", "us", float64(took.Microseconds()) / jobCount},
+		{"store reads per job", "calls", (j.reads() - reads) / count},
+		{"store writes per job", "calls", (j.writes() - writes) / count},
+		{"bytes stored per finished job", "B", float64(j.store.Bytes("job")-stored) / count},
+		{"processor time per job", "us", float64(took.Microseconds()) / count},
 	}, err
 }
 
-func (w *worker) finish(n int) error {
-	ids, err := w.submitAll(n)
+func (j *jobInstance) runToEnd(n int) error {
+	ids, err := j.submitAll(n)
 	if err != nil {
 		return err
 	}
 	for _, id := range ids {
-		if _, err := w.Wait(context.Background(), id); err != nil {
+		if _, err := j.Wait(context.Background(), id); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// measureScan looks once at all shards while jobs of this instance run.
-func measureScan(running int) ([]figure, error) {
-	held := make(chan struct{})
-	w, err := newWorker(1, held)
+// measureScanOfRunning measures one scan of all shards while jobs of this instance
+// run.
+func measureScanOfRunning(running int) ([]figure, error) {
+	unblock := make(chan struct{})
+	j, err := newJobInstance(1, unblock)
 	if err != nil {
 		return nil, err
 	}
-	defer w.stop()
-	ids, err := w.submitAll(running)
+	defer j.stop()
+	ids, err := j.submitAll(running)
 	if err != nil {
 		return nil, err
 	}
-	// The job that waited for the lease runs too.
-	for w.begun.Load() < int64(running)+1 {
+	// newJobInstance submitted one more job, which runs too.
+	for j.startedJobs.Load() < int64(running)+1 {
 		time.Sleep(time.Millisecond)
 	}
-	reads, writes := w.reads(), w.writes()
+	reads, writes := j.reads(), j.writes()
 	took, err := processorTime(func() error {
-		w.Scan(context.Background())
+		j.Scan(context.Background())
 		return nil
 	})
 	figures := []figure{
-		{"store reads of a scan", "calls", w.reads() - reads},
-		{"store writes of a scan", "calls", w.writes() - writes},
-		{"bytes read by a scan", "B", float64(w.store.Bytes(job.RecordPrefix))},
+		{"store reads of a scan", "calls", j.reads() - reads},
+		{"store writes of a scan", "calls", j.writes() - writes},
+		{"bytes read by a scan", "B", float64(j.store.Bytes(job.RecordPrefix))},
 		{"processor time of a scan", "us", float64(took.Microseconds())},
 	}
-	close(held)
+	close(unblock)
 	for _, id := range ids {
-		if _, err := w.Wait(context.Background(), id); err != nil {
+		if _, err := j.Wait(context.Background(), id); err != nil {
 			return figures, err
 		}
 	}
 	return figures, err
 }
 
-// measureSweep looks once at all shards that hold the records of finished jobs.
-func measureSweep(finished int) ([]figure, error) {
-	w, err := newWorker(1, nil)
+// measureScanOfFinished measures one scan of all shards when they hold the records
+// of finished jobs.
+func measureScanOfFinished(finished int) ([]figure, error) {
+	j, err := newJobInstance(1, nil)
 	if err != nil {
 		return nil, err
 	}
-	defer w.stop()
-	if err := w.finish(finished); err != nil {
+	defer j.stop()
+	if err := j.runToEnd(finished); err != nil {
 		return nil, err
 	}
-	reads := w.reads()
-	w.Scan(context.Background())
-	return []figure{{"store reads of a scan", "calls", w.reads() - reads}}, nil
+	reads := j.reads()
+	j.Scan(context.Background())
+	return []figure{{"store reads of a scan", "calls", j.reads() - reads}}, nil
 }
 
-// leaseSeconds is how long the leases are kept on a simulated clock.
-const leaseSeconds = 600
+// simulatedLeaseSeconds is how long the leases are renewed, on a simulated clock.
+const simulatedLeaseSeconds = 600
 
-// measureLeases keeps the lease of each instance for its jobs.
+// measureLeases measures acquiring and renewing the job lease of each instance.
 func measureLeases(instances int) ([]figure, error) {
 	now, fake := simulatedStart, storetest.New()
-	keepers := make([]*leases.Manager, instances)
-	for i := range keepers {
+	managers := make([]*leases.Manager, instances)
+	for i := range managers {
 		name := fmt.Sprint("entry-instance-", i)
-		keepers[i] = leases.New(leases.Config{
+		managers[i] = leases.New(leases.Config{
 			Store: fake, Key: job.HolderKey(name), Instance: name, BootTime: func() time.Time { return now },
 			HeldEvent: events.JobLeaseHeld, LostEvent: events.JobLeaseLost, Log: slog.New(slog.DiscardHandler),
 		})
 	}
-	for range leaseSeconds {
+	for range simulatedLeaseSeconds {
 		now = now.Add(time.Second)
 		fake.Advance(time.Second)
-		for _, keeper := range keepers {
-			keeper.Tick(context.Background())
+		for _, manager := range managers {
+			manager.Tick(context.Background())
 		}
 	}
 	writes := storeCalls(fake) - float64(fake.Count(storetest.Get))
-	return []figure{{"store writes", "1/s", writes / leaseSeconds}}, nil
+	return []figure{{"store writes", "1/s", writes / simulatedLeaseSeconds}}, nil
 }
--- a/internal/capacity/limits.go
+++ b/internal/capacity/limits.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// limitDecisions is the number of decisions that are timed together.
-	limitDecisions = 50_000
-	// waitingRequests is the length of the queue while it is measured.
-	waitingRequests = 1000
+	// timedLimitDecisions is the number of decisions that are timed together.
+	timedLimitDecisions = 50_000
+	// queuedRequests is the length of the queue while it is measured.
+	queuedRequests = 1000
 )
 
 func limitsSweeps() []sweep {
 	sizes := []int{5, 100, 1000, 5000, 19000}
 	return []sweep{
-		{role: RoleLimits, per: "organisation", sizes: sizes, target: 19000, prepare: fixed(measureRates)},
-		{role: RoleLimits, per: "organisation", sizes: sizes, target: 19000, prepare: fixed(measureQueue)},
+		{role: RoleLimits, per: "organisation", sizes: sizes, target: 19000, setUp: withoutState(measureRateLimiter)},
+		{role: RoleLimits, per: "organisation", sizes: sizes, target: 19000, setUp: withoutState(measureQueue)},
 	}
 }
 
@@ -33,30 +33,31 @@
 	return names
 }
 
-// measureRates measures the limiter of an instance that every organisation uses.
-func measureRates(n int) ([]figure, error) {
+// measureRateLimiter measures the rate limiter of an instance that receives requests
+// of all n organisations.
+func measureRateLimiter(n int) ([]figure, error) {
 	names, now := organisationNames(n), simulatedStart
-	state, share, _ := retained(func() (*quota.RateLimiter, error) {
-		share := quota.NewRateLimiter()
+	stateBytes, limiter, _ := retained(func() (*quota.RateLimiter, error) {
+		limiter := quota.NewRateLimiter()
 		for _, name := range names {
-			share.Observe(name, 1, now)
+			limiter.Observe(name, 1, now)
 		}
-		return share, nil
+		return limiter, nil
 	})
-	decision, objects, err := perCall(limitDecisions, func(i int) {
+	decision, objects, err := costPerCall(timedLimitDecisions, func(i int) {
 		now = now.Add(time.Microsecond)
-		share.Observe(names[i%n], 1, now)
-		share.Allow(names[i%n], 100, 10, 1, now)
+		limiter.Observe(names[i%n], 1, now)
+		limiter.Allow(names[i%n], 100, 10, 1, now)
 	})
 	if err != nil {
 		return nil, err
 	}
-	summary, _, err := perCall(20, func(int) { share.Summary(now) })
+	summary, _, err := costPerCall(20, func(int) { limiter.Summary(now) })
 	return []figure{
 		{"processor time of a rate decision", "ns", decision},
 		{"allocations of a rate decision", "objects", objects},
 		{"processor time of a demand summary", "ns", summary},
-		{"memory of the limiter", "B", state},
+		{"memory of the limiter", "B", stateBytes},
 	}, err
 }
 
@@ -68,22 +69,22 @@
 		ticket.ID, ticket.Organisation, ticket.Deadline = uint64(i)+1, names[i%n], now.Add(time.Hour)
 		q.Offer(now, ticket)
 	}
-	state, queue, _ := retained(func() (*admission.Queue, error) {
+	stateBytes, queue, _ := retained(func() (*admission.Queue, error) {
 		q := admission.NewQueue(16, rand.New(rand.NewPCG(1, 1)))
-		for i := range waitingRequests {
+		for i := range queuedRequests {
 			offer(q, i)
 		}
 		return q, nil
 	})
-	decision, objects, err := perCall(limitDecisions, func(i int) {
+	decision, objects, err := costPerCall(timedLimitDecisions, func(i int) {
 		now = now.Add(time.Millisecond)
-		offer(queue, waitingRequests+i)
+		offer(queue, queuedRequests+i)
 		queue.Release(now, ticket, admission.Result{Duration: time.Millisecond, Completed: true})
 		queue.Tick(now)
 	})
 	return []figure{
 		{"processor time of an admission", "ns", decision},
 		{"allocations of an admission", "objects", objects},
-		{"memory of a queue with 1000 requests", "B", state},
+		{"memory of a queue with 1000 requests", "B", stateBytes},
 	}, err
 }
--- a/internal/capacity/metrics.go
+++ b/internal/capacity/metrics.go
@@ -21,42 +21,43 @@
 	return []sweep{
 		{
 			role: RoleMetrics, per: "pipeline of 6 stages and 4 kinds", sizes: []int{1, 5, 10, targetPipelines}, target: targetPipelines,
-			once:    true,
-			prepare: fixed(func(n int) ([]figure, error) { return measureSeries(1, n, "") }),
+			singleRun: true,
+			setUp:     withoutState(func(n int) ([]figure, error) { return measureSeries(1, n, "") }),
 		},
 		{
 			role: RoleMetrics, per: "organisation with calls to another region", sizes: []int{5, 100, 300, 3000, targetOrganisations}, target: targetOrganisations,
-			once:    true,
-			prepare: fixed(func(n int) ([]figure, error) { return measureSeries(n, 1, "region-far") }),
+			singleRun: true,
+			setUp:     withoutState(func(n int) ([]figure, error) { return measureSeries(n, 1, "region-far") }),
 		},
 	}
 }
 
-// oneServer picks the same server for every call and answers for it.
-type oneServer struct{ server backend.Server }
+// singleServer picks the same server for every call and also serves the call in its
+// place.
+type singleServer struct{ server backend.Server }
 
 // Pick implements entry.Picker.
-func (o oneServer) Pick(entry.Query) (entry.PickedServer, bool) { return o, true }
+func (o singleServer) Pick(entry.Query) (entry.PickedServer, bool) { return o, true }
 
 // Server implements entry.PickedServer.
-func (o oneServer) Server() backend.Server { return o.server }
+func (o singleServer) Server() backend.Server { return o.server }
 
 // FirstByte implements entry.PickedServer.
-func (oneServer) FirstByte() {}
+func (singleServer) FirstByte() {}
 
 // Done implements entry.PickedServer.
-func (oneServer) Done(error, int64) {}
+func (singleServer) Done(error, int64) {}
 
 // Call implements backend.Caller.
-func (oneServer) Call(context.Context, backend.Server, backend.StageRequest) (backend.StageStream, error) {
-	return &oneAnswer{}, nil
+func (singleServer) Call(context.Context, backend.Server, backend.StageRequest) (backend.StageStream, error) {
+	return &singleChunkStream{}, nil
 }
 
-// oneAnswer is a stream of one piece.
-type oneAnswer struct{ read bool }
+// singleChunkStream is a stream of one chunk.
+type singleChunkStream struct{ read bool }
 
 // Next implements backend.StageStream.
-func (a *oneAnswer) Next() ([]byte, error) {
+func (a *singleChunkStream) Next() ([]byte, error) {
 	if a.read {
 		return nil, io.EOF
 	}
@@ -65,20 +66,21 @@
 }
 
 // Close implements backend.StageStream.
-func (*oneAnswer) Close() error { return nil }
+func (*singleChunkStream) Close() error { return nil }
 
-// countingWriter counts the bytes of log lines.
-type countingWriter struct{ bytes, lines int }
+// logCounter counts log lines and their bytes.
+type logCounter struct{ bytes, lines int }
 
 // Write implements io.Writer.
-func (c *countingWriter) Write(p []byte) (int, error) {
+func (c *logCounter) Write(p []byte) (int, error) {
 	c.bytes += len(p)
 	c.lines++
 	return len(p), nil
 }
 
-// measureSeries sends one request of each kind and organisation to servers in a
-// region, the instance being in another one unless the name is empty.
+// measureSeries sends one request of each kind and organisation to a server of the
+// given region. The instance itself is in the region with the empty name, so any
+// other name measures calls to another region.
 func measureSeries(organisations, pipelines int, region string) ([]figure, error) {
 	set := sampleSet(organisations, pipelines)
 	for i := range set.Pipelines {
@@ -89,9 +91,9 @@
 	}
 	set.Index()
 	m := metrics.New()
-	logged := &countingWriter{}
-	handler := seriesHandler(set, m, region, logged)
-	state, requests, err := retained(func() (int, error) { return sendAll(handler, set) })
+	logs := &logCounter{}
+	handler := seriesHandler(set, m, region, logs)
+	stateBytes, requests, err := retained(func() (int, error) { return sendAll(handler, set) })
 	if err != nil {
 		return nil, err
 	}
@@ -109,22 +111,23 @@
 		{"series", "series", float64(series)},
 		{"bytes of a scrape", "B", float64(scrape.Body.Len())},
 		{"processor time of a scrape", "us", float64(took.Microseconds())},
-		{"memory of metrics", "B", state},
-		{"log lines per request", "lines", float64(logged.lines) / float64(requests)},
-		{"log bytes per request", "B", float64(logged.bytes) / float64(requests)},
+		{"memory of metrics", "B", stateBytes},
+		{"log lines per request", "lines", float64(logs.lines) / float64(requests)},
+		{"log bytes per request", "B", float64(logs.bytes) / float64(requests)},
 	}, err
 }
 
-func seriesHandler(set *pipeline.Set, m *metrics.Metrics, region string, logged io.Writer) http.Handler {
-	server := oneServer{backend.Server{ID: "r1", Region: region}}
+func seriesHandler(set *pipeline.Set, m *metrics.Metrics, region string, logs io.Writer) http.Handler {
+	server := singleServer{backend.Server{ID: "r1", Region: region}}
 	executor := entry.NewExecutor(server, server, time.Now)
 	executor.Metrics = entry.NewRequestMetrics(m.Scope, "")
-	executor.Logger = slog.New(slog.NewJSONHandler(logged, nil))
+	executor.Logger = slog.New(slog.NewJSONHandler(logs, nil))
 	handler := &entry.Handler{Configuration: fixedConfiguration{set}, Executor: executor, Now: time.Now}
 	return handler.Router()
 }
 
-// sendAll returns the number of requests that it sent.
+// sendAll sends one request for each organisation, pipeline and kind, and returns the
+// number of requests.
 func sendAll(handler http.Handler, set *pipeline.Set) (requests int, err error) {
 	for _, organisation := range set.Deployment.Organisations {
 		for _, p := range set.Pipelines {
--- a/internal/capacity/orders.go
+++ b/internal/capacity/orders.go
@@ -19,11 +19,11 @@
 func ordersSweeps() []sweep {
 	return []sweep{{
 		role: RoleOrders, per: "engine of a leader", sizes: []int{12, 56, targetAccelerators / targetDomains, 500, targetAccelerators},
-		target: targetAccelerators, prepare: prepareOrders,
+		target: targetAccelerators, setUp: setUpOrders,
 	}}
 }
 
-// byteCounter counts the bytes of connections in both directions.
+// byteCounter counts the bytes of connections in both directions, and the dials.
 type byteCounter struct{ sent, received, dials atomic.Int64 }
 
 type countedConn struct {
@@ -49,16 +49,16 @@
 	return countedConn{conn, b}, err
 }
 
-// leading is a Leader that always leads.
-type leading struct{}
+// permanentLeader is an orders.Leader that always holds the leadership.
+type permanentLeader struct{}
 
 // Leadership implements orders.Leader.
-func (leading) Leadership(now time.Time) order.Leadership {
+func (permanentLeader) Leadership(now time.Time) order.Leadership {
 	return order.Leadership{Held: true, Fencing: 1, Since: now.Add(-time.Minute), Until: now.Add(time.Minute)}
 }
 
-// prepareOrders starts one stand-in engine that stands for all engines.
-func prepareOrders() (func(int) ([]figure, error), func(), error) {
+// setUpOrders starts one stand-in whose address is used for all engines.
+func setUpOrders() (func(int) ([]figure, error), func(), error) {
 	engine := standin.NewBackend(standin.BackendConfig{ID: "engine", Engine: standin.EngineConfig{Models: []string{"model-01"}, Role: "decode"}})
 	server := httptest.NewServer(engine.Handler())
 	counter := &byteCounter{}
@@ -66,31 +66,31 @@
 	measure := func(engines int) ([]figure, error) {
 		return measureOrders(engines, server.Listener.Addr().String(), client, counter)
 	}
-	end := func() {
+	tearDown := func() {
 		client.CloseIdleConnections()
 		server.Close()
 	}
-	return measure, end, nil
+	return measure, tearDown, nil
 }
 
-func wantedEngines(n int, address string) []order.Wanted {
-	wanted := make([]order.Wanted, n)
-	for i := range wanted {
-		wanted[i] = order.Wanted{
+func desiredEngines(n int, address string) []order.Wanted {
+	desired := make([]order.Wanted, n)
+	for i := range desired {
+		desired[i] = order.Wanted{
 			Server: fmt.Sprintf("engine-%04d", i), Address: address, Pool: "engines", Models: []string{"model-01"}, Role: "decode",
 		}
 	}
-	return wanted
+	return desired
 }
 
-// measureOrders runs the control loop over engines that are as wanted, for as
-// many periods as it takes to read each of them once. Figures are the mean of a
-// loop.
+// measureOrders runs the control loop over engines that are already in the desired
+// state, for as many periods as it takes to read each of them once. Figures are means
+// for one period.
 func measureOrders(engines int, address string, client *http.Client, counter *byteCounter) ([]figure, error) {
-	wanted := wantedEngines(engines, address)
+	desired := desiredEngines(engines, address)
 	loop := &orders.Loop{
-		Leader: leading{}, Engines: &backend.HTTPEngines{Client: client}, Now: time.Now, Logger: slog.New(slog.DiscardHandler),
-		Desired:  func() []order.Wanted { return wanted },
+		Leader: permanentLeader{}, Engines: &backend.HTTPEngines{Client: client}, Now: time.Now, Logger: slog.New(slog.DiscardHandler),
+		Desired:  func() []order.Wanted { return desired },
 		LoadRate: func() float64 { return 1 },
 	}
 	loop.Step(context.Background())
--- a/internal/capacity/resources.go
+++ b/internal/capacity/resources.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// stopwatch starts a clock and returns its reading.
+// stopwatch returns a function that returns the time since the call of stopwatch.
 func stopwatch() func() time.Duration {
 	start := time.Now()
 	return func() time.Duration { return time.Since(start) }
@@ -32,7 +32,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()), err
 }
 
-// allocated returns how much memory a function allocated in total.
+// allocated returns how many bytes and objects a function allocated in total.
 func allocated(run func() error) (bytes, objects float64, err error) {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -41,28 +41,28 @@
 	return float64(after.TotalAlloc - before.TotalAlloc), float64(after.Mallocs - before.Mallocs), err
 }
 
-// retained returns the memory that stays in use for the value that a function
-// builds.
+// retained returns the value that a function builds and the bytes that the value
+// keeps in use.
 func retained[T any](build func() (T, error)) (float64, T, error) {
-	before := inUse()
+	before := memoryInUse()
 	value, err := build()
-	after := inUse()
+	after := memoryInUse()
 	runtime.KeepAlive(value)
 	return max(0, after-before), value, err
 }
 
-// inUse is the memory of the heap and of stacks after a collection.
-func inUse() float64 {
+// memoryInUse returns the bytes of the heap and of stacks after a garbage collection.
+func memoryInUse() float64 {
 	var stats runtime.MemStats
-	// The second collection frees what the first one's finalizers released.
+	// The second collection frees what finalizers released after the first one.
 	runtime.GC()
 	runtime.GC()
 	runtime.ReadMemStats(&stats)
 	return float64(stats.HeapAlloc + stats.StackInuse)
 }
 
-// perCall returns the processor time and the allocations of one of many calls.
-func perCall(calls int, call func(i int)) (nanoseconds, objects float64, err error) {
+// costPerCall returns the mean processor time and number of allocations of a call.
+func costPerCall(calls int, call func(i int)) (nanoseconds, objects float64, err error) {
 	var took time.Duration
 	_, objects, err = allocated(func() (err error) {
 		took, err = processorTime(func() error {
--- a/internal/capacity/routing.go
+++ b/internal/capacity/routing.go
@@ -9,17 +9,17 @@
 	"github.com/coltsfootdrift/coltsfootdrift/routing"
 )
 
-// decisions is the number of routing decisions that are timed together.
-const decisions = 100_000
+// timedDecisions is the number of routing decisions that are timed together.
+const timedDecisions = 100_000
 
 func routingSweeps() []sweep {
 	return []sweep{{
 		role: RoleRouting, per: "server", sizes: []int{12, 56, 250, 1000, 2100}, target: 2100,
-		prepare: fixed(measureRouting),
+		setUp: withoutState(measureRouting),
 	}}
 }
 
-// poolServers returns servers spread over 18 failure domains in 8 regions.
+// poolServers returns n servers spread over 18 failure domains in 8 regions.
 func poolServers(n int) []routing.Server {
 	servers := make([]routing.Server, n)
 	for i := range servers {
@@ -39,36 +39,37 @@
 func measureRouting(n int) ([]figure, error) {
 	now := simulatedStart
 	servers := poolServers(n)
-	state, pool, _ := retained(func() (*routing.Pool, error) {
+	stateBytes, pool, _ := retained(func() (*routing.Pool, error) {
 		pool := routing.NewPool(domainLocation(0))
 		pool.Update(servers, now)
 		return pool, nil
 	})
-	plain, objects, err := timePicks(pool, routing.Query{AllowRemote: true})
+	withoutPrefix, objects, err := timePicks(pool, routing.Query{AllowRemote: true})
 	if err != nil {
 		return nil, err
 	}
-	prefix, _, err := timePicks(pool, routing.Query{AllowRemote: true, Prefix: 77})
+	withPrefix, _, err := timePicks(pool, routing.Query{AllowRemote: true, Prefix: 77})
 	if err != nil {
 		return nil, err
 	}
-	counts, _, err := perCall(20, func(i int) {
+	counts, _, err := costPerCall(20, func(i int) {
 		pool.SetPeerCounts(fmt.Sprint("instance-", i), pool.Counts(), now)
 	})
 	return []figure{
-		{"processor time of a decision", "ns", plain},
-		{"processor time of a decision with a prefix", "ns", prefix},
+		{"processor time of a decision", "ns", withoutPrefix},
+		{"processor time of a decision with a prefix", "ns", withPrefix},
 		{"allocations of a decision", "objects", objects},
 		{"processor time of a peer's counts", "ns", counts},
-		{"memory of a pool", "B", state},
+		{"memory of a pool", "B", stateBytes},
 	}, err
 }
 
-// timePicks measures a decision with the start and the end of the call.
+// timePicks measures a routing decision together with recording the start and the end
+// of its call.
 func timePicks(pool *routing.Pool, q routing.Query) (nanoseconds, objects float64, err error) {
 	random := rand.New(rand.NewPCG(1, 2))
 	now := simulatedStart.Add(time.Minute)
-	return perCall(decisions, func(int) {
+	return costPerCall(timedDecisions, func(int) {
 		now = now.Add(time.Millisecond)
 		i, _ := pool.Pick(now, random, q)
 		pool.Started(i, pipeline.ClassNormal, now)
--- a/internal/capacity/targets.go
+++ b/internal/capacity/targets.go
@@ -12,5 +12,5 @@
 	targetPipelines     = 20
 )
 
-// simulatedStart is the first moment of the simulated clock.
+// simulatedStart is the time at which simulated clocks start.
 var simulatedStart = time.Unix(1_700_000_000, 0)
