--- a/internal/experiment/arrivals.go
+++ b/internal/experiment/arrivals.go
@@ -12,7 +12,7 @@
 	class    string
 	deadline time.Duration
 	body     string
-	// linkBytes bounds what a request may move between regions.
+	// linkBytes is the most bytes that a request may move between regions.
 	linkBytes int64
 }
 
@@ -23,24 +23,25 @@
 	perSecond float64
 }
 
-// phase is a time with constant flows.
+// phase is a period with constant flows.
 type phase struct {
 	length time.Duration
 	flows  []flow
 }
 
-// arrival is one request, fixed before the run.
+// arrival is one request, scheduled before the run.
 type arrival struct {
-	// at is the intended start, from the start of the run.
+	// at is the intended send time, counted from the start of the run.
 	at     time.Duration
 	phase  int
 	kind   int
 	region int
-	// pick chooses an instance of the region.
+	// pick is a random number that selects an instance of the region.
 	pick uint32
 }
 
-// schedule draws the arrivals of all phases: each flow is a Poisson process.
+// schedule generates the arrivals of all phases, ordered by time. Each flow is a
+// Poisson process.
 func schedule(phases []phase, seed uint64) []arrival {
 	random := rand.New(rand.NewPCG(seed, 1))
 	var arrivals []arrival
--- a/internal/experiment/baselines.go
+++ b/internal/experiment/baselines.go
@@ -10,21 +10,25 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/entry"
 )
 
-// Policies that are compared. PolicyColtsfootdrift is the system's.
+// Policies that are compared. PolicyColtsfootdrift is the policy of this system, the
+// others are baselines.
 const (
 	PolicyColtsfootdrift = "coltsfootdrift"
 	PolicyRoundRobin     = "round robin"
 	PolicyLeastRequests  = "least requests"
 	PolicyTwoChoices     = "two choices, reported load"
 	PolicyLatencyAverage = "latency average"
-	latencyWeight        = 0.2
-	unmeasuredLatency    = 0
+	// latencyWeight is the weight of a new measurement in the mean latency.
+	latencyWeight = 0.2
+	// unmeasuredLatency is the mean latency of a server without a measurement.
+	unmeasuredLatency = 0
 )
 
-// Policies lists all policies, the system's own first.
+// Policies lists all policies, that of this system first.
 var Policies = []string{PolicyColtsfootdrift, PolicyRoundRobin, PolicyLeastRequests, PolicyTwoChoices, PolicyLatencyAverage}
 
-// baseline is a Picker that knows nothing of regions, peers or stragglers.
+// baseline is an entry.Picker that doesn't take regions, peers or stragglers into
+// account.
 type baseline struct {
 	policy  string
 	servers []backend.Server
@@ -78,7 +82,8 @@
 	}
 }
 
-// lowest returns a random one of the candidates with the lowest value.
+// lowest returns a candidate with the lowest value; among several it returns the first
+// one after a random start.
 func (b *baseline) lowest(candidates []int, value func(int) float64) int {
 	start := b.random.IntN(len(candidates))
 	best := candidates[start]
@@ -110,7 +115,8 @@
 // FirstByte does nothing.
 func (p *baselinePicked) FirstByte() {}
 
-// Done ends the call. A server without a measurement counts as the fastest.
+// Done ends the call and updates the mean latency of its server. A server without a
+// measurement counts as the fastest.
 func (p *baselinePicked) Done(error, int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -25,7 +25,7 @@
 	organisationName = "acme"
 )
 
-// layout describes the servers and instances of an experiment.
+// layout describes the servers, instances and request kinds of an experiment.
 type layout struct {
 	regions     int
 	servers     int // per region
@@ -37,24 +37,26 @@
 }
 
 const (
-	// heartbeatInterval stands for the heartbeats that carry counts to peers.
+	// heartbeatInterval is the interval at which instances exchange the counts that
+	// heartbeats carry.
 	heartbeatInterval = time.Second
-	// reportInterval and reportLag are those of load reports.
+	// reportInterval is the interval at which baselines read load reports, reportLag
+	// the age of the load that a report shows.
 	reportInterval    = 250 * time.Millisecond
 	reportLag         = 500 * time.Millisecond
 	admissionInterval = 20 * time.Millisecond
 	linkMbits         = 30
 	answerBytes       = 2048
-	// callerConnections is above the number of requests that run at once.
+	// callerConnections is more than the number of requests that run at the same time.
 	callerConnections = 4096
 )
 
-// fleet is the running servers and instances of one run.
+// fleet holds the running servers and instances of one run.
 type fleet struct {
 	layout
 	backends []*standin.Backend
 	servers  []backend.Server
-	// urls holds the instances' addresses by region.
+	// urls holds the URLs of the instances by region.
 	urls   [][]string
 	link   *linkCounter
 	client *http.Client
@@ -90,7 +92,7 @@
 	return f
 }
 
-// stop ends all servers and instances.
+// stop stops all servers and instances.
 func (f *fleet) stop() {
 	f.client.CloseIdleConnections()
 	for i := len(f.close) - 1; i >= 0; i-- {
@@ -115,7 +117,7 @@
 	})
 }
 
-// set is the configuration of the experiment.
+// set returns the configuration of the experiment.
 func (f *fleet) set() *pipeline.Set {
 	kinds := make([]pipeline.Kind, len(f.kinds))
 	for i, k := range f.kinds {
@@ -203,8 +205,8 @@
 	})
 }
 
-// exchange hands the counts of each instance to the others, as heartbeats do, which
-// take some rounds to reach all of them.
+// exchangeCounts passes the counts of each instance to all others. It stands for
+// heartbeats, which take some rounds to reach all instances.
 func exchangeCounts(ctx context.Context, peers []*entry.Servers) {
 	repeatEvery(ctx, heartbeatInterval, func() {
 		for from, sender := range peers {
@@ -218,8 +220,8 @@
 	})
 }
 
-// markerInterval is the time after which a new straggler marker reaches the other
-// instances, as gossip of the daemon sends it.
+// stragglerInterval is the time after which a newly detected straggler is known to the
+// other instances, as with the gossip of real instances.
 const stragglerInterval = 100 * time.Millisecond
 
 func exchangeStragglers(peers []*entry.Servers) {
--- a/internal/experiment/link.go
+++ b/internal/experiment/link.go
@@ -11,8 +11,8 @@
 // linkDelay is the one-way delay between regions.
 const linkDelay = 12 * time.Millisecond
 
-// linkCounter counts the bytes that cross the link by the second in which a
-// call ended.
+// linkCounter counts the bytes that cross the link between regions, in total and for
+// each second of the Unix time at which they were counted.
 type linkCounter struct {
 	mu      sync.Mutex
 	seconds map[int64]int64
@@ -29,7 +29,7 @@
 	c.total += bytes
 }
 
-// result returns all bytes and those of the busiest second.
+// totals returns the bytes of the whole run and those of the busiest second.
 func (c *linkCounter) totals() (total, busiest int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -46,7 +46,8 @@
 	counter *linkCounter
 }
 
-// Call sends a request, over the link when the server is in another region.
+// Call sends a request. When the server is in another region, the bytes are counted
+// and the link delay is added in each direction.
 func (c *linkCaller) Call(ctx context.Context, server backend.Server, request backend.StageRequest) (backend.StageStream, error) {
 	if server.Region == c.region {
 		return c.Caller.Call(ctx, server, request)
@@ -67,7 +68,7 @@
 	counter *linkCounter
 }
 
-// Next returns the next piece.
+// Next returns the next chunk and counts its bytes.
 func (s *linkStream) Next() ([]byte, error) {
 	piece, err := s.StageStream.Next()
 	s.counter.add(int64(len(piece)))
--- a/internal/experiment/generate.go
+++ b/internal/experiment/load.go
@@ -19,23 +19,25 @@
 	histogramDigits = 3
 )
 
-// answered is what became of one arrival.
+// requestResult is the result of one arrival.
 type requestResult struct {
-	// took is the time from the intended start to the end of the answer.
+	// duration is the time from the intended send time to the end of the answer.
 	duration time.Duration
 	outcome  entry.Outcome
 	onTime   bool
 }
 
-// results holds the outcome of each arrival of a run.
+// results holds the result of each arrival of a run.
 type results struct {
 	kinds    []kind
 	arrivals []arrival
+	// requests has the same order as arrivals.
 	requests []requestResult
 }
 
-// generate sends each arrival at its intended time, whether earlier ones were
-// answered or not, and waits for all answers. events run at their times.
+// runLoad sends each arrival at its intended time, whether earlier ones were answered
+// or not, and waits for all answers. Each function in events runs at its key, counted
+// from the start of the run.
 func (f *fleet) runLoad(arrivals []arrival, events map[time.Duration]func()) *results {
 	r := &results{f.kinds, arrivals, make([]requestResult, len(arrivals))}
 	start := time.Now()
@@ -51,7 +53,7 @@
 	return r
 }
 
-// send posts one request. The caller gives up at twice the deadline.
+// send posts one request and cancels it at twice the deadline of its kind.
 func (f *fleet) send(a arrival, intended time.Time) requestResult {
 	k := f.kinds[a.kind]
 	ctx, cancel := context.WithDeadline(context.Background(), intended.Add(2*k.deadline))
@@ -80,15 +82,15 @@
 	return entry.Outcome(response.Header.Get(entry.HeaderOutcome))
 }
 
-// selection chooses arrivals of one kind and phase, -1 for all.
+// selection selects the arrivals of one kind and one phase; -1 selects all.
 type selection struct{ kind, phase int }
 
 func (s selection) matches(a arrival) bool {
 	return (s.kind < 0 || s.kind == a.kind) && (s.phase < 0 || s.phase == a.phase)
 }
 
-// latency returns the histogram of completed requests in microseconds, without
-// those that started before from.
+// latency returns the histogram of the latency of completed requests in microseconds,
+// without requests whose intended send time is before from.
 func (r *results) latency(s selection, from time.Duration) *hdrhistogram.Histogram {
 	h := hdrhistogram.New(1, histogramMax, histogramDigits)
 	for i, a := range r.arrivals {
@@ -99,8 +101,8 @@
 	return h
 }
 
-// inTime returns the share of requests that were answered by their deadline,
-// without those that started before from.
+// onTimeShare returns the share of requests that were answered by their deadline,
+// without requests whose intended send time is before from.
 func (r *results) onTimeShare(s selection, from time.Duration) float64 {
 	total, onTime := 0, 0
 	for i, a := range r.arrivals {
@@ -114,7 +116,8 @@
 	return float64(onTime) / float64(max(1, total))
 }
 
-// delivered returns the answers in time per second that ended within a window.
+// onTimeRate returns the answers per second that ended within a window and were on
+// time.
 func (r *results) onTimeRate(from, to time.Duration) float64 {
 	count := 0
 	for i, a := range r.arrivals {
--- a/internal/experiment/network.go
+++ b/internal/experiment/network.go
@@ -14,10 +14,10 @@
 	transport() http.RoundTripper
 }
 
-// connections is the network of the experiments. A test replaces it.
+// fleetNetwork is the network of the experiments. A test replaces it.
 var fleetNetwork network = loopback{}
 
-// loopback is a network of sockets.
+// loopback is a network of sockets on the loopback interface.
 type loopback struct{}
 
 func (loopback) serve(handler http.Handler) (address string, stop func()) {
--- a/internal/experiment/overhead.go
+++ b/internal/experiment/overhead.go
@@ -1,5 +1,5 @@
-// Package experiment measures design decisions against baselines, side by side
-// in one run.
+// Package experiment compares design decisions with baselines under the same load, in
+// one run.
 package experiment
 
 import (
@@ -23,29 +23,29 @@
 	"github.com/coltsfootdrift/coltsfootdrift/routing"
 )
 
-// relayRounds is the number of interleaved batches, so that noise of a shared
-// machine falls on all paths alike.
+// overheadBatches is the number of batches on each path. Batches of the paths are
+// interleaved, so that noise of a shared machine affects all paths alike.
 const overheadBatches = 20
 
-// relayInput is the caller's document of every request.
+// overheadInput is the input of every request.
 var overheadInput = `{"text":"` + strings.Repeat("lot 4711 ", 60) + `"}`
 
-// Overhead is the processor time per request of the whole process: client, hop
-// and stand-in.
+// Overhead is the processor time per request of the whole process: client, hop and
+// the stand-in of a backend server.
 type Overhead struct {
-	// Direct goes without a hop, Relay through a bare relay hop, Entry through an
-	// entry instance.
+	// Direct is for requests without a hop, Relay for requests through a relay that
+	// only forwards, Entry for requests through an entry instance.
 	Direct, Relay, Entry time.Duration
 }
 
-// AddedRatio is the processor time that an entry instance adds, in units of
-// what a bare relay hop adds.
+// AddedRatio returns the processor time that an entry instance adds, as a multiple of
+// what the relay adds.
 func (o Overhead) AddedRatio() float64 {
 	return float64(o.Entry-o.Direct) / float64(o.Relay-o.Direct)
 }
 
-// MeasureOverhead sends at least the given number of requests on each path to
-// the same stand-in.
+// MeasureOverhead sends at least the given number of requests on each path. All paths
+// end at the same stand-in.
 func MeasureOverhead(requests int) (Overhead, error) {
 	backendServer := httptest.NewServer(standin.NewBackend(standin.BackendConfig{ID: "r1", Slots: 64}).Handler())
 	defer backendServer.Close()
@@ -63,10 +63,11 @@
 	})
 }
 
-// relayPath is one way to the stand-in.
+// overheadPath is one path to the stand-in: the URL and the body to post there.
 type overheadPath struct{ url, body string }
 
-// measure sends batches on the paths in turn: direct, relay and entry.
+// measure sends batches on the paths in turn. The paths are direct, relay and entry, in
+// this order.
 func measure(batch int, paths []overheadPath) (Overhead, error) {
 	client := &http.Client{Transport: backend.NewTransport()}
 	defer client.CloseIdleConnections()
@@ -121,7 +122,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()), err
 }
 
-// bareRelay forwards bodies both ways and does nothing else.
+// bareRelay forwards request and response bodies and does nothing else.
 func bareRelay(target string) http.Handler {
 	client := &http.Client{Transport: backend.NewTransport()}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -144,7 +145,8 @@
 	})
 }
 
-// entryHop is the request path of an entry instance with a pipeline of one stage.
+// entryHandler returns the request handler of an entry instance with a pipeline of one
+// stage.
 func entryHandler(address string) http.Handler {
 	set := &pipeline.Set{
 		Deployment: pipeline.Deployment{
--- a/internal/experiment/overhead_test.go
+++ b/internal/experiment/overhead_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// BenchmarkOverhead reports the processor time per request; the goal for
-// added_ratio is at most 1.5.
+// BenchmarkOverhead reports the processor time per request. The goal is an added_ratio
+// of at most 1.5.
 func BenchmarkOverhead(b *testing.B) {
 	overhead, err := MeasureOverhead(b.N)
 	if err != nil {
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Goal is a bound on one figure of the system's own policy.
+// Goal is a bound on one figure of PolicyColtsfootdrift.
 type Goal struct {
 	Figure string `json:"figure"`
-	// AtLeast is true when the figure must not be below the bound, otherwise it
+	// AtLeast is true when the figure must not be below the bound, and false when it
 	// must not be above.
 	AtLeast bool    `json:"at_least"`
 	Bound   float64 `json:"bound"`
@@ -18,7 +18,8 @@
 	Reached bool    `json:"reached"`
 }
 
-// Row is one figure of one policy over all repetitions.
+// Row is one figure of one policy, with the median, the lowest and the highest value of
+// all repetitions.
 type Row struct {
 	Policy string  `json:"policy"`
 	Figure string  `json:"figure"`
@@ -44,7 +45,7 @@
 	goals   []Goal
 	// trial measures one policy once.
 	trial func(policy string, seed uint64) (map[string]float64, error)
-	// derive adds figures that compare policies of one repetition.
+	// derive adds figures that compare the policies within one repetition.
 	derive func(byPolicy map[string]map[string]float64)
 }
 
@@ -58,8 +59,9 @@
 	"admission":    admission,
 }
 
-// Run measures all policies of an experiment in turn, repeatedly. The arrivals
-// of one repetition are the same for all policies.
+// Run measures all policies of an experiment in turn and repeats this. Within one
+// repetition all policies get the same arrivals. The policy that starts changes with
+// each repetition.
 func Run(name string, seed uint64, repeats int) (Report, error) {
 	s, ok := scenarios[name]
 	if !ok {
@@ -110,7 +112,7 @@
 	return report
 }
 
-// middle is the median of sorted values.
+// median returns the median of sorted values, or 0 when there are none.
 func median(sorted []float64) float64 {
 	n := len(sorted)
 	if n == 0 {
@@ -119,7 +121,8 @@
 	return (sorted[(n-1)/2] + sorted[n/2]) / 2
 }
 
-// p99 returns a 99th percentile in milliseconds.
+// p99 returns the 99th percentile of the latency in milliseconds, without requests whose
+// intended send time is before from.
 func (r *results) p99(s selection, from time.Duration) float64 {
 	return float64(r.latency(s, from).ValueAtQuantile(99)) / 1000
 }
--- a/internal/experiment/scenarios.go
+++ b/internal/experiment/scenarios.go
@@ -13,10 +13,11 @@
 
 const smallBody = `{"text":"lot 4711"}`
 
-// all selects every request.
+// allRequests selects the requests of all kinds and phases.
 var allRequests = selection{-1, -1}
 
-// Two of twelve servers become ten times slower in the middle of the run.
+// straggler slows two of twelve servers down by a factor of ten in the middle of the
+// run.
 var straggler = scenario{
 	policies: Policies,
 	figures:  []string{"p99 before ms", "p99 slowed ms", "p99 ratio", "in time"},
@@ -39,7 +40,7 @@
 	},
 }
 
-// Short work alone, long work alone, then both.
+// headOfLine sends short requests alone, long requests alone, and then both together.
 var headOfLine = scenario{
 	policies: Policies,
 	figures:  []string{"short p99 alone ms", "short p99 ratio", "long mean alone ms", "long mean ratio", "in time"},
@@ -72,8 +73,8 @@
 	},
 }
 
-// Load rises fivefold, to twice the capacity, and falls again. Interactive load
-// alone fits the capacity all the time.
+// swing raises the load by a factor of five, to twice the capacity, and lowers it again.
+// The interactive load alone always stays within the capacity.
 var swing = scenario{
 	policies: Policies,
 	figures:  []string{"capacity per s", "delivered share", "interactive in time", "normal in time", "in time after"},
@@ -108,11 +109,12 @@
 	},
 }
 
-// capacityLength is 20 service times, so that cold connections at its start hardly
-// count. Two repetitions of all policies still end within a minute.
+// capacityMeasureTime is 20 service times, so that the cold connections at the start
+// hardly affect the result. Two repetitions of all policies still end within a minute.
 const capacityMeasureTime = 1600 * time.Millisecond
 
-// capacity measures what the servers answer per second when every slot is busy.
+// measureCapacity returns the answers per second of all servers while every slot is
+// busy.
 func (f *fleet) measureCapacity(duration time.Duration) float64 {
 	caller := backend.NewHTTPCaller(fleetNetwork.transport())
 	var answers atomic.Int64
@@ -139,8 +141,9 @@
 	return float64(answers.Load()) / time.Since(started).Seconds()
 }
 
-// One region is above its capacity for a while, the other one is nearly idle.
-// The baselines know nothing of regions.
+// regions loads one region above its capacity for a while; the other one is nearly
+// idle. The baselines ignore regions: the figures with "blind" in their names compare
+// with the least-requests policy.
 var regions = scenario{
 	policies: Policies,
 	figures:  []string{"in time", "link MB", "link share of blind", "busiest second share of budget"},
@@ -174,16 +177,16 @@
 		}, nil
 	},
 	derive: func(byPolicy map[string]map[string]float64) {
-		product, leastRequests := byPolicy[PolicyColtsfootdrift], byPolicy[PolicyLeastRequests]
-		product["link share of blind"] = product["link MB"] / leastRequests["link MB"]
-		product["in time less blind"] = product["in time"] - leastRequests["in time"]
+		system, leastRequests := byPolicy[PolicyColtsfootdrift], byPolicy[PolicyLeastRequests]
+		system["link share of blind"] = system["link MB"] / leastRequests["link MB"]
+		system["in time less blind"] = system["in time"] - leastRequests["in time"]
 	},
 }
 
 // overheadRequests is the number of requests on each path of one repetition.
 const overheadRequests = 3000
 
-// The processor time that an instance adds to one relayed request.
+// overhead measures the processor time that an instance adds to one relayed request.
 var overhead = scenario{
 	policies: []string{PolicyColtsfootdrift},
 	figures:  []string{"direct us", "relay us", "entry us", "added ratio"},
--- a/internal/experiment/stages.go
+++ b/internal/experiment/stages.go
@@ -8,22 +8,24 @@
 )
 
 const (
-	// stageRate is in requests per second.
-	stageRequestRate  = 12
-	stageArrivalTime  = 24 * time.Second
-	policyHeldToEvent = "held to the event"
+	// stageRequestRate is in requests per second, stageArrivalPeriod the time during
+	// which requests arrive.
+	stageRequestRate   = 12
+	stageArrivalPeriod = 24 * time.Second
+	policyHeldToEvent  = "held to the event"
 )
 
-// sharedStages is the system's own policy.
+// sharedQueuePolicy returns the policy of this system: all instances share one queue.
 func sharedQueuePolicy() stagePolicy {
 	var fetch stagework.FetchEstimator
 	return stagePolicy{queues: 1, resultHoldTime: fetch.Duration(stageProfile, maxPieces*stageResultBytes)}
 }
 
-// Many requests with a few pieces each share stage servers whose capacity exists only
-// in full calls, through a burst of three times the rate.
+// stages sends many requests with a few pieces each to stage servers that reach their
+// capacity only with full calls. The load includes a burst at three times the rate.
 var stages = scenario{
-	// The second policy differs from the own one only in when results are freed.
+	// policyHeldToEvent differs from PolicyColtsfootdrift only in when results are
+	// freed.
 	policies: []string{PolicyColtsfootdrift, policyHeldToEvent, "instance alone", "call a request"},
 	figures:  []string{"on time", "served", "pieces a call", "turned away"},
 	goals:    []Goal{{Figure: "on time to best", AtLeast: true, Bound: 1.1}},
@@ -40,7 +42,7 @@
 		default:
 			return nil, fmt.Errorf("policy %q does not exist", policy)
 		}
-		return simulateStages(p, stageArrivals(stageRequestRate, stageArrivalTime, seed)).figures(), nil
+		return simulateStages(p, stageArrivals(stageRequestRate, stageArrivalPeriod, seed)).figures(), nil
 	},
 	derive: func(byPolicy map[string]map[string]float64) {
 		best := 0.0
@@ -53,8 +55,8 @@
 	},
 }
 
-// The same burst, in which some requests can't be on time: who waits, who is refused,
-// and when.
+// admission uses the same burst, in which some requests can't be on time. It compares
+// which requests wait, which are refused, and when.
 var admission = scenario{
 	policies: []string{PolicyColtsfootdrift, "first come", "by due time"},
 	figures:  []string{"on time", "served", "refused", "refused after s", "work wasted"},
@@ -65,7 +67,8 @@
 		case PolicyColtsfootdrift:
 		case "first come":
 			p.adjustJob = func(j stagework.Job, now time.Time) stagework.Job {
-				// All seem to be in time, so that only their order counts.
+				// With times this late the queue regards every job as on time, so
+				// that only the order of arrival counts.
 				j.Due, j.Deadline = now.Add(time.Hour), now.Add(2*time.Hour)
 				return j
 			}
@@ -78,7 +81,7 @@
 		default:
 			return nil, fmt.Errorf("policy %q does not exist", policy)
 		}
-		return simulateStages(p, stageArrivals(stageRequestRate, stageArrivalTime, seed)).figures(), nil
+		return simulateStages(p, stageArrivals(stageRequestRate, stageArrivalPeriod, seed)).figures(), nil
 	},
 	derive: stages.derive,
 }
@@ -90,8 +93,8 @@
 		"served":          float64(f.served) / all,
 		"refused":         float64(f.refused) / all,
 		"refused after s": f.totalRefusalDelay.Seconds() / float64(max(1, f.refused)),
-		"pieces a call":   float64(f.produced) / float64(max(1, f.calls-f.refusedCalls)),
+		"pieces a call":   float64(f.producedResults) / float64(max(1, f.calls-f.refusedCalls)),
 		"turned away":     float64(f.refusedCalls) / float64(max(1, f.calls)),
-		"work wasted":     1 - float64(f.used)/float64(max(1, f.produced)),
+		"work wasted":     1 - float64(f.usedResults)/float64(max(1, f.producedResults)),
 	}
 }
--- a/internal/experiment/stages_test.go
+++ b/internal/experiment/stages_test.go
@@ -6,8 +6,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Guards against a change of the stage queue under which baselines that share nothing,
-// or refuse nothing, answer as many requests on time under a burst.
+// Guards against a change of the stage queue that loses its advantage during a burst:
+// baselines that share no queue or call, or refuse no request, must not answer as many
+// requests on time.
 func TestStagePoliciesBeatTheirBaselines(t *testing.T) {
 	c := qt.New(t)
 	for _, name := range []string{"stages", "admission"} {
@@ -19,7 +20,7 @@
 	}
 }
 
-// Guards against an experiment whose figures change from run to run.
+// Guards against an experiment whose figures differ between runs with the same seed.
 func TestStageExperimentsRepeat(t *testing.T) {
 	c := qt.New(t)
 	first, err := Run("stages", 7, 1)
--- a/internal/experiment/stagesim.go
+++ b/internal/experiment/stagesim.go
@@ -9,24 +9,25 @@
 	"github.com/coltsfootdrift/coltsfootdrift/stagework"
 )
 
-// stageShape is the stage server of the experiments.
+// stageProfile describes the stage servers of the experiments.
 var stageProfile = stagework.ServerProfile{
 	Slots: 1, Batch: 8, CallTime: 200 * time.Millisecond, PieceTime: 20 * time.Millisecond,
 	RoomBytes: 12 * stageResultBytes, ResultLife: 4 * time.Second,
 }
 
 const (
-	// stageResult is the size in bytes of a result, of which a server holds twelve.
+	// stageResultBytes is the size of a result. A server has room for twelve.
 	stageResultBytes   = 1_500_000
 	stageServers       = 4
 	stageInstances     = 9
 	stageTargetLatency = 900 * time.Millisecond
 	stageDeadline      = 3 * time.Second
 	maxPieces          = 6
-	// firstEventAfter is how long after the send of a request its model server sends
-	// the first event.
+	// firstEventDelay is the time from sending a request to its model server until the
+	// server sends the first event.
 	firstEventDelay = 350 * time.Millisecond
-	expiryInterval  = 25 * time.Millisecond
+	// expiryInterval is how often the queues refuse jobs that can't meet their deadline.
+	expiryInterval = 25 * time.Millisecond
 )
 
 // stageArrival is one request that needs pieces of the stage.
@@ -53,19 +54,20 @@
 	}
 }
 
-// stagePolicy is how instances use the stage servers.
+// stagePolicy describes how instances use the stage servers.
 type stagePolicy struct {
-	// queues is the number of queues that instances divide among them.
+	// queues is the number of queues among which the instances are divided.
 	queues int
-	// alone gives each request a call of its own.
+	// callPerRequest gives each request a call of its own.
 	callPerRequest bool
-	// freedAfter is how long after a stage its results are freed.
+	// resultHoldTime is the time from the end of a stage until its results are freed.
 	resultHoldTime time.Duration
-	// offered returns the job of a request; its times are those that the queue knows.
+	// adjustJob changes a job before it is offered to the queue, such as the times that
+	// the queue decides by; nil changes nothing.
 	adjustJob func(j stagework.Job, now time.Time) stagework.Job
 }
 
-// stageSim plays requests in virtual time.
+// stageSimulation simulates instances and stage servers in virtual time.
 type stageSimulation struct {
 	policy   stagePolicy
 	events   virtualtime.EventQueue
@@ -80,16 +82,16 @@
 	pieces        int
 }
 
-// stageFigures count what became of the requests.
+// stageFigures counts requests by their outcome, calls and results.
 type stageFigures struct {
 	all, onTime, served, refused int
 	calls, refusedCalls          int
-	produced, used               int
-	// refusedAfter is the sum of the times after which requests were refused.
+	producedResults, usedResults int
+	// totalRefusalDelay is the sum of the times from arrival to refusal.
 	totalRefusalDelay time.Duration
 }
 
-// playStages plays arrivals under a policy.
+// simulateStages simulates the arrivals under a policy.
 func simulateStages(policy stagePolicy, arrivals []stageArrival) stageFigures {
 	s := &stageSimulation{policy: policy, busy: map[string]bool{}, requests: map[stagework.JobID]stageRequest{}}
 	var servers []stagework.Server
@@ -117,17 +119,17 @@
 	s.events.At(now.Add(d), run)
 }
 
-func (s *stageSimulation) arrive(id stagework.JobID, arrival stageArrival, now time.Time) {
-	r := stageRequest{now.Add(stageTargetLatency), now.Add(stageDeadline), arrival.pieces}
+func (s *stageSimulation) arrive(id stagework.JobID, request stageArrival, now time.Time) {
+	r := stageRequest{now.Add(stageTargetLatency), now.Add(stageDeadline), request.pieces}
 	s.figures.all++
 	job := stagework.Job{ID: id, ResultBytes: stageResultBytes, FailureDomain: "d", Due: r.due, Deadline: r.deadline}
-	for piece := range arrival.pieces {
+	for piece := range request.pieces {
 		job.Pieces = append(job.Pieces, piece)
 	}
 	if s.policy.adjustJob != nil {
 		job = s.policy.adjustJob(job, now)
 	}
-	if _, ok := s.queues[arrival.instance%len(s.queues)].Offer(now, job); !ok {
+	if _, ok := s.queues[request.instance%len(s.queues)].Offer(now, job); !ok {
 		s.figures.refused++
 		return
 	}
@@ -142,7 +144,7 @@
 	s.startCalls(now)
 }
 
-// pump makes the calls that the queues ask for. A busy server turns them away.
+// startCalls starts the calls that the queues have ready. A busy server refuses them.
 func (s *stageSimulation) startCalls(now time.Time) {
 	for _, q := range s.queues {
 		for {
@@ -175,7 +177,7 @@
 	for i, item := range call.Items {
 		outcomes[i].Result = fmt.Sprintf("%s/%d-%d", call.Server, item.Job, item.Piece)
 	}
-	s.figures.produced += len(outcomes)
+	s.figures.producedResults += len(outcomes)
 	s.applyEffects(q, q.Finished(now, call.ID, outcomes), now)
 	s.startCalls(now)
 }
@@ -192,11 +194,11 @@
 		case now.After(r.deadline):
 		case now.After(r.due):
 			s.figures.served++
-			s.figures.used += r.pieces
+			s.figures.usedResults += r.pieces
 		default:
 			s.figures.served++
 			s.figures.onTime++
-			s.figures.used += r.pieces
+			s.figures.usedResults += r.pieces
 		}
 		s.after(now, s.policy.resultHoldTime, func(now time.Time) {
 			q.Freed(done.Results)
--- a/internal/experiment/virtual_test.go
+++ b/internal/experiment/virtual_test.go
@@ -19,7 +19,7 @@
 	virtualSeeds = flag.Uint64("virtual-seeds", 1, "number of seeds of TestInVirtualTime")
 )
 
-// direct is a network of function calls, so that time can be virtual.
+// inProcessNetwork replaces connections by function calls, so that time can be virtual.
 type inProcessNetwork struct {
 	mu       sync.Mutex
 	handlers []http.Handler
@@ -34,7 +34,7 @@
 
 func (d *inProcessNetwork) transport() http.RoundTripper { return d }
 
-// RoundTrip runs the handler of the address to its end.
+// RoundTrip calls the handler of the address and returns its whole response.
 func (d *inProcessNetwork) RoundTrip(r *http.Request) (*http.Response, error) {
 	number, err := strconv.Atoi(r.URL.Host)
 	if err != nil {
@@ -59,9 +59,9 @@
 	return response, nil
 }
 
-// Guards against decisions that let requests miss their deadlines although the
-// load fits, apart from the noise of a machine. It logs the figures, so that a
-// change of a decision can be compared.
+// Guards against decisions under which requests miss their deadlines although the load
+// is within the capacity. Virtual time excludes the noise of the machine. The figures
+// are logged, so that a changed decision can be compared.
 func TestInVirtualTime(t *testing.T) {
 	original := fleetNetwork
 	defer func() { fleetNetwork = original }()
