--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock reads the boot-time clock, which counts the time during which
-// the machine was suspended. Leases and claims are measured with it.
+// Package clock reads the boot-time clock, which also counts the time during which
+// the machine is suspended. Leases and claims use it to measure time.
 package clock
 
 import (
@@ -14,12 +14,13 @@
 	Now() time.Time
 }
 
-// Boot is the clock CLOCK_BOOTTIME. Its times are comparable only with each
-// other and within one machine.
+// Boot is the clock CLOCK_BOOTTIME. Its times can be compared only with each other
+// and within one machine.
 type Boot struct{}
 
-// Now returns the time since boot, counted from the Unix epoch. It carries no
-// monotonic reading, so that differences use the boot time alone.
+// Now returns the time since boot, added to the Unix epoch. It has no monotonic
+// reading, so that differences use the boot time alone. It panics when the kernel has
+// no CLOCK_BOOTTIME.
 func (Boot) Now() time.Time {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
@@ -28,8 +29,8 @@
 	return time.Unix(now.Unix())
 }
 
-// Sleep waits, or returns false when the context ends first. Time during which the
-// machine is suspended is not counted.
+// Sleep waits for d and returns true, or returns false when the context is done first.
+// Time during which the machine is suspended is not counted.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -41,7 +42,7 @@
 	}
 }
 
-// Every calls f at each interval until the context ends.
+// Every calls f once per interval until the context is done.
 func Every(ctx context.Context, interval time.Duration, f func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -6,8 +6,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Guards against a clock that goes backwards or carries Go's monotonic reading,
-// which does not count suspended time.
+// Guards against a clock that goes backwards or returns times with Go's monotonic
+// reading, which does not count suspended time.
 func TestBootClockRisesWithoutMonotonicReading(t *testing.T) {
 	c := qt.New(t)
 	first := Boot{}.Now()
--- a/internal/fixedseed/fixedseed.go
+++ b/internal/fixedseed/fixedseed.go
@@ -1,17 +1,17 @@
-// Package fixedseed gives property tests a fixed seed, so that each run of the
-// tests has the same verdict. A test package imports it for its effect. A seed
-// on the command line (-rapid.seed) goes first. Files of failures are not
-// written, because the seed repeats them.
+// Package fixedseed sets a fixed seed for property tests, so that each run of the
+// tests has the same result. A test package imports it for its side effect. A seed on
+// the command line (-rapid.seed) takes precedence. Rapid's files of failures are not
+// written, because the seed reproduces each failure.
 package fixedseed
 
 import (
 	"flag"
 
-	// The flag exists once rapid is initialized.
+	// Rapid defines the flags when it is initialised, so it must be imported.
 	_ "pgregory.net/rapid"
 )
 
-// seed is any number but 0, which rapid takes as a request for a random seed.
+// seed may be any number except 0, for which rapid uses a random seed.
 const seed = "20261204"
 
 func init() {
--- a/internal/hangup/hangup.go
+++ b/internal/hangup/hangup.go
@@ -1,6 +1,6 @@
-// Package hangup keeps a process alive that gets SIGHUP before it is ready for it.
-// SIGHUP asks for the settings to be read again; without a handler it ends the
-// process. Import it for its side effect.
+// Package hangup ignores SIGHUP until the process has installed its handler. SIGHUP
+// requests that the settings are read again; without a handler it ends the process.
+// Import the package for its side effect.
 package hangup
 
 import (
@@ -8,6 +8,6 @@
 	"syscall"
 )
 
-// A later signal.Notify takes the signal over. The settings are read after this, so
-// that ignoring it until then loses nothing.
+// A later signal.Notify replaces this. The process first reads its settings after this
+// init, so an ignored signal loses no change of the settings.
 func init() { signal.Ignore(syscall.SIGHUP) }
--- a/internal/httpserve/httpserve.go
+++ b/internal/httpserve/httpserve.go
@@ -12,11 +12,12 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/events"
 )
 
-// Start binds the address before it returns, so that a taken address fails the
-// start, and then serves it until the server is closed.
+// Start binds the address and then serves in the background until the server is
+// closed. It returns an error when the address can't be bound, for example because it
+// is in use. A later failure to serve is logged.
 func Start(ctx context.Context, server *http.Server, address string, logger *slog.Logger) error {
-	var config net.ListenConfig
-	listener, err := config.Listen(ctx, "tcp", address)
+	var listenConfig net.ListenConfig
+	listener, err := listenConfig.Listen(ctx, "tcp", address)
 	if err != nil {
 		return fmt.Errorf("listen on %s: %w", address, err)
 	}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics gives the tally scope that the system reports to and the
-// handler from which it is scraped.
+// Package metrics provides the tally scope in which the system reports its metrics, and
+// the HTTP handler that serves them to Prometheus.
 package metrics
 
 import (
@@ -12,18 +12,18 @@
 	tallyprom "github.com/uber-go/tally/v4/prometheus"
 )
 
-// reportInterval is how often tally hands its values to the reporter.
+// reportInterval is how often tally passes its values to the Prometheus reporter.
 const reportInterval = time.Second
 
-// Metrics is a root scope with its scrape handler.
+// Metrics is a root scope with the handler that serves its metrics.
 type Metrics struct {
 	Scope   tally.Scope
 	Handler http.Handler
 	closer  io.Closer
 }
 
-// New returns metrics with their own registry, so that several instances can
-// run in one process.
+// New returns Metrics with a registry of their own, so that several instances can run
+// in one process.
 func New() *Metrics {
 	registry := prometheus.NewRegistry()
 	reporter := tallyprom.NewReporter(tallyprom.Options{Registerer: registry, Gatherer: registry})
@@ -35,7 +35,7 @@
 	return &Metrics{Scope: scope, Handler: reporter.HTTPHandler(), closer: closer}
 }
 
-// Close stops reporting.
+// Close stops the reporting after a last report.
 func (m *Metrics) Close() error {
 	return m.closer.Close()
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform reads the platform's list of instances and backend servers.
-// The list lags behind the truth and is a hint only.
+// Package platform reads the platform's list of instances and backend servers. The
+// list lags behind the actual state, so callers use it as a hint only.
 package platform
 
 import (
@@ -12,25 +12,25 @@
 	"github.com/samber/oops"
 )
 
-// State is the state of a listed process.
+// State is the state of a process in the list.
 type State string
 
-// States of a listed process.
+// States of a process in the list.
 const (
 	StateLive    State = "live"
 	StateLeaving State = "leaving"
 )
 
-// Role tells entry instances from backend servers.
+// Role distinguishes entry instances from backend servers.
 type Role string
 
-// Roles of a listed process.
+// Roles of a process in the list.
 const (
 	RoleEntry   Role = "entry"
 	RoleBackend Role = "backend"
 )
 
-// Member is one listed process.
+// Member is one process in the list.
 type Member struct {
 	ID            string `json:"id"`
 	Role          Role   `json:"role"`
@@ -45,22 +45,22 @@
 // ErrUnavailable reports that the list could not be read.
 var ErrUnavailable = errors.New("instance list is unavailable")
 
-// Lister reads the list.
+// Lister reads the list of instances and backend servers.
 type Lister interface {
 	List(ctx context.Context) ([]Member, error)
 }
 
-// PathList is the path of the list in the HTTP wire form.
+// PathList is the URL path of the list.
 const PathList = "/v1/instances"
 
 // HTTPLister reads the list over HTTP.
 type HTTPLister struct {
 	Client *http.Client
-	// Address is the IP number and port of the platform.
+	// Address is the IP address and port of the platform.
 	Address string
 }
 
-// List returns the members that the platform knows.
+// List returns the members in the platform's list. Errors wrap ErrUnavailable.
 func (l *HTTPLister) List(ctx context.Context) ([]Member, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+l.Address+PathList, nil)
 	if err != nil {
--- a/internal/readiness/readiness.go
+++ b/internal/readiness/readiness.go
@@ -1,4 +1,5 @@
-// Package readiness tells load balancers whether an instance takes new work.
+// Package readiness serves the readiness check by which load balancers decide whether
+// an instance gets new requests.
 package readiness
 
 import (
@@ -10,9 +11,10 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/events"
 )
 
-// Readiness tells the load balancer whether the instance takes new work.
+// Readiness is the handler of the readiness check. The instance is ready when all
+// conditions are met and Withdraw was not called.
 type Readiness struct {
-	// Logger gets Ready the first time that the instance is ready.
+	// Ready is logged to Logger at the first check that finds the instance ready.
 	Logger *slog.Logger
 	Ready  events.Event
 
@@ -27,21 +29,23 @@
 	met  func() bool
 }
 
-// Require adds a condition that must be met, such as a configuration in force.
+// Require adds a condition that must be met, such as a loaded configuration. The name
+// is the reason while it is not met.
 func (r *Readiness) Require(name string, met func() bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.conditions = append(r.conditions, condition{name, met})
 }
 
-// Withdraw makes the instance not ready for good.
+// Withdraw makes the instance not ready from now on, whatever its conditions.
 func (r *Readiness) Withdraw() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.withdrawn = true
 }
 
-// NotReadyReason returns why the instance is not ready, or an empty string.
+// NotReadyReason returns why the instance is not ready: the name of the first condition
+// that is not met, or that it is shutting down. It is empty when the instance is ready.
 func (r *Readiness) NotReadyReason() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -56,14 +60,15 @@
 	return ""
 }
 
-// ServeHTTP answers 200 when ready, and otherwise 503 with the reason.
+// ServeHTTP answers with status 200 when the instance is ready, and otherwise with 503
+// and the reason.
 func (r *Readiness) ServeHTTP(w http.ResponseWriter, request *http.Request) {
-	missing := r.NotReadyReason()
-	if missing == "" {
+	reason := r.NotReadyReason()
+	if reason == "" {
 		r.reported.Do(func() { r.Ready.Log(request.Context(), r.Logger) })
 		w.WriteHeader(http.StatusOK)
 		return
 	}
 	w.WriteHeader(http.StatusServiceUnavailable)
-	fmt.Fprintln(w, missing)
+	fmt.Fprintln(w, reason)
 }
--- a/internal/virtualtime/virtualtime.go
+++ b/internal/virtualtime/virtualtime.go
@@ -1,4 +1,5 @@
-// Package virtualtime runs events in the order of their times without waiting.
+// Package virtualtime runs simulated events in the order of their times without
+// waiting.
 package virtualtime
 
 import (
@@ -6,22 +7,22 @@
 	"time"
 )
 
-// EventQueue is the events to come. The zero value is empty. It is not safe for
-// concurrent use.
-type EventQueue struct{ events events }
+// EventQueue holds the events that have not run. The zero value is empty. It is not safe
+// for concurrent use.
+type EventQueue struct{ events eventHeap }
 
-// event is something that happens at a time.
+// event is a function to run at a time.
 type event struct {
 	at  time.Time
 	run func(now time.Time)
 }
 
-// At adds an event. Events of one time run in no certain order.
+// At adds an event. Events at the same time run in no particular order.
 func (q *EventQueue) At(at time.Time, run func(now time.Time)) {
 	heap.Push(&q.events, event{at, run})
 }
 
-// Run runs all events, also those that events add, until there are none.
+// Run runs all events, including those that events add, until none is left.
 func (q *EventQueue) Run() {
 	for q.events.Len() > 0 {
 		e := heap.Pop(&q.events).(event)
@@ -29,14 +30,14 @@
 	}
 }
 
-type events []event
+type eventHeap []event
 
-func (e events) Len() int           { return len(e) }
-func (e events) Less(i, j int) bool { return e[i].at.Before(e[j].at) }
-func (e events) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)        { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
-	last := (*e)[len(*e)-1]
-	*e = (*e)[:len(*e)-1]
+func (h eventHeap) Len() int           { return len(h) }
+func (h eventHeap) Less(i, j int) bool { return h[i].at.Before(h[j].at) }
+func (h eventHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *eventHeap) Push(x any)        { *h = append(*h, x.(event)) }
+func (h *eventHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
 	return last
 }
--- a/internal/virtualtime/virtualtime_test.go
+++ b/internal/virtualtime/virtualtime_test.go
@@ -7,18 +7,19 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Guards against events out of order, and against those that events add.
+// Guards against events that run out of order, including events that are added by other
+// events.
 func TestEventsRunInOrder(t *testing.T) {
 	c := qt.New(t)
 	start := time.Unix(1000, 0)
 	var a EventQueue
-	var seen []time.Duration
-	note := func(now time.Time) { seen = append(seen, now.Sub(start)) }
-	a.At(start.Add(3), note)
+	var ran []time.Duration
+	record := func(now time.Time) { ran = append(ran, now.Sub(start)) }
+	a.At(start.Add(3), record)
 	a.At(start.Add(1), func(now time.Time) {
-		note(now)
-		a.At(now.Add(1), note)
+		record(now)
+		a.At(now.Add(1), record)
 	})
 	a.Run()
-	c.Assert(seen, qt.DeepEquals, []time.Duration{1, 2, 3})
+	c.Assert(ran, qt.DeepEquals, []time.Duration{1, 2, 3})
 }
