--- a/cmd/coltsfootdrift/main.go
+++ b/cmd/coltsfootdrift/main.go
@@ -6,7 +6,7 @@
 	"os"
 
 	"github.com/coltsfootdrift/coltsfootdrift/internal/cli"
-	// SIGHUP must not end a process that has just started.
+	// Until a SIGHUP handler is installed, the signal must not end the process.
 	_ "github.com/coltsfootdrift/coltsfootdrift/internal/hangup"
 )
 
--- a/examples/examples.go
+++ b/examples/examples.go
@@ -8,7 +8,7 @@
 //go:embed tavares pondslots
 var Files embed.FS
 
-// Deployments returns the names of the folders.
+// Deployments returns the names of the folders in Files.
 func Deployments() []string {
 	return []string{"tavares", "pondslots"}
 }
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -9,7 +9,7 @@
 	"github.com/coltsfootdrift/coltsfootdrift/pipeline"
 )
 
-// Guards against an example that publish refuses.
+// Guards against an example that the publish command refuses.
 func TestExamplesHaveNoMistakes(t *testing.T) {
 	c := qt.New(t)
 	for _, name := range Deployments() {
--- a/tools/protogen/main.go
+++ b/tools/protogen/main.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// run generates the code of each file on its own, because protoc-gen-twirp takes
-// files of one package only.
+// run generates the code of each file separately, because protoc-gen-twirp accepts only
+// files of one package.
 func run(root string, files []string) error {
 	for _, file := range files {
 		request, err := compile(root, file)
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// compile parses a file and returns it as a plugin request.
+// compile compiles a file and its imports into a request to a plugin.
 func compile(root, file string) (*pluginpb.CodeGeneratorRequest, error) {
 	compiler := protocompile.Compiler{
 		Resolver:       &protocompile.SourceResolver{ImportPaths: []string{root}},
