--- a/internal/capacity/claims.go
+++ b/internal/capacity/claims.go
@@ -98,8 +98,8 @@
 	return bytes
 }
 
-// measureClaimRate appends claims and their finishes at a rate per second, once for
-// each shard and write interval.
+// measureClaimRate appends claims and their finishes at a rate per second. The
+// operations of one write interval on one shard are appended together, as one write.
 func measureClaimRate(rate int) ([]figure, error) {
 	var shards [claim.Shards]*storedShard
 	for i := range shards {
--- a/internal/capacity/jobs.go
+++ b/internal/capacity/jobs.go
@@ -57,7 +57,7 @@
 type jobInstance struct {
 	*jobs.Jobs
 	store *storetest.Fake
-	// unblock keeps jobs running until it is closed; nil: jobs end at once.
+	// unblock keeps jobs running until it is closed. Jobs are not delayed when it is nil.
 	unblock     chan struct{}
 	startedJobs atomic.Int64
 	stages      int
