--- a/internal/experiment/stagesim.go
+++ b/internal/experiment/stagesim.go
@@ -26,7 +26,7 @@
 	// firstEventDelay is the time from sending a request to its model server until the
 	// server sends the first event.
 	firstEventDelay = 350 * time.Millisecond
-	// expiryInterval is how often the queues refuse jobs that can't meet their deadline.
+	// expiryInterval is how often Queue.Expire is called.
 	expiryInterval = 25 * time.Millisecond
 )
 
