--- a/internal/capacity/jobs.go
+++ b/internal/capacity/jobs.go
@@ -227,7 +227,7 @@
 		name := fmt.Sprint("entry-instance-", i)
 		managers[i] = leases.New(leases.Config{
 			Store: fake, Key: job.HolderKey(name), Instance: name, BootTime: func() time.Time { return now },
-			HeldEvent: events.JobLeaseHeld, LostEvent: events.JobLeaseLost, Log: slog.New(slog.DiscardHandler),
+			HeldEvent: events.JobLeaseAcquired, LostEvent: events.JobLeaseLost, Log: slog.New(slog.DiscardHandler),
 		})
 	}
 	for range simulatedLeaseSeconds {
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -159,7 +159,7 @@
 // countMismatched counts an answer that was dropped because it belongs to another
 // attempt.
 func (c *stageCall) countMismatched(err error) {
-	if errors.Is(err, backend.ErrCrossedAnswer) {
+	if errors.Is(err, backend.ErrWrongAttempt) {
 		c.Metrics.dropped.Inc(1)
 	}
 }
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -28,9 +28,9 @@
 // ctx ends.
 func (s StoreClaims) Claim(ctx context.Context, request *Request) (Claim, *RecordedAnswer, *Problem) {
 	reply := s.Claims.Claim(ctx, claims.Request{
-		ID:        claim.NewID(request.Organisation.Name, request.Pipeline.Name, request.Kind.Name, request.Key),
-		BodySHA256:      sha256.Sum256(request.Body),
-		Retention: claimRetention(request),
+		ID:         claim.NewID(request.Organisation.Name, request.Pipeline.Name, request.Kind.Name, request.Key),
+		BodySHA256: sha256.Sum256(request.Body),
+		Retention:  claimRetention(request),
 	})
 	switch {
 	case reply.Grant != nil:
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -136,7 +136,7 @@
 		Store: config.Store, Key: job.HolderKey(config.Instance), Instance: config.Instance,
 		Wanted: j.leaseWanted, ReleaseUnwanted: true,
 		OnLost: j.cancelAll, BootTime: config.BootTime, Log: config.Log,
-		HeldEvent: events.JobLeaseHeld, LostEvent: events.JobLeaseLost,
+		HeldEvent: events.JobLeaseAcquired, LostEvent: events.JobLeaseLost,
 	})
 	return j
 }
