--- a/internal/capacity/orders.go
+++ b/internal/capacity/orders.go
@@ -54,7 +54,7 @@
 
 // Leadership implements orders.Leader.
 func (permanentLeader) Leadership(now time.Time) order.Leadership {
-	return order.Leadership{Held: true, Fencing: 1, Since: now.Add(-time.Minute), Until: now.Add(time.Minute)}
+	return order.Leadership{Held: true, FencingToken: 1, Since: now.Add(-time.Minute), Until: now.Add(time.Minute)}
 }
 
 // setUpOrders starts one stand-in whose address is used for all engines.
@@ -73,10 +73,10 @@
 	return measure, tearDown, nil
 }
 
-func desiredEngines(n int, address string) []order.Wanted {
-	desired := make([]order.Wanted, n)
+func desiredEngines(n int, address string) []order.Desired {
+	desired := make([]order.Desired, n)
 	for i := range desired {
-		desired[i] = order.Wanted{
+		desired[i] = order.Desired{
 			Server: fmt.Sprintf("engine-%04d", i), Address: address, Pool: "engines", Models: []string{"model-01"}, Role: "decode",
 		}
 	}
@@ -90,7 +90,7 @@
 	desired := desiredEngines(engines, address)
 	loop := &orders.Loop{
 		Leader: permanentLeader{}, Engines: &backend.HTTPEngines{Client: client}, Now: time.Now, Logger: slog.New(slog.DiscardHandler),
-		Desired:  func() []order.Wanted { return desired },
+		Desired:  func() []order.Desired { return desired },
 		LoadRate: func() float64 { return 1 },
 	}
 	loop.Step(context.Background())
--- a/internal/entry/loadcontrol.go
+++ b/internal/entry/loadcontrol.go
@@ -73,7 +73,7 @@
 
 func newServers(entry settings.Entry, logger *slog.Logger) *Servers {
 	location := routing.Location{Region: entry.Region, FailureDomain: entry.FailureDomain}
-	return NewServers(entry.Instance, location, entry.LinkSharers(), logger, time.Now)
+	return NewServers(entry.Instance, location, entry.MinLinkInstances(), logger, time.Now)
 }
 
 func newAdmissionControl(servers *Servers, m *AdmissionMetrics, logger *slog.Logger) *AdmissionControl {
--- a/internal/orders/leader.go
+++ b/internal/orders/leader.go
@@ -50,6 +50,6 @@
 func (e *Election) Leadership(time.Time) order.Leadership {
 	state := e.lease.State()
 	return order.Leadership{
-		Held: state.FencingToken != 0, Fencing: state.FencingToken, Since: state.Since, Until: state.Expires,
+		Held: state.FencingToken != 0, FencingToken: state.FencingToken, Since: state.Since, Until: state.Expires,
 	}
 }
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -24,7 +24,7 @@
 // times the bandwidth that an instance may use for control.
 const SettledPeriods = 10
 
-// callTimeout limits one call to an engine. It is shorter than order.OrderLife, so
+// callTimeout limits one call to an engine. It is shorter than order.OrderTTL, so
 // that an order that arrives at all arrives before the next leader stops waiting.
 const callTimeout = time.Second
 
@@ -42,7 +42,7 @@
 	Leader  Leader
 	Engines backend.Engines
 	// Desired returns the desired states of the failure domain's engines.
-	Desired func() []order.Wanted
+	Desired func() []order.Desired
 	// LoadRate returns this failure domain's share of the weight store's rate limit,
 	// in loads per minute.
 	LoadRate func() float64
@@ -76,7 +76,7 @@
 		return
 	}
 	desired := l.Desired()
-	l.reconciler.Want(desired)
+	l.reconciler.SetDesired(desired)
 	l.reconciler.SetLoadRate(l.Now(), l.LoadRate())
 	for _, observed := range l.readStates(ctx, l.enginesToRead(desired)) {
 		l.reconciler.Observe(observed)
@@ -104,11 +104,11 @@
 
 // enginesToRead returns the engines to read in this period: those that do not have
 // their desired state, and a part of the others in turn.
-func (l *Loop) enginesToRead(desired []order.Wanted) []order.Wanted {
+func (l *Loop) enginesToRead(desired []order.Desired) []order.Desired {
 	l.periods++
-	var due []order.Wanted
+	var due []order.Desired
 	for i, d := range desired {
-		if (i+l.periods)%SettledPeriods == 0 || !l.reconciler.Settled(d.Server) {
+		if (i+l.periods)%SettledPeriods == 0 || !l.reconciler.Converged(d.Server) {
 			due = append(due, d)
 		}
 	}
@@ -116,7 +116,7 @@
 }
 
 // readStates reads the states of engines and leaves out those that can't be read.
-func (l *Loop) readStates(ctx context.Context, desired []order.Wanted) []order.Observed {
+func (l *Loop) readStates(ctx context.Context, desired []order.Desired) []order.Observed {
 	states := make([]*order.Observed, len(desired))
 	var group errgroup.Group
 	group.SetLimit(maxConcurrentCalls)
@@ -158,7 +158,7 @@
 	_ = group.Wait() // the functions return no error
 	for i, o := range orders {
 		if refused[i] {
-			l.reconciler.Refused(o)
+			l.reconciler.MarkRefused(o)
 		}
 	}
 }
@@ -166,7 +166,7 @@
 func (l *Loop) sendOrder(ctx context.Context, o order.Order) error {
 	now := l.Now()
 	leadership := l.Leader.Leadership(now)
-	if leadership.Fencing != o.Fencing || !leadership.MayOrder(now, true) {
+	if leadership.FencingToken != o.FencingToken || !leadership.MaySendOrder(now, true) {
 		return backend.ErrOrderRefused
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
