--- a/internal/capacity/routing.go
+++ b/internal/capacity/routing.go
@@ -41,7 +41,7 @@
 	servers := poolServers(n)
 	state, pool, _ := retained(func() (*routing.Pool, error) {
 		pool := routing.NewPool(domainLocation(0))
-		pool.Update(servers, now)
+		pool.SetServers(servers, now)
 		return pool, nil
 	})
 	plain, objects, err := timePicks(pool, routing.Query{AllowRemote: true})
--- a/internal/entry/loadcontrol.go
+++ b/internal/entry/loadcontrol.go
@@ -142,6 +142,6 @@
 	defer p.mu.Unlock()
 	if current, ok := p.pool.Index(server.ID); ok {
 		load := routing.LoadReport{Running: report.Running, Waiting: report.Waiting}
-		p.pool.Report(current, load, now().Add(-report.Age))
+		p.pool.RecordLoad(current, load, now().Add(-report.Age))
 	}
 }
--- a/internal/entry/servers.go
+++ b/internal/entry/servers.go
@@ -124,7 +124,7 @@
 			ID: s.ID, Region: s.Region, FailureDomain: s.FailureDomain, Slots: slots, Incarnation: s.Incarnation,
 		}
 	}
-	p.pool.Update(listed, now)
+	p.pool.SetServers(listed, now)
 	clear(p.servers)
 	for _, s := range servers {
 		if index, ok := p.pool.Index(s.ID); ok {
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -103,7 +103,7 @@
 	for i, s := range listed {
 		servers[i] = routing.Server{ID: s.ID, Region: f.settings.Regions[s.FailureDomain], FailureDomain: s.FailureDomain, Slots: s.Slots, Incarnation: s.Incarnation}
 	}
-	pool.Update(servers, time.Now())
+	pool.SetServers(servers, time.Now())
 }
 
 // Server returns the address and connection limit of a server, and false when it is
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -123,7 +123,7 @@
 	defer answer.Close()
 	info := c.protocol.ReadAnswer(answer.Status, answer.Header)
 	if info.Load != nil {
-		c.fleet.WithPool(c.service.Name, func(pool *routing.Pool, _ *rand.Rand) { pool.Report(send.index, *info.Load, time.Now()) })
+		c.fleet.WithPool(c.service.Name, func(pool *routing.Pool, _ *rand.Rand) { pool.RecordLoad(send.index, *info.Load, time.Now()) })
 	}
 	if info.NotRun {
 		c.finishSend(send, routing.Refused)
--- a/routing/home_test.go
+++ b/routing/home_test.go
@@ -28,7 +28,7 @@
 		for _, instance := range instances {
 			pool, _ := newPool(nil)
 			pool.SetInstances(instance.ID, instances)
-			pool.Update(list, startTime)
+			pool.SetServers(list, startTime)
 			for i := range pool.servers {
 				owned[pool.servers[i].ID] += pool.servers[i].home
 			}
@@ -82,7 +82,7 @@
 	for _, instance := range instances {
 		pool, random := newPool(nil)
 		pool.SetInstances(instance.ID, instances)
-		pool.Update(list, startTime)
+		pool.SetServers(list, startTime)
 		for range perServer * len(list) / len(instances) {
 			i, _ := pool.Pick(startTime, random, Query{Class: pipeline.ClassLong})
 			pool.Started(i, pipeline.ClassLong, startTime)
@@ -99,7 +99,7 @@
 func TestPrefixDecidesAmongEqualHomeSlots(t *testing.T) {
 	pool, random := newPool(nil)
 	pool.SetInstances("i0", []Instance{{"i0", "r-a"}})
-	pool.Update(servers(8, "r-a"), startTime)
+	pool.SetServers(servers(8, "r-a"), startTime)
 	query := Query{Prefix: 4711}
 	first, _ := pool.Pick(startTime, random, query)
 	again, _ := pool.Pick(startTime, random, query)
--- a/routing/pool.go
+++ b/routing/pool.go
@@ -102,9 +102,9 @@
 	}
 }
 
-// Update replaces the list of servers. Servers added to a pool that already has
+// SetServers replaces the list of servers. Servers added to a pool that already has
 // some, and restarted ones, go through a slow start.
-func (p *Pool) Update(servers []Server, now time.Time) {
+func (p *Pool) SetServers(servers []Server, now time.Time) {
 	t := now.UnixNano()
 	first := len(p.ordered) == 0
 	for i := range p.servers {
@@ -273,9 +273,9 @@
 	p.recordResult(s, c, result, now.UnixNano())
 }
 
-// Report records a server's own load report. Load beyond the known calls of all
+// RecordLoad records a server's own load report. Load beyond the known calls of all
 // instances is added to the server's load and decays, because load reports lag.
-func (p *Pool) Report(i ServerIndex, report LoadReport, now time.Time) {
+func (p *Pool) RecordLoad(i ServerIndex, report LoadReport, now time.Time) {
 	s := &p.servers[i]
 	known := float64(s.inFlight) + s.peerInFlight
 	s.excess = max(0, float64(report.Running+report.Waiting)-known)
--- a/routing/pool_test.go
+++ b/routing/pool_test.go
@@ -29,7 +29,7 @@
 
 func newPool(list []Server) (*Pool, *rand.Rand) {
 	pool := NewPool(testLocation)
-	pool.Update(list, startTime)
+	pool.SetServers(list, startTime)
 	return pool, rand.New(rand.NewPCG(1, 2))
 }
 
@@ -99,7 +99,7 @@
 			switch rapid.IntRange(0, 9).Draw(t, "action") {
 			case 0:
 				listed = all[rapid.IntRange(0, len(all)-1).Draw(t, "from"):]
-				pool.Update(listed, now)
+				pool.SetServers(listed, now)
 			case 1:
 				id := rapid.SampledFrom(all).Draw(t, "drain").ID
 				drained[id] = pool.Drain(id) || drained[id]
@@ -182,7 +182,7 @@
 		c.Assert(pool.Local(i), qt.IsTrue)
 		pool.Started(i, pipeline.ClassNormal, now)
 	}
-	pool.Update(far, now)
+	pool.SetServers(far, now)
 	_, ok := pool.Pick(now, random, Query{})
 	c.Assert(ok, qt.IsFalse)
 	_, ok = pool.Pick(now, random, Query{AllowRemote: true})
