--- a/admission/admission.go
+++ b/admission/admission.go
@@ -13,8 +13,9 @@
 // Ticket describes a request to the queue that decides on its admission.
 type Ticket struct {
 	// ID is unique among the tickets of a queue and not 0.
-	ID           uint64
-	Class        pipeline.Class
+	ID    uint64
+	Class pipeline.Class
+	// Priority orders the tickets of a class; the highest value starts first.
 	Priority     int
 	Organisation string
 	// Weight is the organisation's relative share when organisations compete; 0 means 1.
@@ -23,7 +24,7 @@
 	Deadline time.Time
 }
 
-// Verdict is the state of a ticket.
+// Verdict says whether a ticket waits, may start or is refused.
 type Verdict uint8
 
 // Verdicts.
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -11,7 +11,7 @@
 	// because of their deadlines long before it is reached.
 	maxWaiting = 10000
 	// maxWaitFraction is the largest fraction of a request's slack that its estimated
-	// wait may use. It is below 1 because the completion rate is an estimate.
+	// wait may use. It is below 1 because the release rate is an estimate.
 	maxWaitFraction = 0.7
 	// Bounds of Retry-After before jitter, and the largest jitter as a fraction of it.
 	minRetryAfter = 100 * time.Millisecond
@@ -30,9 +30,9 @@
 	limiter limiter
 	waiting [classCount]classQueue
 	running [classCount]int
-	// expected is the moving average of the duration by class, in seconds.
-	expected    [classCount]float64
-	completions completionRate
+	// expectedSeconds is the moving average of the duration by class, in seconds.
+	expectedSeconds [classCount]float64
+	releases        releaseRate
 }
 
 // NewQueue returns a queue for an instance whose share of the pool is the given
@@ -87,7 +87,7 @@
 		return
 	}
 	q.running[class]--
-	q.completions.add(now)
+	q.releases.add(now)
 	q.updateExpected(class, result)
 	if result.Completed {
 		q.limiter.record(class, result.Duration)
@@ -100,13 +100,13 @@
 // an expected duration that is more than twice as long.
 func (q *Queue) updateExpected(class int, result Result) {
 	seconds := result.Duration.Seconds()
-	expected := q.expected[class]
+	expected := q.expectedSeconds[class]
 	switch {
 	case !result.Completed && seconds < expected:
 	case result.Completed && (expected == 0 || (q.running[class] == 0 && 2*seconds < expected)):
-		q.expected[class] = seconds
+		q.expectedSeconds[class] = seconds
 	default:
-		q.expected[class] += durationGain * (seconds - expected)
+		q.expectedSeconds[class] += durationGain * (seconds - expected)
 	}
 }
 
@@ -204,7 +204,8 @@
 
 // canMeetDeadline reports whether a ticket that starts after the given wait can be
 // answered by its deadline. The expected duration is ignored if no other request of the
-// class runs, so that one that an overload made too long is corrected.
+// class runs, so that an expected duration that grew too long in an overload is
+// corrected.
 func (q *Queue) canMeetDeadline(now time.Time, t Ticket, wait time.Duration) bool {
 	slack := t.Deadline.Sub(now)
 	if q.running[classIndex(t.Class)] > 0 {
@@ -214,7 +215,7 @@
 }
 
 func (q *Queue) expectedDuration(t Ticket) time.Duration {
-	return time.Duration(q.expected[classIndex(t.Class)] * float64(time.Second))
+	return time.Duration(q.expectedSeconds[classIndex(t.Class)] * float64(time.Second))
 }
 
 // estimateWait estimates how long a new ticket would wait until it starts.
@@ -224,7 +225,7 @@
 	for higher := range class {
 		ahead += q.waiting[higher].size
 	}
-	perSecond := q.completions.perSecond(now)
+	perSecond := q.releases.perSecond(now)
 	if perSecond == 0 {
 		perSecond = q.limitRate(class)
 	}
@@ -234,13 +235,13 @@
 	return time.Duration(float64(ahead) / perSecond * float64(time.Second))
 }
 
-// limitRate returns the completion rate, in requests per second, that follows from the
+// limitRate returns the release rate, in requests per second, that follows from the
 // limit and the expected duration; 0 when the duration is unknown.
 func (q *Queue) limitRate(class int) float64 {
-	if q.expected[class] == 0 {
+	if q.expectedSeconds[class] == 0 {
 		return 0
 	}
-	return float64(q.Limit()) / q.expected[class]
+	return float64(q.Limit()) / q.expectedSeconds[class]
 }
 
 // refuse returns a refusal. RetryAfter is the wait plus jitter, so that refused callers
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -140,7 +140,7 @@
 		}
 	}
 	qt.Assert(t, admitted, qt.Equals, 10)
-	qt.Assert(t, q.expected[classInteractive] < 0.1, qt.IsTrue)
+	qt.Assert(t, q.expectedSeconds[classInteractive] < 0.1, qt.IsTrue)
 }
 
 // Guards against one organisation that uses the whole pool, and against the share of
--- a/admission/completionrate.go
+++ b/admission/releaserate.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// Buckets of the completion rate.
+// Buckets of a releaseRate.
 const (
 	rateBuckets      = 10
 	rateBucketLength = 100 * time.Millisecond
 )
 
-// completionRate measures the rate of finished requests over the last second.
-type completionRate struct {
+// releaseRate measures how many admitted requests per second ended over the last
+// second, whether or not they were answered completely.
+type releaseRate struct {
 	counts [rateBuckets]int
 	// current is the number of the latest bucket, counted from the Unix epoch.
 	current int64
-	// since is when the first request finished.
+	// since is when the first request ended.
 	since time.Time
 }
 
-func (r *completionRate) add(now time.Time) {
+func (r *releaseRate) add(now time.Time) {
 	r.advance(now)
 	if r.since.IsZero() {
 		r.since = now
@@ -26,7 +27,7 @@
 }
 
 // advance moves on to the current bucket and clears those in between.
-func (r *completionRate) advance(now time.Time) {
+func (r *releaseRate) advance(now time.Time) {
 	bucket := now.UnixNano() / int64(rateBucketLength)
 	if bucket-r.current >= rateBuckets {
 		r.counts = [rateBuckets]int{}
@@ -38,9 +39,9 @@
 	}
 }
 
-// perSecond returns the number of finished requests per second, or 0 when none
-// finished in the last second.
-func (r *completionRate) perSecond(now time.Time) float64 {
+// perSecond returns the number of requests per second that ended, or 0 when none
+// ended in the last second.
+func (r *releaseRate) perSecond(now time.Time) float64 {
 	r.advance(now)
 	sum := 0
 	for _, count := range r.counts {
--- a/engine/copy.go
+++ b/engine/copy.go
@@ -47,11 +47,11 @@
 
 // tokensToCopy returns how many tokens a server copies from the source if it does not
 // cache the given number of prompt tokens. It returns 0 when a copy is not worth it.
-func (f source) tokensToCopy(c *serverState, uncached int) int {
-	if f.server == nil || f.server == c || c.CopyRate < minCopySpeedup*initialPrefillRate || uncached-f.uncached < minCopyTokens {
+func (src source) tokensToCopy(c *serverState, uncached int) int {
+	if src.server == nil || src.server == c || c.CopyRate < minCopySpeedup*initialPrefillTokensPerSecond || uncached-src.uncached < minCopyTokens {
 		return 0
 	}
-	return uncached - f.uncached
+	return uncached - src.uncached
 }
 
 // missingSharedParts returns the shared parts of a prompt that the server does not
--- a/engine/copy_test.go
+++ b/engine/copy_test.go
@@ -14,7 +14,7 @@
 	s := newScheduler()
 	var servers []Server
 	for _, c := range s.servers {
-		c.CopyRate = 100 * initialPrefillRate
+		c.CopyRate = 100 * initialPrefillTokensPerSecond
 		servers = append(servers, c.Server)
 	}
 	s.SetServers(servers)
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	// initialPrefillRate is the initial estimate of the prompt tokens that a server
-	// processes per second. Scheduler.prefillFactor corrects it.
-	initialPrefillRate = 40_000
-	// sharedPrefillPenalty is the cost of processing a shared token again, beyond the
-	// time that this takes, because other requests wait for it.
-	sharedPrefillPenalty = 60 * time.Microsecond
+	// initialPrefillTokensPerSecond is the initial estimate of the prompt tokens that a
+	// server processes per second. Scheduler.prefillFactor corrects it.
+	initialPrefillTokensPerSecond = 40_000
+	// sharedPrefillPenaltyPerToken is the cost of processing a token of a shared part
+	// again, beyond the time that this takes, because other requests wait for it.
+	sharedPrefillPenaltyPerToken = 60 * time.Microsecond
 	// crossDomainPenaltyPerMegabyte is the cost of inputs from another failure domain.
 	crossDomainPenaltyPerMegabyte = 70 * time.Millisecond
 	// affinityPenalty scales the cost that is derived from a hash of prompt and
@@ -244,7 +244,7 @@
 // cost returns the expected time to the first event at a server plus all penalties. The
 // server with the lowest cost is chosen.
 func (s *Scheduler) cost(c *serverState, now time.Time, q Query, work workload, key uint64) time.Duration {
-	cost := s.expected(c, now, work) + time.Duration(work.sharedPrefill)*sharedPrefillPenalty + time.Duration(work.copied)*copyPenaltyPerToken
+	cost := s.expected(c, now, work) + time.Duration(work.sharedPrefill)*sharedPrefillPenaltyPerToken + time.Duration(work.copied)*copyPenaltyPerToken
 	const megabyte = 1e6
 	for domain, bytes := range q.InputBytes {
 		if domain != c.FailureDomain {
@@ -256,7 +256,7 @@
 
 // prefillDuration returns the time that a server needs to process prompt tokens.
 func (s *Scheduler) prefillDuration(tokens int) time.Duration {
-	return time.Duration(s.prefillFactor * float64(tokens) / initialPrefillRate * float64(time.Second))
+	return time.Duration(s.prefillFactor * float64(tokens) / initialPrefillTokensPerSecond * float64(time.Second))
 }
 
 // uncachedTokens returns the number of tokens of a prompt that the server does not
@@ -350,7 +350,7 @@
 }
 
 // uniform maps a key to a uniformly distributed number in (0, 1). It uses the finalizer
-// of splitmix64.
+// of the SplitMix64 generator.
 func uniform(key uint64) float64 {
 	key ^= key >> 30
 	key *= 0xbf58476d1ce4e5b9
--- a/quota/ratelimiter_test.go
+++ b/quota/ratelimiter_test.go
@@ -76,28 +76,28 @@
 
 // Guards against memory use that grows with the number of organisations ever seen.
 func TestOrganisationsAreBounded(t *testing.T) {
-	s := NewRateLimiter()
+	limiter := NewRateLimiter()
 	for i := range 2 * maxOrganisations {
-		s.Observe(fmt.Sprint(i), 1, limiterStart)
+		limiter.Observe(fmt.Sprint(i), 1, limiterStart)
 	}
-	qt.Assert(t, len(s.organisations) <= maxOrganisations, qt.IsTrue)
-	qt.Assert(t, s.Summary(limiterStart).Largest, qt.HasLen, MaxListedOrganisations)
+	qt.Assert(t, len(limiter.organisations) <= maxOrganisations, qt.IsTrue)
+	qt.Assert(t, limiter.Summary(limiterStart).Largest, qt.HasLen, MaxListedOrganisations)
 }
 
 func benchmarkRateLimiter(b *testing.B, organisations int) {
-	s, now := NewRateLimiter(), limiterStart
+	limiter, now := NewRateLimiter(), limiterStart
 	names := make([]string, organisations)
 	for i := range names {
 		names[i] = fmt.Sprint("organisation-", i)
-		s.Observe(names[i], 1, now)
+		limiter.Observe(names[i], 1, now)
 	}
 	n := 0
 	b.ReportAllocs()
 	for b.Loop() {
 		n++
 		now = now.Add(time.Microsecond)
-		s.Observe(names[n%len(names)], 1, now)
-		s.Allow(names[n%len(names)], 100, 10, 1, now)
+		limiter.Observe(names[n%len(names)], 1, now)
+		limiter.Allow(names[n%len(names)], 100, 10, 1, now)
 	}
 }
 
@@ -108,11 +108,11 @@
 // the wrong order.
 func TestSummaryListsTheLargest(t *testing.T) {
 	c := qt.New(t)
-	s := NewRateLimiter()
+	limiter := NewRateLimiter()
 	for i := range 100 {
-		s.Observe(fmt.Sprintf("o%02d", i), float64(1+i*37%50), limiterStart)
+		limiter.Observe(fmt.Sprintf("o%02d", i), float64(1+i*37%50), limiterStart)
 	}
-	got := s.Summary(limiterStart).Largest
+	got := limiter.Summary(limiterStart).Largest
 	c.Assert(got, qt.HasLen, MaxListedOrganisations)
 	for i, demand := range got {
 		// Each of the demands 50, 49, ... belongs to two organisations, 50 apart.
@@ -122,13 +122,13 @@
 }
 
 func benchmarkSummary(b *testing.B, organisations int) {
-	s := NewRateLimiter()
+	limiter := NewRateLimiter()
 	for i := range organisations {
-		s.Observe(fmt.Sprint("organisation-", i), float64(1+i%7), limiterStart)
+		limiter.Observe(fmt.Sprint("organisation-", i), float64(1+i%7), limiterStart)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		s.Summary(limiterStart)
+		limiter.Summary(limiterStart)
 	}
 }
 
--- a/route/graph.go
+++ b/route/graph.go
@@ -25,7 +25,7 @@
 			g.Counts[i] = 0
 			continue
 		}
-		g.After[i] = r.runningDependencies(g.Counts, i, make([]bool, n))
+		g.After[i] = r.graphDependencies(g.Counts, i, make([]bool, n))
 		for _, j := range g.After[i] {
 			hasSuccessor[j] = true
 		}
@@ -38,9 +38,9 @@
 	return g
 }
 
-// runningDependencies returns the stages with pieces that a stage depends on, directly
+// graphDependencies returns the stages with pieces that a stage depends on, directly
 // or through omitted stages. The visited stages are marked so that a cycle terminates.
-func (r *Route) runningDependencies(counts []int, stage int, visited []bool) (found []int) {
+func (r *Route) graphDependencies(counts []int, stage int, visited []bool) (found []int) {
 	for _, j := range r.Stages[stage].After {
 		if j < 0 || j >= len(counts) || j == stage || visited[j] {
 			continue
@@ -50,7 +50,7 @@
 			found = append(found, j)
 			continue
 		}
-		found = append(found, r.runningDependencies(counts, j, visited)...)
+		found = append(found, r.graphDependencies(counts, j, visited)...)
 	}
 	return found
 }
--- a/routing/hedge.go
+++ b/routing/hedge.go
@@ -38,7 +38,7 @@
 func (h *Hedger) Delay(class pipeline.Class) (time.Duration, bool) {
 	h.tokens = min(maxSavedHedges, h.tokens+HedgeBudget)
 	c := classIndex(class)
-	if c == longIndex || h.pool.totalLatency[c].total < hedgeMinSamples || h.pool.overloaded() {
+	if c == classLong || h.pool.totalLatency[c].total < hedgeMinSamples || h.pool.overloaded() {
 		return 0, false
 	}
 	delay := h.pool.hedgeDelay[c]
--- a/routing/home.go
+++ b/routing/home.go
@@ -15,7 +15,7 @@
 	FailureDomain string
 }
 
-// SetInstances sets the entry instances of the region. The next Update divides the
+// SetInstances sets the entry instances of the region. The next SetServers divides the
 // slots of the region's servers among them. The slots assigned to this instance are
 // its home slots: it prefers them, so that instances do not all choose the same
 // server. Each instance computes the same division from the same lists of instances
@@ -64,8 +64,8 @@
 // use is assigned to one instance, so that the long calls of all instances together
 // stay within that class's share of a server.
 func (p *Pool) assignHomeSlots() {
-	p.home = p.home[:0]
-	p.homeSlots = 0
+	p.homeServers = p.homeServers[:0]
+	p.totalHomeSlots = 0
 	if len(p.instances) == 0 {
 		return
 	}
@@ -105,22 +105,22 @@
 		return
 	}
 	s := &p.servers[i]
-	if s.home == 0 {
-		p.home = append(p.home, i)
+	if s.homeSlots == 0 {
+		p.homeServers = append(p.homeServers, i)
 	}
-	s.homeNumbers = append(s.homeNumbers, number)
-	s.home++
-	p.homeSlots++
+	s.homeSlotNumbers = append(s.homeSlotNumbers, number)
+	s.homeSlots++
+	p.totalHomeSlots++
 	if float64(number) < s.longLimit() {
-		s.homeLong++
+		s.homeLongSlots++
 	}
 }
 
 // HomeSlots returns the number of this instance's home slots, or its equal share of
 // Slots when it has none.
 func (p *Pool) HomeSlots() float64 {
-	if p.homeSlots > 0 {
-		return float64(p.homeSlots)
+	if p.totalHomeSlots > 0 {
+		return float64(p.totalHomeSlots)
 	}
 	return float64(p.Slots()) / float64(max(1, len(p.instances)))
 }
@@ -130,14 +130,14 @@
 // prefix decides by rendezvous hashing.
 func (p *Pool) pickHome(t int64, q *Query) ServerIndex {
 	lowest := math.Inf(1)
-	for _, i := range p.home {
+	for _, i := range p.homeServers {
 		if p.servers[i].hasFreeHomeSlot(i, q) {
 			lowest = min(lowest, p.servers[i].homeScore(t, q.Class))
 		}
 	}
 	best := noServer
 	bestRank := 0.0
-	for _, i := range p.home {
+	for _, i := range p.homeServers {
 		s := &p.servers[i]
 		if !s.hasFreeHomeSlot(i, q) {
 			continue
@@ -155,10 +155,10 @@
 
 // hasFreeHomeSlot reports whether a server has a free home slot for the call.
 func (s *server) hasFreeHomeSlot(i ServerIndex, q *Query) bool {
-	if s.inFlight >= s.home || s.level > 0 || s.slowStartFrom != 0 || !s.eligible(i, q, strict) {
+	if s.inFlight >= s.homeSlots || s.level > 0 || s.slowStartFrom != 0 || !s.eligible(i, q, strict) {
 		return false
 	}
-	return classIndex(q.Class) != longIndex || s.long < s.homeLong
+	return classIndex(q.Class) != classLong || s.long < s.homeLongSlots
 }
 
 // homeScore is the position of the server's next home slot plus its excess load,
@@ -167,9 +167,9 @@
 // long calls evenly over the servers although each instance knows only its own
 // calls.
 func (s *server) homeScore(t int64, class pipeline.Class) float64 {
-	position := s.homeNumbers[s.long]
-	if classIndex(class) != longIndex {
-		position = s.Slots - 1 - s.homeNumbers[s.home-1-max(0, s.inFlight-s.long)]
+	position := s.homeSlotNumbers[s.long]
+	if classIndex(class) != classLong {
+		position = s.Slots - 1 - s.homeSlotNumbers[s.homeSlots-1-max(0, s.inFlight-s.long)]
 	}
 	return (float64(position+1) + s.excessLoad(t)) * s.scale
 }
--- a/routing/home_test.go
+++ b/routing/home_test.go
@@ -30,9 +30,9 @@
 			pool.SetInstances(instance.ID, instances)
 			pool.SetServers(list, startTime)
 			for i := range pool.servers {
-				owned[pool.servers[i].ID] += pool.servers[i].home
+				owned[pool.servers[i].ID] += pool.servers[i].homeSlots
 			}
-			for range pool.homeSlots {
+			for range pool.totalHomeSlots {
 				if i := pool.pickHome(startTime.UnixNano(), &Query{Class: pipeline.ClassLong}); i != noServer {
 					pool.Started(i, pipeline.ClassLong, startTime)
 					long[pool.ID(i)]++
--- a/routing/latency.go
+++ b/routing/latency.go
@@ -73,14 +73,14 @@
 		s := &p.servers[index]
 		s.peerInFlight, s.peerLong = 0, 0
 	}
-	for instance, report := range p.peerReports {
-		age := t - report.receivedAt
+	for instance, received := range p.peerCounts {
+		age := t - received.receivedAt
 		if age >= peerLifetime {
-			delete(p.peerReports, instance)
+			delete(p.peerCounts, instance)
 			continue
 		}
 		share := min(1, float64(peerLifetime-age)/float64(peerLifetime-peerFreshness))
-		for _, count := range report.counts {
+		for _, count := range received.counts {
 			if index, ok := p.byID[count.ID]; ok {
 				p.servers[index].peerInFlight += share * float64(count.InFlight)
 				p.servers[index].peerLong += share * float64(count.Long)
--- a/routing/pick.go
+++ b/routing/pick.go
@@ -121,7 +121,7 @@
 	if i := p.pickHome(t, &q); i != noServer {
 		return i, true
 	}
-	if len(p.home) > 0 {
+	if len(p.homeServers) > 0 {
 		// Outside home slots, the prefix would send the calls of all instances to one
 		// server.
 		q.Prefix = 0
--- a/routing/pool.go
+++ b/routing/pool.go
@@ -18,16 +18,16 @@
 	seriesCount
 )
 
-// server is the state of one backend server. Times are in nanoseconds.
+// server is the state of one backend server. Times are in Unix nanoseconds.
 type server struct {
 	Server
 	hash uint64
 	live bool
-	// home is the number of this instance's home slots at the server, and homeLong of
-	// those that the long class may use.
-	home, homeLong int
-	// homeNumbers lists the slot numbers of the home slots, lowest first.
-	homeNumbers []int
+	// homeSlots is the number of this instance's home slots at the server, and
+	// homeLongSlots of those that the long class may use.
+	homeSlots, homeLongSlots int
+	// homeSlotNumbers lists the slot numbers of the home slots, lowest first.
+	homeSlotNumbers []int
 	// tier is the distance of the server.
 	tier int
 	// draining is true from a drain marker until the next incarnation.
@@ -51,14 +51,14 @@
 	scale float64
 }
 
-// peerReport is the last report of another instance.
-type peerReport struct {
+// receivedCounts are the calls in flight that another instance last reported.
+type receivedCounts struct {
 	counts     []ServerCount
 	receivedAt int64
 }
 
-// Pool holds the servers of one pool as seen by one instance. Times are in
-// nanoseconds.
+// Pool holds the servers of one pool as seen by one instance. Times are in Unix
+// nanoseconds, medians in nanoseconds.
 type Pool struct {
 	location Location
 	// choices is the number of random candidates that a decision compares.
@@ -66,16 +66,19 @@
 	servers []server
 	byID    map[string]ServerIndex
 	// ordered lists the live servers by tier; tierEnd is the end of each tier in it.
-	ordered     []ServerIndex
-	tierEnd     [tierCount]int
-	peerReports map[string]peerReport
+	ordered    []ServerIndex
+	tierEnd    [tierCount]int
+	peerCounts map[string]receivedCounts
 	// slots is the sum of the slots of the live servers.
-	slots     int
+	slots int
+	// self is the ID of this instance, and instances are all entry instances of the
+	// region, sorted by ID.
 	self      string
 	instances []Instance
-	// home lists the servers at which this instance has home slots.
-	home      []ServerIndex
-	homeSlots int
+	// homeServers lists the servers at which this instance has home slots, and
+	// totalHomeSlots is the number of these slots.
+	homeServers    []ServerIndex
+	totalHomeSlots int
 
 	nextMaintenance  int64
 	nextOverdueCheck int64
@@ -84,9 +87,11 @@
 	totalLatency     [classCount]histogram
 	times            [classCount]StageTimes
 	hedgeDelay       [classCount]time.Duration
-	scratch          []float64
-	lowered          int
-	picksSinceProbe  int
+	// scratch is reused by computeMedians.
+	scratch []float64
+	// lowered is the number of live servers whose weight is lowered.
+	lowered         int
+	picksSinceProbe int
 }
 
 // Choices is the number of random candidates that a decision compares.
@@ -95,10 +100,10 @@
 // NewPool returns an empty pool for an instance at location.
 func NewPool(location Location) *Pool {
 	return &Pool{
-		location:    location,
-		choices:     Choices,
-		byID:        map[string]ServerIndex{},
-		peerReports: map[string]peerReport{},
+		location:   location,
+		choices:    Choices,
+		byID:       map[string]ServerIndex{},
+		peerCounts: map[string]receivedCounts{},
 	}
 }
 
@@ -109,17 +114,17 @@
 	first := len(p.ordered) == 0
 	for i := range p.servers {
 		s := &p.servers[i]
-		s.live, s.home, s.homeLong, s.homeNumbers = false, 0, 0, s.homeNumbers[:0]
+		s.live, s.homeSlots, s.homeLongSlots, s.homeSlotNumbers = false, 0, 0, s.homeSlotNumbers[:0]
 	}
 	for _, listed := range servers {
-		p.update(listed, first, t)
+		p.setServer(listed, first, t)
 	}
 	p.reorder()
 	p.assignHomeSlots()
 	p.maintain(t)
 }
 
-func (p *Pool) update(listed Server, first bool, t int64) {
+func (p *Pool) setServer(listed Server, first bool, t int64) {
 	listed.Slots = max(1, listed.Slots)
 	index, known := p.byID[listed.ID]
 	if known && p.servers[index].Incarnation >= listed.Incarnation {
@@ -231,7 +236,7 @@
 	s := &p.servers[i]
 	c := classIndex(class)
 	s.inFlight++
-	if c == longIndex {
+	if c == classLong {
 		s.long++
 	}
 	s.latency[seriesTotal][c].started(now.UnixNano())
@@ -251,19 +256,19 @@
 		return
 	}
 	s.inFlight--
-	if c == longIndex && s.long > 0 {
+	if c == classLong && s.long > 0 {
 		s.long--
 	}
-	whole := &s.latency[seriesTotal][c]
-	whole.finished(now.Add(-result.Latency).UnixNano())
+	total := &s.latency[seriesTotal][c]
+	total.finished(now.Add(-result.Latency).UnixNano())
 	switch result.Outcome {
 	case Answered:
-		whole.add(result.Latency)
+		total.add(result.Latency)
 		s.abandonedSlow = 0
 	case Failed:
-		whole.addAtLeast(result.Latency)
+		total.addAtLeast(result.Latency)
 	case Abandoned:
-		whole.addAtLeast(p.recordAbandoned(s, c, result.Latency, now.UnixNano()))
+		total.addAtLeast(p.recordAbandoned(s, c, result.Latency, now.UnixNano()))
 	case Refused:
 		return
 	case Unreachable:
@@ -285,7 +290,7 @@
 // SetPeerCounts replaces the calls in flight that another instance reported. The
 // pool keeps the slice.
 func (p *Pool) SetPeerCounts(instance string, counts []ServerCount, now time.Time) {
-	p.peerReports[instance] = peerReport{counts: counts, receivedAt: now.UnixNano()}
+	p.peerCounts[instance] = receivedCounts{counts: counts, receivedAt: now.UnixNano()}
 }
 
 // Counts returns this instance's calls in flight, to be reported to its peers.
--- a/routing/pool_test.go
+++ b/routing/pool_test.go
@@ -87,7 +87,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		all := append(servers(rapid.IntRange(1, 14).Draw(t, "near"), "r-a"), servers(4, "s-a")...)
 		pool, random := newPool(all)
-		now, listed, drained := startTime, all, map[string]bool{}
+		now, listed, draining := startTime, all, map[string]bool{}
 		type call struct {
 			i     ServerIndex
 			class pipeline.Class
@@ -102,7 +102,7 @@
 				pool.SetServers(listed, now)
 			case 1:
 				id := rapid.SampledFrom(all).Draw(t, "drain").ID
-				drained[id] = pool.Drain(id) || drained[id]
+				draining[id] = pool.Drain(id) || draining[id]
 			case 2:
 				counts := []ServerCount{{ID: all[0].ID, InFlight: 5, Long: 2}}
 				pool.SetPeerCounts("peer", counts, now)
@@ -114,7 +114,7 @@
 				}
 				s := &pool.servers[i]
 				if !s.live || s.draining {
-					t.Fatalf("picked %q: live %v, drained %v", s.ID, s.live, s.draining)
+					t.Fatalf("picked %q: live %v, draining %v", s.ID, s.live, s.draining)
 				}
 				pool.Started(i, class, now)
 				if float64(s.long) > max(1, LongShare*float64(s.Slots)) {
@@ -247,9 +247,9 @@
 func TestPeerStragglersGetFewerCalls(t *testing.T) {
 	c := qt.New(t)
 	pool, random := newPool(servers(6, "r-a"))
-	seen := map[string]int{}
+	reports := map[string]int{}
 	for _, id := range []string{"r-a-2", "r-a-3", "r-a-4"} {
-		seen[id] = 1
+		reports[id] = 1
 	}
 	picks := func() (counts [6]int) {
 		pool.maintain(startTime.UnixNano())
@@ -265,7 +265,7 @@
 		}
 		return counts
 	}
-	pool.SetPeerStragglers(seen, startTime)
+	pool.SetPeerStragglers(reports, startTime)
 	counts := picks()
 	c.Assert(2*counts[2] < counts[0], qt.IsTrue, qt.Commentf("%v", counts))
 	c.Assert(2*counts[4] > counts[0], qt.IsTrue, qt.Commentf("more than 30 %% get fewer calls: %v", counts))
@@ -299,8 +299,8 @@
 	pool.maintain(now.UnixNano())
 	pool.SetPeerStragglers(map[string]int{"r-a-2": 1}, now)
 	c.Assert(pool.Lowered(), qt.Equals, 0)
-	seen := map[string]int{"r-a-2": 2, "r-a-3": 2, "r-a-4": 2}
-	pool.SetPeerStragglers(seen, now)
+	reports := map[string]int{"r-a-2": 2, "r-a-3": 2, "r-a-4": 2}
+	pool.SetPeerStragglers(reports, now)
 	c.Assert(pool.Lowered(), qt.Equals, 1)
 	c.Assert(pool.Stragglers(), qt.HasLen, 0)
 	for range 300 {
@@ -311,6 +311,6 @@
 	for range levelProbeOnly * goodAnswersToRaise {
 		answer(2)
 	}
-	pool.SetPeerStragglers(seen, now)
+	pool.SetPeerStragglers(reports, now)
 	c.Assert(pool.Lowered(), qt.Equals, 0)
 }
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -122,4 +122,4 @@
 	}
 }
 
-const longIndex = 2
+const classLong = 2
--- a/routing/straggler.go
+++ b/routing/straggler.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// stragglerState is a server's state in straggler detection. Times are in
-// nanoseconds.
+// stragglerState is a server's state in straggler detection. Times are in Unix
+// nanoseconds, probeBackoff is in nanoseconds.
 type stragglerState struct {
 	// relative is the latency as a multiple of the pool median.
 	relative float64
@@ -30,6 +30,7 @@
 // probes.
 var weights = [...]float64{1, 0.5, 0.2, 0.05}
 
+// Intervals and lifetimes are in nanoseconds.
 const (
 	levelProbeOnly = 2
 
@@ -40,8 +41,12 @@
 	// goodAnswersToRaise is the number of consecutive good answers that raise the
 	// weight by one level.
 	goodAnswersToRaise = 2
-	minStepInterval    = int64(200 * time.Millisecond)
+	// minStepInterval is the minimum time from a change of the weight to the next one
+	// by maintainServer.
+	minStepInterval = int64(200 * time.Millisecond)
 
+	// probeInterval is the interval between probes of a server. It doubles with each
+	// bad probe, up to maxProbeInterval.
 	probeInterval    = int64(time.Second)
 	maxProbeInterval = int64(8 * time.Second)
 	// picksPerProbe is the minimum number of picks per probe. It keeps the share of
@@ -52,10 +57,13 @@
 	minRelative = 0.5
 	maxRelative = 4.0
 
+	// maintenanceInterval is the minimum interval between calls of Pool.maintain.
 	maintenanceInterval = int64(100 * time.Millisecond)
 	// sampleDecay multiplies the number of samples at each maintenance, which halves
 	// it in 7 s.
-	sampleDecay     = 0.99
+	sampleDecay = 0.99
+	// halvingInterval is the interval at which the counts of the latency histograms
+	// are halved.
 	halvingInterval = int64(10 * time.Second)
 	// Calls reported by peers count in full up to the age peerFreshness, and not at all
 	// from peerLifetime on.
--- a/stagework/queue.go
+++ b/stagework/queue.go
@@ -19,12 +19,12 @@
 	// failed. It doubles with each consecutive failure, up to maxFailurePause.
 	failurePause    = 200 * time.Millisecond
 	maxFailurePause = 2 * time.Second
-	// lateWaitFactor multiplies the estimated wait of a new piece. A job that will
+	// missedDueWaitFactor multiplies the estimated wait of a new piece. A job that will
 	// miss its due time is expected to wait that much longer, because jobs that can
 	// still meet theirs overtake it.
-	lateWaitFactor = 1
+	missedDueWaitFactor = 1
 	// startedBonus moves jobs of requests with finished stages forward in the order,
-	// because the work of those stages is lost if the job is late.
+	// because the work of those stages is lost if the job misses its deadline.
 	startedBonus = 400 * time.Millisecond
 	// priorityStep moves a job back in the order for each level of lower priority.
 	priorityStep = 300 * time.Millisecond
@@ -69,7 +69,9 @@
 	// waiting holds the indexes in Pieces that wait for a call.
 	waiting []int
 	// results holds the result handles in the order of Pieces, empty until produced.
-	results    []string
+	results []string
+	// unfinished is the number of pieces without a result, failures the number of
+	// failed attempts to produce one of the pieces.
 	unfinished int
 	failures   int
 	// inputsFreed is true once the inputs may have been freed, so that no piece can be
@@ -140,7 +142,7 @@
 	for _, config := range servers {
 		s := q.servers[config.ID]
 		if s == nil {
-			s = &server{Server: config, lastSlowness: 1}
+			s = &server{Server: config, meanSlowness: 1}
 			q.servers[config.ID] = s
 		}
 		s.Server, s.inUse = config, true
@@ -180,7 +182,7 @@
 	if !offered.Started {
 		end := now.Add(q.timeToEnd(now, offered))
 		if end.After(offered.Due) {
-			end = end.Add(lateWaitFactor * q.EstimatedWait(now))
+			end = end.Add(missedDueWaitFactor * q.EstimatedWait(now))
 		}
 		if end.After(offered.Deadline) {
 			return RefusedLate, false
@@ -274,7 +276,7 @@
 func (q *Queue) retryElsewhere(c *call, now time.Time) {
 	c.overdue = true
 	if s := q.servers[c.Server]; s != nil {
-		s.lastSlowness, s.slownessAt = max(s.lastSlowness, overdueFactor*slowFactor), now
+		s.meanSlowness, s.slownessAt = max(s.meanSlowness, overdueFactor*slowFactor), now
 	}
 	for i, item := range c.Items {
 		if j := q.jobs[item.Job]; j != nil && j.results[c.indexes[i]] == "" && !j.inputsFreed {
--- a/stagework/queue_test.go
+++ b/stagework/queue_test.go
@@ -120,14 +120,14 @@
 	c.Assert(refusal, qt.Equals, RefusedNoServer)
 }
 
-// Guards against late jobs that delay those that can still be on time, when a burst
-// leaves both waiting.
+// Guards against jobs past their due time that delay those that can still be on time,
+// when a burst leaves both waiting.
 func TestJobsThatCanBeOnTimeRankFirst(t *testing.T) {
 	c := qt.New(t)
 	q := newQueue("a")
-	late := newJob(1, 8)
-	late.Due = epoch.Add(-time.Second)
-	offer(c, q, late)
+	pastDue := newJob(1, 8)
+	pastDue.Due = epoch.Add(-time.Second)
+	offer(c, q, pastDue)
 	offer(c, q, newJob(2, 8))
 	call, _ := q.Next(epoch)
 	c.Assert(call.Items[0].Job, qt.Equals, JobID(2))
--- a/stagework/rank.go
+++ b/stagework/rank.go
@@ -21,15 +21,15 @@
 	})
 }
 
-// late reports whether the job can no longer end by its due time.
-func (j *job) late(now time.Time, profile ServerProfile) bool {
+// missesDue reports whether the job can no longer end by its due time.
+func (j *job) missesDue(now time.Time, profile ServerProfile) bool {
 	return now.Add(profile.CallDuration(min(len(j.Pieces), profile.Batch))).After(j.Due)
 }
 
 // ranksLast reports whether the job is sorted behind those that can still end by their
 // due time.
 func (j *job) ranksLast(now time.Time, profile ServerProfile) bool {
-	return j.late(now, profile)
+	return j.missesDue(now, profile)
 }
 
 // rank returns the sort key of a job in Unix nanoseconds: its due time, adjusted by
--- a/stagework/schedule.go
+++ b/stagework/schedule.go
@@ -16,7 +16,7 @@
 type StageSchedule struct {
 	// dependencies lists for each stage the stages whose results it needs.
 	dependencies [][]int
-	skipped      []bool
+	omitted      []bool
 	// typical is the typical duration of each stage.
 	typical []time.Duration
 	// tail is for each stage the typical time from its end to the end of the last
@@ -27,13 +27,13 @@
 }
 
 // NewStageSchedule returns a schedule with no stage started. It takes for each stage the
-// stages whose results it needs and its number of pieces; stages with no pieces are
-// skipped. SetTypicalDurations must be called before the other methods.
+// stages whose results it needs and its number of pieces; stages without pieces are
+// omitted. SetTypicalDurations must be called before the other methods.
 func NewStageSchedule(dependencies [][]int, counts []int) *StageSchedule {
 	n := len(dependencies)
-	s := &StageSchedule{dependencies: dependencies, skipped: make([]bool, n), started: make([]time.Time, n), ended: make([]bool, n)}
+	s := &StageSchedule{dependencies: dependencies, omitted: make([]bool, n), started: make([]time.Time, n), ended: make([]bool, n)}
 	for i := range n {
-		s.skipped[i] = i >= len(counts) || counts[i] == 0
+		s.omitted[i] = i >= len(counts) || counts[i] == 0
 	}
 	return s
 }
@@ -45,7 +45,7 @@
 	// One pass per stage finds the longest paths, whatever the order of the stages.
 	for range typical {
 		for i := range typical {
-			if s.skipped[i] {
+			if s.omitted[i] {
 				continue
 			}
 			for _, j := range s.dependencies[i] {
@@ -80,7 +80,7 @@
 	}
 	var longest time.Duration
 	for j := range s.dependencies {
-		if j != i && !s.skipped[j] && !s.ended[j] {
+		if j != i && !s.omitted[j] && !s.ended[j] {
 			longest = max(longest, s.remaining(j, now)+s.tail[j])
 		}
 	}
--- a/stagework/schedule_test.go
+++ b/stagework/schedule_test.go
@@ -44,9 +44,9 @@
 	c.Assert(schedule.StartDelay(1, epoch), qt.Equals, time.Duration(0))
 }
 
-// Guards against a start delay for stages that the request skips, and against one for a
+// Guards against a start delay for stages that the request omits, and against one for a
 // stage with inputs.
-func TestSkippedStagesCauseNoDelay(t *testing.T) {
+func TestOmittedStagesCauseNoDelay(t *testing.T) {
 	c := qt.New(t)
 	schedule := parallelToChain(2, 0, 0, 0)
 	c.Assert(schedule.StartDelay(0, epoch), qt.Equals, time.Duration(0))
--- a/stagework/server.go
+++ b/stagework/server.go
@@ -14,9 +14,9 @@
 	pausedUntil time.Time
 	// failures is the number of consecutive failed calls.
 	failures int
-	// lastSlowness is the moving average of the duration of calls relative to the
+	// meanSlowness is the moving average of the duration of calls relative to the
 	// profile, and slownessAt the time of its last change.
-	lastSlowness float64
+	meanSlowness float64
 	slownessAt   time.Time
 	// resultBytes is the memory that is occupied by known results or reserved for
 	// running calls.
@@ -68,11 +68,11 @@
 		s.otherBytes, s.otherBytesUntil = max(0, q.profile.RoomBytes-s.resultBytes), now.Add(noRoomPause)
 	}
 	s.failures = 0
-	took := float64(now.Sub(c.started)) / float64(max(1, q.profile.CallDuration(len(c.Items))))
+	measured := float64(now.Sub(c.started)) / float64(max(1, q.profile.CallDuration(len(c.Items))))
 	if now.Sub(s.slownessAt) > slownessTTL {
-		s.lastSlowness = took
+		s.meanSlowness = measured
 	} else {
-		s.lastSlowness += slownessWeight * (took - s.lastSlowness)
+		s.meanSlowness += slownessWeight * (measured - s.meanSlowness)
 	}
 	s.slownessAt = now
 }
@@ -80,7 +80,7 @@
 // needsProbe reports whether a server was slow when it was last measured and that
 // measurement has expired.
 func (s *server) needsProbe(now time.Time) bool {
-	return s.lastSlowness > slowFactor && now.Sub(s.slownessAt) > slownessTTL
+	return s.meanSlowness > slowFactor && now.Sub(s.slownessAt) > slownessTTL
 }
 
 // slowness returns the expected duration of calls relative to the profile; 1 when the
@@ -89,7 +89,7 @@
 	if now.Sub(s.slownessAt) > slownessTTL {
 		return 1
 	}
-	return s.lastSlowness
+	return s.meanSlowness
 }
 
 // holdResult counts the memory of a result as occupied until the result is freed or
--- a/stagework/stagework.go
+++ b/stagework/stagework.go
@@ -143,7 +143,7 @@
 	// RefusedInputGone means that an input no longer exists and has to be produced
 	// again.
 	RefusedInputGone Refusal = "input_gone"
-	// RefusedFailed means that too many calls for the job failed.
+	// RefusedFailed means that too many attempts to produce its pieces failed.
 	RefusedFailed Refusal = "failed"
 	// RefusedMoved means that the instance that forms the calls began to stop before
 	// any piece of the job was sent. The job has to be offered to another instance.
