--- a/engine/engine.go
+++ b/engine/engine.go
@@ -87,8 +87,9 @@
 	busyUntil    time.Time
 	cachedParts  map[string]cachedPart
 	cachedTokens int
-	failures     int
-	pausedUntil  time.Time
+	// failures is the number of consecutive failures.
+	failures    int
+	pausedUntil time.Time
 	// excessDelay is the moving average of the time by which first events came later
 	// than expected, and excessDelayAt the time of its last change.
 	excessDelay   time.Duration
--- a/quota/linkbudget.go
+++ b/quota/linkbudget.go
@@ -13,7 +13,8 @@
 // BytesPerSecond converts a capacity from megabits per second to bytes per second.
 func BytesPerSecond(megabits float64) float64 { return megabits * 1e6 / 8 }
 
-// LinkUse is the key under which bytes sent over the link are counted.
+// LinkUse is the key under which bytes transferred over the link are counted: the kind
+// of the request, the stage of its pipeline and its organisation.
 type LinkUse struct {
 	Kind         string
 	Stage        string
--- a/quota/storebudget.go
+++ b/quota/storebudget.go
@@ -66,7 +66,8 @@
 	limits  StoreLimits
 	buckets [storeOps]bucket
 	// rates are this instance's shares, in calls per second.
-	rates   [storeOps]float64
+	rates [storeOps]float64
+	// waiting counts the calls that wait for a token.
 	waiting [storeOps][storeClasses]int
 	// failures is the number of calls that failed since the last success. During an
 	// outage only probes count.
--- a/stagework/call.go
+++ b/stagework/call.go
@@ -73,8 +73,8 @@
 	return free
 }
 
-// probeCall returns a call with one piece of the last job to a server that was slow
-// and has not been measured since, or nil. If the server is still slow, a full call
+// probeCall returns a call with one piece of the last job by rank to a server that was
+// slow and has not been measured since, or nil. If the server is still slow, a full call
 // would make all its pieces late.
 func (q *Queue) probeCall(now time.Time) *call {
 	for _, s := range q.servers {
