--- a/internal/capacity/jobs.go
+++ b/internal/capacity/jobs.go
@@ -67,8 +67,8 @@
 // FailureDomainInstances implements jobs.Members: the failure domain has one instance.
 func (w *worker) FailureDomainInstances() []string { return []string{"entry-instance-001"} }
 
-// JobsReleased implements jobs.Members.
-func (w *worker) JobsReleased(context.Context, []string) {}
+// OfferJobs implements jobs.Members.
+func (w *worker) OfferJobs(context.Context, []string) {}
 
 // Run implements jobs.Runner.
 func (w *worker) Run(ctx context.Context, _ jobs.Job, progress jobs.Progress) jobs.Result {
--- a/internal/entry/jobs_test.go
+++ b/internal/entry/jobs_test.go
@@ -26,8 +26,8 @@
 // singleInstance implements jobs.Members for a failure domain of one instance.
 type singleInstance struct{}
 
-func (singleInstance) FailureDomainInstances() []string       { return []string{"a"} }
-func (singleInstance) JobsReleased(context.Context, []string) {}
+func (singleInstance) FailureDomainInstances() []string    { return []string{"a"} }
+func (singleInstance) OfferJobs(context.Context, []string) {}
 
 // newDurableHandler returns a handler that serves the durable kind k of the
 // pipeline read, with jobs and claims in a fake store.
--- a/internal/entry/state.go
+++ b/internal/entry/state.go
@@ -139,9 +139,9 @@
 // FailureDomainInstances implements jobs.Members.
 func (p jobPeers) FailureDomainInstances() []string { return p.members.Live() }
 
-// JobsReleased implements jobs.Members. It distributes the jobs among the other
+// OfferJobs implements jobs.Members. It distributes the jobs among the other
 // members in turn (round robin).
-func (p jobPeers) JobsReleased(ctx context.Context, ids []string) {
+func (p jobPeers) OfferJobs(ctx context.Context, ids []string) {
 	addresses := p.members.peerAddresses()
 	if len(addresses) == 0 {
 		return
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -50,9 +50,9 @@
 	// FailureDomainInstances returns the live instances of the failure domain of this
 	// instance, including this one.
 	FailureDomainInstances() []string
-	// JobsReleased offers the jobs with the given IDs to peers, whose HandOverJob takes
+	// OfferJobs offers the jobs with the given IDs to peers, whose HandOverJob takes
 	// them over. A later scan finds the jobs that no peer takes over.
-	JobsReleased(ctx context.Context, ids []string)
+	OfferJobs(ctx context.Context, ids []string)
 }
 
 // Job is a request that is recorded in the store before it runs.
@@ -174,7 +174,7 @@
 	}
 	j.lease.Revoke(ctx)
 	if len(released) > 0 {
-		j.Members.JobsReleased(ctx, released)
+		j.Members.OfferJobs(ctx, released)
 	}
 }
 
@@ -198,7 +198,7 @@
 // Counts returns the number of jobs that this instance holds, and whether it holds
 // the lease for them.
 func (j *Jobs) Counts() (running int, leased bool) {
-	_, leased = j.currentOwner()
+	_, leased = j.currentHolder()
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return len(j.running), leased
@@ -234,17 +234,17 @@
 
 // acquireLease acquires the lease if it is not held and returns this instance with
 // its fencing token.
-func (j *Jobs) acquireLease(ctx context.Context) (job.Owner, bool) {
+func (j *Jobs) acquireLease(ctx context.Context) (job.Holder, bool) {
 	j.mu.Lock()
 	j.leaseNeededAt = j.BootTime()
 	j.mu.Unlock()
-	fence, ok := j.lease.Acquire(ctx)
-	return job.Owner{Instance: j.Instance, Fence: fence}, ok
+	token, ok := j.lease.Acquire(ctx)
+	return job.Holder{Instance: j.Instance, FencingToken: token}, ok
 }
 
-// currentOwner returns this instance with the fencing token under which it may act
+// currentHolder returns this instance with the fencing token under which it may act
 // now.
-func (j *Jobs) currentOwner() (job.Owner, bool) {
-	fence, ok := j.lease.FencingToken()
-	return job.Owner{Instance: j.Instance, Fence: fence}, ok
+func (j *Jobs) currentHolder() (job.Holder, bool) {
+	token, ok := j.lease.FencingToken()
+	return job.Holder{Instance: j.Instance, FencingToken: token}, ok
 }
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -49,7 +49,7 @@
 }
 
 func (cluster *testCluster) FailureDomainInstances() []string { return cluster.members }
-func (cluster *testCluster) JobsReleased(ctx context.Context, ids []string) {
+func (cluster *testCluster) OfferJobs(ctx context.Context, ids []string) {
 	for _, id := range ids {
 		_, _ = cluster.successor.HandOverJob(ctx, []byte(id))
 	}
--- a/internal/jobs/run.go
+++ b/internal/jobs/run.go
@@ -41,13 +41,13 @@
 // run. After ErrUnresolved the job may run under the returned ID.
 func (j *Jobs) Submit(ctx context.Context, request Job) (id string, err error) {
 	ctx = jobContext(ctx)
-	owner, ok := j.acquireLease(ctx)
+	holder, ok := j.acquireLease(ctx)
 	if !ok {
 		return "", ErrNotAccepted
 	}
 	now := j.WallTime()
 	id = job.NewID(now, uuid.NewString())
-	body := job.NewValue(job.BodyName, owner.Fence, 0, request.Body)
+	body := job.NewValue(job.BodyName, holder.FencingToken, 0, request.Body)
 	if err := j.values.put(ctx, id, body, request.Body); err != nil {
 		return "", errors.Join(ErrNotAccepted, err)
 	}
@@ -55,12 +55,12 @@
 		ID: id, Organisation: request.Organisation, Pipeline: request.Pipeline, Kind: request.Kind,
 		Body: body, State: job.StateAccepted, CreatedMS: now.UnixMilli(), RetentionMS: request.Retention.Milliseconds(),
 	}
-	return id, j.start(ctx, record, 0, owner)
+	return id, j.start(ctx, record, 0, holder)
 }
 
 // start writes the record of a new run and runs it. version is that of the current
 // record in the store, or 0 for a new job.
-func (j *Jobs) start(ctx context.Context, record job.Record, version int64, owner job.Owner) error {
+func (j *Jobs) start(ctx context.Context, record job.Record, version int64, holder job.Holder) error {
 	r := &run{done: make(chan struct{}), machine: job.NewMachine(record, version)}
 	r.ctx, r.cancel = context.WithCancel(jobContext(context.Background()))
 	j.mu.Lock()
@@ -70,7 +70,7 @@
 	}
 	j.running[record.ID] = r
 	j.mu.Unlock()
-	return j.step(ctx, r, job.StartRun{Owner: owner})
+	return j.step(ctx, r, job.StartRun{Holder: holder})
 }
 
 // step applies one input to the job's state machine and carries out the actions that
@@ -120,7 +120,7 @@
 	key, value := job.RecordKey(out.Record.ID), out.Record.Encode()
 	mayBeWritten := false
 	for {
-		if owner, ok := j.currentOwner(); !ok || out.Record.Fence != 0 && owner.Fence != out.Record.Fence {
+		if holder, ok := j.currentHolder(); !ok || out.Record.FencingToken != 0 && holder.FencingToken != out.Record.FencingToken {
 			return j.leaseLost(out, mayBeWritten)
 		}
 		version, err := j.Store.CompareAndSwap(ctx, key, store.Version(out.ExpectedVersion), value, 0)
@@ -194,7 +194,7 @@
 		_ = j.step(r.ctx, r, job.LeaseLost{})
 		return
 	}
-	answer := job.NewValue(job.AnswerName, record.Fence, record.Runs, result.Answer)
+	answer := job.NewValue(job.AnswerName, record.FencingToken, record.Runs, result.Answer)
 	if err := j.storeResult(r, record.ID, answer, result.Answer); err != nil {
 		_ = j.step(r.ctx, r, job.LeaseLost{})
 		return
@@ -217,7 +217,7 @@
 	progress := Progress{
 		Results: results,
 		StageDone: func(_ context.Context, stage string, result json.RawMessage) error {
-			value := job.NewValue(stage, record.Fence, record.Runs, result)
+			value := job.NewValue(stage, record.FencingToken, record.Runs, result)
 			if err := j.storeResult(r, record.ID, value, result); err != nil {
 				return err
 			}
@@ -234,7 +234,7 @@
 // storeResult writes a result to the store, with retries while the lease is valid.
 func (j *Jobs) storeResult(r *run, id string, value job.Value, data []byte) error {
 	for {
-		if _, ok := j.currentOwner(); !ok {
+		if _, ok := j.currentHolder(); !ok {
 			return errStopped
 		}
 		err := j.values.put(r.ctx, id, value, data)
--- a/internal/jobs/scan.go
+++ b/internal/jobs/scan.go
@@ -45,7 +45,7 @@
 
 // scanShard checks every record of an unfinished job in a shard.
 func (j *Jobs) scanShard(ctx context.Context, shard int) error {
-	liveOwners := map[job.Owner]bool{}
+	liveHolders := map[job.Holder]bool{}
 	after := ""
 	for {
 		page, err := j.Store.List(ctx, job.ShardPrefix(shard), after, scanPageSize)
@@ -54,7 +54,7 @@
 		}
 		for _, entry := range page {
 			after = entry.Key
-			if err := j.checkRecord(ctx, entry, liveOwners); err != nil {
+			if err := j.checkRecord(ctx, entry, liveHolders); err != nil {
 				return err
 			}
 		}
@@ -65,9 +65,9 @@
 }
 
 // checkRecord moves the record of a finished job, and takes over an unfinished job
-// whose holder has no valid lease. liveOwners holds the owners whose lease was found
-// during this scan, and checkRecord adds to it.
-func (j *Jobs) checkRecord(ctx context.Context, entry store.Entry, liveOwners map[job.Owner]bool) error {
+// whose holder has no valid lease. liveHolders holds the holders whose lease was
+// found during this scan, and checkRecord adds to it.
+func (j *Jobs) checkRecord(ctx context.Context, entry store.Entry, liveHolders map[job.Holder]bool) error {
 	record, err := job.Decode(entry.Value)
 	if err != nil {
 		return err
@@ -79,9 +79,9 @@
 	if !j.mayStart(record.ID) {
 		return nil
 	}
-	own, _ := j.currentOwner()
-	holder := job.Owner{Instance: record.Holder, Fence: record.Fence}
-	if liveOwners[holder] && holder != own {
+	current, _ := j.currentHolder()
+	holder := job.Holder{Instance: record.Holder, FencingToken: record.FencingToken}
+	if liveHolders[holder] && holder != current {
 		return nil
 	}
 	version, err := j.holderVersion(ctx, record.Holder)
@@ -90,24 +90,24 @@
 	}
 	// If this instance holds the job but does not run it, the write that created the
 	// record was not confirmed.
-	if holder != own && !job.MayTakeOver(record, version) {
-		liveOwners[holder] = true
+	if holder != current && !job.MayTakeOver(record, version) {
+		liveHolders[holder] = true
 		return nil
 	}
-	newOwner, ok := j.acquireLease(ctx)
+	newHolder, ok := j.acquireLease(ctx)
 	if !ok {
 		return nil
 	}
-	return j.takeOver(ctx, record, int64(entry.Version), newOwner)
+	return j.takeOver(ctx, record, int64(entry.Version), newHolder)
 }
 
-func (j *Jobs) takeOver(ctx context.Context, record job.Record, version int64, own job.Owner) error {
-	if err := j.start(ctx, record, version, own); err != nil {
+func (j *Jobs) takeOver(ctx context.Context, record job.Record, version int64, newHolder job.Holder) error {
+	if err := j.start(ctx, record, version, newHolder); err != nil {
 		// Another instance took the job over first, or the store is unavailable.
 		return nil
 	}
 	j.takeovers.Inc(1)
-	events.JobTakenOver.Log(ctx, j.Log, slog.String("job", record.ID), slog.String("from", record.Holder), slog.Int64("fence", own.Fence))
+	events.JobTakenOver.Log(ctx, j.Log, slog.String("job", record.ID), slog.String("from", record.Holder), slog.Int64("fence", newHolder.FencingToken))
 	return nil
 }
 
@@ -122,7 +122,7 @@
 	if err != nil {
 		return false, unavailable(err)
 	}
-	if err := j.checkRecord(ctx, entry, map[job.Owner]bool{}); err != nil {
+	if err := j.checkRecord(ctx, entry, map[job.Holder]bool{}); err != nil {
 		return false, unavailable(err)
 	}
 	j.mu.Lock()
--- a/job/machine.go
+++ b/job/machine.go
@@ -12,11 +12,11 @@
 	OutcomeNotRun  = "not_run"
 )
 
-// Owner is an instance that holds a job.
-type Owner struct {
+// Holder is an instance that holds a job.
+type Holder struct {
 	Instance string
-	// Fence is the fencing token of the instance.
-	Fence int64
+	// FencingToken is that of the instance.
+	FencingToken int64
 }
 
 // MayTakeOver reports whether another instance may take a job over. holderVersion
@@ -26,14 +26,14 @@
 	if record.State != StateAccepted {
 		return false
 	}
-	return record.Holder == "" || holderVersion != record.Fence
+	return record.Holder == "" || holderVersion != record.FencingToken
 }
 
 // Input is an event that the adapter reports to a Machine.
 type Input interface{ input() }
 
-// StartRun starts a run of a job under an owner.
-type StartRun struct{ Owner Owner }
+// StartRun starts a run of a job at its holder.
+type StartRun struct{ Holder Holder }
 
 // StageDone reports a finished stage whose result is in the store.
 type StageDone struct{ Result Value }
@@ -122,7 +122,7 @@
 		m.stopped = true
 		return []Output{StopRun{}}
 	case StartRun:
-		startRun(&next, now, in.Owner)
+		startRun(&next, now, in.Holder)
 	case StageDone:
 		next.Stages = append(slices.Clone(next.Stages), in.Result)
 	case NonIdempotentCallStarting:
@@ -131,7 +131,7 @@
 		m.runEnded(&next, now, in)
 	case HandOver:
 		next.Holder = ""
-		next.Fence = 0
+		next.FencingToken = 0
 		// A planned stop does not count towards MaxRuns, so that instances can be
 		// restarted any number of times during a long job.
 		next.Runs--
@@ -150,7 +150,7 @@
 		return []Output{StopRun{}}
 	case m.record.Runs == previous.Runs:
 		return nil
-	case m.record.Fence == previous.Fence:
+	case m.record.FencingToken == previous.FencingToken:
 		return []Output{RunStages{Delay: retryDelay(m.record.Runs)}}
 	}
 	return []Output{RunStages{}}
@@ -159,9 +159,9 @@
 // startRun starts a run, or finishes the job if it must not run again: because a
 // non-idempotent call of an earlier run may have been executed, or because the
 // job has reached MaxRuns without finishing.
-func startRun(next *Record, now time.Time, owner Owner) {
-	next.Holder = owner.Instance
-	next.Fence = owner.Fence
+func startRun(next *Record, now time.Time, holder Holder) {
+	next.Holder = holder.Instance
+	next.FencingToken = holder.FencingToken
 	switch {
 	case next.NonIdempotentSent:
 		finishJob(next, now, RunEnded{Outcome: OutcomeUnknown, Detail: "the holder stopped after a non-idempotent call was sent"})
--- a/job/machine_test.go
+++ b/job/machine_test.go
@@ -13,9 +13,9 @@
 type fakeStore struct {
 	record  Record
 	version int64
-	// fences holds the fencing token of each instance, 0 without a lease.
-	fences    map[string]int64
-	lastFence int64
+	// fencingTokens holds the fencing token of each instance, 0 without a lease.
+	fencingTokens    map[string]int64
+	lastFencingToken int64
 	// nonIdempotentCalls and finished count the records that announce a
 	// non-idempotent call and that finish the job.
 	nonIdempotentCalls int
@@ -63,7 +63,7 @@
 // expire at any time, and holders continue without noticing it.
 func TestFormerHoldersNeverWrite(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := &fakeStore{fences: map[string]int64{}, record: Record{ID: "x", State: StateAccepted}}
+		s := &fakeStore{fencingTokens: map[string]int64{}, record: Record{ID: "x", State: StateAccepted}}
 		machines := map[string]*Machine{}
 		names := []string{"a", "b", "c"}
 		sent := 0
@@ -72,17 +72,17 @@
 			m := machines[name]
 			switch rapid.IntRange(0, 6).Draw(t, "event") {
 			case 0:
-				s.fences[name] = 0
+				s.fencingTokens[name] = 0
 			case 1:
-				s.lastFence++
-				s.fences[name] = s.lastFence
+				s.lastFencingToken++
+				s.fencingTokens[name] = s.lastFencingToken
 			case 2:
-				if s.fences[name] == 0 || s.record.State == StateFinished || !MayTakeOver(s.record, s.fences[s.record.Holder]) {
+				if s.fencingTokens[name] == 0 || s.record.State == StateFinished || !MayTakeOver(s.record, s.fencingTokens[s.record.Holder]) {
 					continue
 				}
 				before := s.record.NonIdempotentSent
 				machines[name] = NewMachine(s.record, s.version)
-				s.apply(t, machines[name], machines[name].Step(time.Unix(1, 0), StartRun{Owner{name, s.fences[name]}}))
+				s.apply(t, machines[name], machines[name].Step(time.Unix(1, 0), StartRun{Holder{name, s.fencingTokens[name]}}))
 				if before && s.record.State != StateFinished {
 					t.Fatalf("a job whose non-idempotent call was sent runs again")
 				}
--- a/job/record.go
+++ b/job/record.go
@@ -52,9 +52,9 @@
 type Value struct {
 	// Name is the name of the stage, or BodyName or AnswerName.
 	Name string `json:"name"`
-	// Fence is the fencing token under which the value was written. It is part of
-	// the key of a piece, so that two holders never write the same key.
-	Fence int64 `json:"fence"`
+	// FencingToken is that of the holder that wrote the value. It is part of the key
+	// of a piece, so that two holders never write the same key.
+	FencingToken int64 `json:"fence"`
 	// Run is the run of the job that wrote the value, as a later run may have
 	// another result.
 	Run    int    `json:"run"`
@@ -80,10 +80,10 @@
 	Kind         string `json:"kind"`
 	Body         Value  `json:"body"`
 	State        State  `json:"state"`
-	// Holder is the instance that runs the job under the fencing token Fence. It is
-	// empty after a handover.
-	Holder string `json:"holder,omitempty"`
-	Fence  int64  `json:"fence,omitempty"`
+	// Holder is the instance that runs the job, under FencingToken. It is empty after
+	// a handover.
+	Holder       string `json:"holder,omitempty"`
+	FencingToken int64  `json:"fence,omitempty"`
 	// Runs counts how often the job was started. Runs that a handover ended are not
 	// counted.
 	Runs int `json:"runs"`
@@ -163,17 +163,17 @@
 
 // PieceKey returns the key of one piece of a value.
 func PieceKey(id string, value Value, piece int) string {
-	return fmt.Sprintf("%s%s/%d-%d-%06d", ResultsPrefix(id), value.Name, value.Fence, value.Run, piece)
+	return fmt.Sprintf("%s%s/%d-%d-%06d", ResultsPrefix(id), value.Name, value.FencingToken, value.Run, piece)
 }
 
 // HolderKey returns the key that an instance writes under its lease.
 func HolderKey(instance string) string { return HolderPrefix + instance }
 
 // NewValue returns the description of data that is to be stored in pieces.
-func NewValue(name string, fence int64, run int, data []byte) Value {
+func NewValue(name string, fencingToken int64, run int, data []byte) Value {
 	sum := sha256.Sum256(data)
 	return Value{
-		Name: name, Fence: fence, Run: run, Bytes: len(data), SHA256: hex.EncodeToString(sum[:]),
+		Name: name, FencingToken: fencingToken, Run: run, Bytes: len(data), SHA256: hex.EncodeToString(sum[:]),
 		Pieces: max(1, (len(data)+PieceBytes-1)/PieceBytes),
 	}
 }
@@ -186,5 +186,5 @@
 
 // Matches reports whether data is what v describes.
 func (v Value) Matches(data []byte) bool {
-	return NewValue(v.Name, v.Fence, v.Run, data) == v
+	return NewValue(v.Name, v.FencingToken, v.Run, data) == v
 }
