--- a/internal/configuration/cluster_test.go
+++ b/internal/configuration/cluster_test.go
@@ -164,7 +164,7 @@
 	return n.others(func(other *instance) bool { return other != n })
 }
 
-func (n *instance) Holders(revision int64) []string {
+func (n *instance) AddressesWithRevision(revision int64) []string {
 	return n.others(func(other *instance) bool { return other != n && other.revision >= revision })
 }
 
--- a/internal/configuration/loader.go
+++ b/internal/configuration/loader.go
@@ -43,8 +43,9 @@
 	// HighestRevision returns the highest revision that any instance reported as in
 	// force.
 	HighestRevision() int64
-	// Holders returns the addresses of instances that reported at least this revision.
-	Holders(revision int64) []string
+	// AddressesWithRevision returns the addresses of instances that reported at least
+	// this revision.
+	AddressesWithRevision(revision int64) []string
 	// SetRevision publishes the revision in force here to other instances. fromStore
 	// is true when it was read from the store.
 	SetRevision(revision int64, fromStore bool)
--- a/internal/configuration/pull.go
+++ b/internal/configuration/pull.go
@@ -74,10 +74,10 @@
 
 // pullSources returns the sources of one pull, in the order in which to try them.
 func (l *Loader) pullSources(failedPulls int) []source {
-	holders := l.Members.Holders(l.Members.HighestRevision())
-	rand.Shuffle(len(holders), func(i, j int) { holders[i], holders[j] = holders[j], holders[i] })
+	addresses := l.Members.AddressesWithRevision(l.Members.HighestRevision())
+	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 	var sources []source
-	for _, address := range holders[:min(maxPeersPerPull, len(holders))] {
+	for _, address := range addresses[:min(maxPeersPerPull, len(addresses))] {
 		sources = append(sources, peerSource{l.Peers, address})
 	}
 	if failedPulls >= failedPullsBeforeStore && l.Store != nil {
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -103,11 +103,11 @@
 	return highest
 }
 
-// Holders returns the addresses of instances whose configuration has at least the
-// given revision.
-func (m *Members) Holders(revision int64) (holders []string) {
-	m.View(func(s *membership.State) { holders = s.AddressesWithRevision(revision) })
-	return holders
+// AddressesWithRevision returns the addresses of instances whose configuration has at
+// least the given revision.
+func (m *Members) AddressesWithRevision(revision int64) (addresses []string) {
+	m.View(func(s *membership.State) { addresses = s.AddressesWithRevision(revision) })
+	return addresses
 }
 
 // SetRevision publishes the configuration revision that this instance uses.
