--- a/config/config_test.go
+++ b/config/config_test.go
@@ -84,7 +84,7 @@
 		s.beforeHeadWrite = nil
 		f()
 	}
-	if out.Expect != s.version {
+	if out.ExpectedVersion != s.version {
 		return HeadWritten{Outcome: WriteConflict}
 	}
 	s.head, _ = DecodeHead(out.Value)
--- a/config/messages.go
+++ b/config/messages.go
@@ -91,8 +91,8 @@
 	// WriteHead replaces the head by compare-and-swap if its store version is
 	// Expect. Input: HeadWritten.
 	WriteHead struct {
-		Expect int64
-		Value  []byte
+		ExpectedVersion int64
+		Value           []byte
 	}
 	// DeleteParts deletes unused parts. Failures are ignored. It has no input.
 	DeleteParts struct{ Digests []Digest }
--- a/internal/configuration/publisher.go
+++ b/internal/configuration/publisher.go
@@ -68,7 +68,7 @@
 	case config.WriteParts:
 		return config.PartsWritten{Err: writeParts(ctx, s, out.Parts)}
 	case config.WriteHead:
-		_, err := s.CompareAndSwap(ctx, config.KeyHead, store.Version(out.Expect), out.Value, 0)
+		_, err := s.CompareAndSwap(ctx, config.KeyHead, store.Version(out.ExpectedVersion), out.Value, 0)
 		return config.HeadWritten{Outcome: writeOutcome(err), Err: wrapUnavailable(err, "write head")}
 	case config.DeleteParts:
 		deleteParts(ctx, s, out.Digests)
