--- a/internal/capacity/orders.go
+++ b/internal/capacity/orders.go
@@ -89,7 +89,7 @@
 func measureOrders(engines int, address string, client *http.Client, counter *byteCounter) ([]figure, error) {
 	wanted := wantedEngines(engines, address)
 	loop := &orders.Loop{
-		Leader: leading{}, Engines: &backend.HTTPEngines{Client: client}, Now: time.Now, Logger: slog.New(slog.DiscardHandler),
+		Leader: leading{}, Engines: &backend.HTTPEngines{Client: client}, BootTime: time.Now, Logger: slog.New(slog.DiscardHandler),
 		Desired:  func() []order.Desired { return wanted },
 		LoadRate: func() float64 { return 1 },
 	}
@@ -97,16 +97,16 @@
 	sent, received := counter.sent.Load(), counter.received.Load()
 	elapsed := stopwatch()
 	took, err := processorTime(func() error {
-		for range orders.SettledPeriods {
+		for range orders.ConvergedReadPeriods {
 			loop.Step(context.Background())
 		}
 		return nil
 	})
 	return []figure{
-		{"engine calls of a loop", "calls", float64(engines) / orders.SettledPeriods},
-		{"bytes sent by a loop", "B", float64(counter.sent.Load()-sent) / orders.SettledPeriods},
-		{"bytes received by a loop", "B", float64(counter.received.Load()-received) / orders.SettledPeriods},
-		{"processor time of a loop with the engines' side", "us", float64(took.Microseconds()) / orders.SettledPeriods},
-		{"duration of a loop on loopback", "ms", milliseconds(elapsed()) / orders.SettledPeriods},
+		{"engine calls of a loop", "calls", float64(engines) / orders.ConvergedReadPeriods},
+		{"bytes sent by a loop", "B", float64(counter.sent.Load()-sent) / orders.ConvergedReadPeriods},
+		{"bytes received by a loop", "B", float64(counter.received.Load()-received) / orders.ConvergedReadPeriods},
+		{"processor time of a loop with the engines' side", "us", float64(took.Microseconds()) / orders.ConvergedReadPeriods},
+		{"duration of a loop on loopback", "ms", milliseconds(elapsed()) / orders.ConvergedReadPeriods},
 	}, err
 }
--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -54,7 +54,7 @@
 		Engines:  &backend.HTTPEngines{Client: &http.Client{Timeout: engineTimeout}},
 		Desired:  s.wanted,
 		LoadRate: s.loadRate,
-		Now:      clock.Boot{}.Now,
+		BootTime: clock.Boot{}.Now,
 		Logger:   s.Logger,
 	}
 	s.Status.Add("orders", func() any {
--- a/internal/orders/leader.go
+++ b/internal/orders/leader.go
@@ -25,14 +25,14 @@
 // candidate reports whether this instance should become the leader if there is none.
 // As long as the views of the instances agree, only one instance of a failure domain
 // is a candidate and calls the store.
-func NewElection(s store.Store, failureDomain, instance string, candidate func() bool, boot func() time.Time, logger *slog.Logger) *Election {
+func NewElection(s store.Store, failureDomain, instance string, candidate func() bool, bootTime func() time.Time, logger *slog.Logger) *Election {
 	return &Election{lease: leases.New(leases.Config{
 		Store:     s,
 		Key:       leaderPrefix + failureDomain,
 		Instance:  instance,
 		Exclusive: true,
 		Wanted:    candidate,
-		BootTime:  boot,
+		BootTime:  bootTime,
 		HeldEvent: events.LeadershipAcquired,
 		LostEvent: events.LeadershipLost,
 		Log:       logger,
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -19,10 +19,10 @@
 // observed states, which is one period.
 const ReconcileInterval = 2 * time.Second
 
-// SettledPeriods is the number of periods in which each engine that has its desired
-// state is read once. Reading 117 engines in each period would take 16 KB/s, four
-// times the bandwidth that an instance may use for control.
-const SettledPeriods = 10
+// ConvergedReadPeriods is the number of periods in which each engine that has its
+// desired state is read once. Reading 117 engines in each period would take 16 KB/s,
+// four times the bandwidth that an instance may use for control.
+const ConvergedReadPeriods = 10
 
 // callTimeout limits one call to an engine. It is shorter than order.OrderTTL, so
 // that an order that arrives at all arrives before the next leader stops waiting.
@@ -46,9 +46,9 @@
 	// LoadRate returns this failure domain's share of the weight store's rate limit,
 	// in loads per minute.
 	LoadRate func() float64
-	// Now reads the boot-time clock.
-	Now    func() time.Time
-	Logger *slog.Logger
+	// BootTime reads the boot-time clock.
+	BootTime func() time.Time
+	Logger   *slog.Logger
 
 	reconciler *order.Reconciler
 	wasLeader  bool
@@ -77,20 +77,20 @@
 	}
 	desired := l.Desired()
 	l.reconciler.SetDesired(desired)
-	l.reconciler.SetLoadRate(l.Now(), l.LoadRate())
+	l.reconciler.SetLoadRate(l.BootTime(), l.LoadRate())
 	for _, observed := range l.readStates(ctx, l.enginesToRead(desired)) {
 		l.reconciler.Observe(observed)
 	}
 	// The leadership is checked after the reads, because they take time in which the
 	// lease may expire.
-	now := l.Now()
+	now := l.BootTime()
 	l.sendOrders(ctx, l.reconciler.Step(now, l.Leader.Leadership(now)))
 }
 
 // isLeader reports whether this instance is the leader. When it becomes the leader,
 // isLeader creates a new reconciler.
 func (l *Loop) isLeader() bool {
-	leadership := l.Leader.Leadership(l.Now())
+	leadership := l.Leader.Leadership(l.BootTime())
 	if leadership.Held == l.wasLeader {
 		return leadership.Held
 	}
@@ -108,7 +108,7 @@
 	l.periods++
 	var due []order.Desired
 	for i, d := range desired {
-		if (i+l.periods)%SettledPeriods == 0 || !l.reconciler.Converged(d.Server) {
+		if (i+l.periods)%ConvergedReadPeriods == 0 || !l.reconciler.Converged(d.Server) {
 			due = append(due, d)
 		}
 	}
@@ -164,7 +164,7 @@
 }
 
 func (l *Loop) sendOrder(ctx context.Context, o order.Order) error {
-	now := l.Now()
+	now := l.BootTime()
 	leadership := l.Leader.Leadership(now)
 	if leadership.FencingToken != o.FencingToken || !leadership.MaySendOrder(now, true) {
 		return backend.ErrOrderRefused
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -38,13 +38,13 @@
 		Leader: leader, Engines: engines, Logger: slog.New(slog.DiscardHandler),
 		Desired:  func() []order.Desired { return desired },
 		LoadRate: func() float64 { return 0 },
-		Now:      func() time.Time { return *now },
+		BootTime: func() time.Time { return *now },
 	}
 }
 
 // Guards against a loop that stops before the engine has the desired models, or that
 // still sends orders when it has them.
-func TestLoopBringsEngineToWantedModels(t *testing.T) {
+func TestLoopBringsEngineToDesiredModels(t *testing.T) {
 	c := qt.New(t)
 	now := start
 	engines := &countingEngines{Engines: &backend.HTTPEngines{Client: http.DefaultClient}}
@@ -92,8 +92,8 @@
 }
 
 // Guards against a leader that reads every engine in each period, and against an
-// engine that has lost its model and is not corrected within SettledPeriods.
-func TestSettledEnginesAreReadInTurn(t *testing.T) {
+// engine that has lost its model and is not corrected within ConvergedReadPeriods.
+func TestConvergedEnginesAreReadInTurn(t *testing.T) {
 	c := qt.New(t)
 	now := start
 	leader := &fakeLeader{order.Leadership{Held: true, FencingToken: 1, Since: start.Add(-time.Hour), Until: start.Add(time.Hour)}}
@@ -106,14 +106,14 @@
 	loop := newLoop(leader, engines, &now, desired...)
 	loop.Step(c.Context())
 	c.Assert(engines.reads.Load(), qt.Equals, int64(20))
-	for range SettledPeriods {
+	for range ConvergedReadPeriods {
 		loop.Step(c.Context())
 	}
 	c.Assert(engines.reads.Load(), qt.Equals, int64(40))
 
 	unload := order.Order{ID: "drift", Address: address, Action: order.ActionUnload, Target: "m@1", FencingToken: 1, TTL: order.OrderTTL}
 	c.Assert(engines.Engines.Send(c.Context(), unload), qt.IsNil)
-	for range SettledPeriods {
+	for range ConvergedReadPeriods {
 		loop.Step(c.Context())
 	}
 	c.Assert(engines.sent.Load() > 0, qt.IsTrue)
