--- a/membership/domains.go
+++ b/membership/domains.go
@@ -152,8 +152,8 @@
 	return s.summaries(now)
 }
 
-// LiveMembers returns this instance and the live and suspected members of its
-// failure domain, sorted by ID.
+// LiveMembers returns this instance and the other live members of its failure
+// domain, sorted by ID.
 func (s *State) LiveMembers() []Record {
 	live := append(s.otherLiveMembers(), s.self)
 	slices.SortFunc(live, func(a, b Record) int { return strings.Compare(a.ID, b.ID) })
--- a/membership/message.go
+++ b/membership/message.go
@@ -17,7 +17,8 @@
 // MaxNameBytes bounds each ID, name and address in a message.
 const MaxNameBytes = 64
 
-// MemberState is the state of a member in the view of its failure domain.
+// MemberState is the state of a member in the view of its failure domain. Alive and
+// suspected members are called live: they still receive heartbeats.
 type MemberState int
 
 // States of a member. A higher state of the same incarnation and counter replaces
@@ -117,7 +118,7 @@
 // DomainSummary describes a failure domain to the others.
 type DomainSummary struct {
 	FailureDomain string
-	// Members is the number of live and suspected members.
+	// Members is the number of live members.
 	Members int
 	// Load is the number of requests that the members have in flight.
 	Load int
--- a/membership/network_test.go
+++ b/membership/network_test.go
@@ -151,8 +151,8 @@
 	net.deliver()
 }
 
-// roundsUntil plays rounds until all running instances satisfy a condition, at most
-// maxRounds, and returns how many it played.
+// roundsUntil simulates rounds until all running instances satisfy a condition, at
+// most maxRounds, and returns how many it simulated.
 func (net *testNetwork) roundsUntil(maxRounds int, condition func(*State) bool) int {
 	for n := range maxRounds {
 		if net.all(condition) {
--- a/membership/size.go
+++ b/membership/size.go
@@ -36,8 +36,8 @@
 		numberBytes(r.Incarnation) + numberBytes(r.Counter) + numberBytes(int(r.State)) + numberBytes(r.Load) + numberBytes(r.Revision)
 }
 
-func (b HeartbeatCounter) bytes() int {
-	return fixed64Bytes + varintBytes(b.Incarnation) + varintBytes(b.Counter)
+func (c HeartbeatCounter) bytes() int {
+	return fixed64Bytes + varintBytes(c.Incarnation) + varintBytes(c.Counter)
 }
 
 func (m DrainMarker) bytes() int {
--- a/membership/state.go
+++ b/membership/state.go
@@ -34,8 +34,8 @@
 	// crossDomainTicks is the number of ticks between heartbeats to another failure
 	// domain.
 	crossDomainTicks = 5
-	// probeTicks is the number of ticks between heartbeats that go to a candidate
-	// instead of a member.
+	// probeTicks is the number of ticks between heartbeats that go to a candidate or a
+	// removed member instead of a live one.
 	probeTicks = 3
 	// changeRepeats is in how many messages a changed record is sent with priority.
 	changeRepeats = 6
@@ -81,8 +81,7 @@
 	// or left included.
 	members  map[string]*member
 	idByHash map[uint64]string
-	// sortedLive caches the live and suspected members, sorted by ID. It is nil after
-	// a change.
+	// sortedLive caches the other live members, sorted by ID. It is nil after a change.
 	sortedLive []*member
 	// rotation holds the IDs of the members that get the next heartbeats.
 	rotation []string
@@ -242,8 +241,7 @@
 	s.outputs = append(s.outputs, MemberChanged{m.record})
 }
 
-// otherLiveMembers returns the live and suspected other members of the failure
-// domain, sorted by ID.
+// otherLiveMembers returns the other live members of the failure domain, sorted by ID.
 func (s *State) otherLiveMembers() []Record {
 	if s.sortedLive == nil {
 		s.sortedLive = s.sortLiveMembers()
