--- a/claim/decide.go
+++ b/claim/decide.go
@@ -21,7 +21,7 @@
 	if !ok && !o.removed[id] {
 		entry, ok = o.shard.index[id]
 	}
-	return entry, ok && entry.expires > now.UnixMilli()
+	return entry, ok && entry.expiresMS > now.UnixMilli()
 }
 
 func (o *overlay) isReleased(token Token) bool {
@@ -106,8 +106,8 @@
 	for id, entry := range o.changed {
 		o.shard.index[id] = entry
 	}
-	for token, expires := range o.releasedTokens {
-		o.shard.releasedTokens[token] = expires
+	for token, expiresMS := range o.releasedTokens {
+		o.shard.releasedTokens[token] = expiresMS
 	}
 }
 
@@ -123,7 +123,7 @@
 	return indexEntry{
 		token:      Token(r.Token),
 		bodySHA256: Digest(r.Body),
-		expires:    r.AtMs + r.RetentionMs,
+		expiresMS:  r.AtMs + r.RetentionMs,
 		segment:    segment,
 		holder:     s.names.index(r.Holder),
 		outcome:    s.names.index(r.Outcome),
--- a/claim/shard.go
+++ b/claim/shard.go
@@ -21,7 +21,7 @@
 type indexEntry struct {
 	token      Token
 	bodySHA256 Digest
-	expires    int64 // Unix time in milliseconds
+	expiresMS  int64 // Unix time in milliseconds
 	segment    uint64
 	holder     nameIndex
 	outcome    nameIndex // noName until the attempt finishes
@@ -29,11 +29,11 @@
 
 // segmentInfo describes a stored segment of the chain.
 type segmentInfo struct {
-	number  uint64
-	version int64
-	expires int64 // expiry of the last record to expire, Unix time in milliseconds
-	records int
-	sealed  bool
+	number    uint64
+	version   int64
+	expiresMS int64 // when its last record expires, Unix time in milliseconds
+	records   int
+	sealed    bool
 }
 
 // Shard is the index of one shard's claims and the state of its chain. Times are
@@ -45,17 +45,19 @@
 	// milliseconds), so that a delayed claim with such a token is not granted.
 	releasedTokens map[Token]int64
 	names          nameTable
-	segments       []segmentInfo
-	tailData       []byte
-	orphans        []Segment
-	pending        *pendingWrite
+	// segments describes the segments of the chain, oldest first. The newest one is the
+	// tail, and tailData is its stored value.
+	segments []segmentInfo
+	tailData []byte
+	orphans  []Segment
+	pending  *pendingWrite
 }
 
 // pendingWrite is a write that PrepareAppend returned and that is not committed yet.
 type pendingWrite struct {
-	write   Write
-	overlay *overlay
-	expires int64
+	write     Write
+	overlay   *overlay
+	expiresMS int64
 }
 
 // NewShard returns a shard without segments.
@@ -113,8 +115,8 @@
 	var added StoredSegment
 	var decisions []Decision
 	size := 0
-	number, expect, data := s.nextSegment()
-	expires := int64(0)
+	number, expectedVersion, data := s.nextSegment()
+	expiresMS := int64(0)
 	for _, op := range ops {
 		decision, needsRecord := changes.decide(now, op)
 		if needsRecord {
@@ -124,24 +126,24 @@
 			}
 			changes.apply(r, number)
 			added.Records = append(added.Records, r)
-			expires = max(expires, r.AtMs+r.RetentionMs)
+			expiresMS = max(expiresMS, r.AtMs+r.RetentionMs)
 		}
 		decisions = append(decisions, decision)
 	}
-	write := Write{ExpectedVersion: expect, Records: len(added.Records)}
+	write := Write{ExpectedVersion: expectedVersion, Records: len(added.Records)}
 	data = append(data[:len(data):len(data)], mustEncodeSegment(&added)...)
 	if len(data) >= SealSegmentBytes {
 		data = append(data, sealEncoding...)
 		write.sealed = true
 	}
 	write.Segment = Segment{Number: number, Data: data}
-	s.pending = &pendingWrite{write: write, overlay: changes, expires: expires}
+	s.pending = &pendingWrite{write: write, overlay: changes, expiresMS: expiresMS}
 	return write, decisions
 }
 
 // nextSegment returns the number, the expected version and the current data of the
 // segment that the next append writes.
-func (s *Shard) nextSegment() (number uint64, expect int64, data []byte) {
+func (s *Shard) nextSegment() (number uint64, expectedVersion int64, data []byte) {
 	if len(s.segments) == 0 {
 		return 1, 0, nil
 	}
@@ -164,7 +166,7 @@
 	tail.version = version
 	tail.records += p.write.Records
 	tail.sealed = p.write.sealed
-	tail.expires = max(tail.expires, p.expires)
+	tail.expiresMS = max(tail.expiresMS, p.expiresMS)
 	s.tailData = p.write.Segment.Data
 }
 
@@ -221,7 +223,7 @@
 			return fmt.Errorf("claim segment %d has an invalid record", segment.Number)
 		}
 		s.apply(r, segment.Number)
-		tail.expires = max(tail.expires, r.AtMs+r.RetentionMs)
+		tail.expiresMS = max(tail.expiresMS, r.AtMs+r.RetentionMs)
 	}
 	tail.records = len(stored.Records)
 	tail.version = segment.Version
@@ -242,7 +244,7 @@
 		return Segment{}, false
 	}
 	oldest := s.segments[0]
-	if oldest.expires+DeletionMargin.Milliseconds() > now.UnixMilli() {
+	if oldest.expiresMS+DeletionMargin.Milliseconds() > now.UnixMilli() {
 		return Segment{}, false
 	}
 	return Segment{Number: oldest.number, Version: oldest.version}, true
@@ -259,12 +261,12 @@
 // PurgeExpired drops expired claims and released tokens from memory.
 func (s *Shard) PurgeExpired(now time.Time) {
 	for id, entry := range s.index {
-		if entry.expires <= now.UnixMilli() {
+		if entry.expiresMS <= now.UnixMilli() {
 			delete(s.index, id)
 		}
 	}
-	for token, expires := range s.releasedTokens {
-		if expires <= now.UnixMilli() {
+	for token, expiresMS := range s.releasedTokens {
+		if expiresMS <= now.UnixMilli() {
 			delete(s.releasedTokens, token)
 		}
 	}
