--- a/config/config_test.go
+++ b/config/config_test.go
@@ -32,9 +32,9 @@
 	beforeHeadWrite func()
 	// staleHead, if set, is returned once by the next read of the head.
 	staleHead *Head
-	// lostAnswers is the number of next head writes that take effect but whose
+	// lostResponses is the number of next head writes that take effect but whose
 	// response is lost.
-	lostAnswers int
+	lostResponses int
 }
 
 func (s *fakeStore) publish(id string, set *pipeline.Set) Done {
@@ -89,8 +89,8 @@
 	}
 	s.head, _ = DecodeHead(out.Value)
 	s.version++
-	if s.lostAnswers > 0 {
-		s.lostAnswers--
+	if s.lostResponses > 0 {
+		s.lostResponses--
 		return HeadWritten{Outcome: WriteUnknown}
 	}
 	return HeadWritten{}
@@ -141,9 +141,9 @@
 // Guards against a change that took effect but is reported as failed, or is
 // written twice, because the response to the head write was lost, also when
 // another operator published a change in between.
-func TestLostAnswerIsRecognisedByPublishID(t *testing.T) {
+func TestLostResponseIsRecognisedByPublishID(t *testing.T) {
 	c := qt.New(t)
-	s := &fakeStore{parts: Parts{}, lostAnswers: 1}
+	s := &fakeStore{parts: Parts{}, lostResponses: 1}
 	done := s.publish("a", largeSet(3))
 	c.Assert(done.Err, qt.IsNil)
 	c.Assert(done.Result.Revision, qt.Equals, int64(1))
@@ -168,7 +168,7 @@
 	c := qt.New(t)
 	s := &fakeStore{parts: Parts{}}
 	c.Assert(s.publish("a", largeSet(3)).Err, qt.IsNil)
-	s.lostAnswers, s.staleHead = 1, s.head
+	s.lostResponses, s.staleHead = 1, s.head
 	done := s.publish("b", largeSet(4))
 	c.Assert(done.Err, qt.IsNil)
 	c.Assert(done.Result.Revision, qt.Equals, int64(2))
--- a/config/messages.go
+++ b/config/messages.go
@@ -13,7 +13,8 @@
 	Author    string
 	Reason    string
 	Set       *pipeline.Set
-	// Base is the revision that must be in force; 0 accepts any.
+	// Base is the revision from which the operator started. The publish fails with a
+	// *ConflictError if another one is in force; 0 accepts any.
 	Base int64
 }
 
--- a/internal/claims/appender.go
+++ b/internal/claims/appender.go
@@ -63,14 +63,14 @@
 }
 
 type counters struct {
-	ops, conflicts, lostAnswers tally.Counter
+	ops, conflicts, lostResponses tally.Counter
 }
 
 func newCounters(scope tally.Scope) counters {
 	return counters{
-		ops:         scope.Counter("claim_operations"),
-		conflicts:   scope.Counter("claim_conflicts"),
-		lostAnswers: scope.Counter("claim_lost_answers"),
+		ops:           scope.Counter("claim_operations"),
+		conflicts:     scope.Counter("claim_conflicts"),
+		lostResponses: scope.Counter("claim_lost_answers"),
 	}
 }
 
@@ -201,8 +201,8 @@
 	}
 }
 
-// appendBatch retries an append until its outcome is known. After a lost answer it
-// reads the chain, where the token shows whether the write took effect. After a
+// appendBatch retries an append until its outcome is known. After a lost response
+// it reads the chain, where the token shows whether the write took effect. After a
 // conflict it reads what the other instance wrote and decides again.
 func (a *Appender) appendBatch(ctx context.Context, batch []*pending) ([]claim.Decision, error) {
 	ops := make([]claim.Op, len(batch))
@@ -228,7 +228,7 @@
 			a.adjustBackoff(true)
 		case errors.Is(err, errLateWrite), errors.Is(err, store.ErrUnknownOutcome):
 			mayBeWritten = true
-			a.counters.lostAnswers.Inc(1)
+			a.counters.lostResponses.Inc(1)
 		case errors.Is(err, errTailChanged), errors.Is(err, claim.ErrGap):
 		default:
 			return nil, batchError(mayBeWritten, err)
--- a/internal/claims/attempt.go
+++ b/internal/claims/attempt.go
@@ -83,7 +83,7 @@
 }
 
 // recordEnd appends the end of an attempt. If that fails, the end is recorded in the
-// background, so that the answer to the caller need not wait for a slow store.
+// background, so that the response to the caller need not wait for a slow store.
 func (c *Claims) recordEnd(ctx context.Context, a *attempt, op claim.Op) error {
 	decision, err := c.submit(ctx, op)
 	if err != nil {
--- a/internal/claims/bench_test.go
+++ b/internal/claims/bench_test.go
@@ -64,7 +64,7 @@
 	name string
 }
 
-func (l soloDirectory) Appenders() []string { return []string{l.name} }
+func (d soloDirectory) Appenders() []string { return []string{d.name} }
 
 func runLoad(b *testing.B, instances int, disagree bool) {
 	fake := storetest.New()
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -50,8 +50,8 @@
 type network struct {
 	instances     map[string]*Claims
 	shardAppender string
-	// loseAnswers loses the answers to forwarded appends, which take effect.
-	loseAnswers bool
+	// loseResponses loses the responses to forwarded appends, which take effect.
+	loseResponses bool
 }
 
 func (n *network) Appenders() []string { return []string{n.shardAppender} }
@@ -63,7 +63,7 @@
 
 func (n *network) AppendClaims(ctx context.Context, instance string, shard int, records [][]byte) ([][]byte, error) {
 	results, err := n.instances[instance].AppendClaims(ctx, shard, records)
-	if n.loseAnswers {
+	if n.loseResponses {
 		return nil, errors.New("connection reset")
 	}
 	return results, err
@@ -160,13 +160,13 @@
 	c.Assert(cluster.claim(c.Context(), "b", 1).Grant, qt.IsNotNil)
 }
 
-// Guards against a claim that is appended twice if the answer of the shard's appender
-// is lost, or not at all if the appender can't be reached.
+// Guards against a claim that is appended twice if the response of the shard's
+// appender is lost, or not at all if the appender can't be reached.
 func TestAppenderUnreachable(t *testing.T) {
 	for _, lost := range []bool{true, false} {
 		c := qt.New(t)
 		cluster := newTestCluster("a", "b")
-		cluster.shardAppender, cluster.loseAnswers = "b", lost
+		cluster.shardAppender, cluster.loseResponses = "b", lost
 		if !lost {
 			cluster.shardAppender = "nobody"
 		}
@@ -191,7 +191,7 @@
 }
 
 // Guards against a key that stays claimed, or is granted while the outcome of its
-// claim is unknown, if the answer to the claim is lost and the store then goes down.
+// claim is unknown, if the response to the claim is lost and the store then goes down.
 func TestStoreDownDuringTheClaim(t *testing.T) {
 	c := qt.New(t)
 	cluster := newTestCluster("a", "b")
--- a/internal/claims/linear_test.go
+++ b/internal/claims/linear_test.go
@@ -99,7 +99,7 @@
 
 // Guards against a history of claims that is not linearizable: a key that is granted
 // twice, a lost record, or a token that holds the key again after its release. Several
-// appenders write concurrently, one of them is paused, and answers to writes are lost.
+// appenders write concurrently, one of them is paused, and responses to writes are lost.
 func TestClaimHistoryIsLinearizable(t *testing.T) {
 	const appenders, rounds, keys = 4, 60, 6
 	c := qt.New(t)
--- a/internal/claims/peers.go
+++ b/internal/claims/peers.go
@@ -40,12 +40,12 @@
 // appendResult is the result of a forwarded operation.
 type appendResult struct {
 	Decision claim.Decision `json:"decision"`
-	// NotAppended and Unresolved stand for the errors of these names.
+	// NotAppended and Unresolved stand for ErrNotAppended and ErrUnresolved.
 	NotAppended bool `json:"not_appended,omitempty"`
 	Unresolved  bool `json:"unresolved,omitempty"`
 }
 
-// awaitResult is the answer of a holder. Running means that the attempt had not
+// awaitResult is the response of a holder. Running means that the attempt had not
 // ended after awaitCallTimeout.
 type awaitResult struct {
 	Running  bool          `json:"running,omitempty"`
@@ -101,13 +101,13 @@
 		return AwaitResponse{}, err
 	}
 	for {
-		answer, err := p.Client.AwaitClaim(ctx, address, encoded)
+		encodedResult, err := p.Client.AwaitClaim(ctx, address, encoded)
 		if err != nil {
 			return AwaitResponse{}, err
 		}
 		var result awaitResult
-		if err := json.Unmarshal(answer, &result); err != nil {
-			return AwaitResponse{}, fmt.Errorf("answer of a holder: %w", err)
+		if err := json.Unmarshal(encodedResult, &result); err != nil {
+			return AwaitResponse{}, fmt.Errorf("response of a holder: %w", err)
 		}
 		if !result.Running {
 			return result.Response, nil
--- a/internal/claims/ports.go
+++ b/internal/claims/ports.go
@@ -1,6 +1,6 @@
 // Package claims grants and records claims of idempotency keys in the store, so that
 // a request with a key runs at most once. It batches the writes of each shard, finds
-// out the outcome of writes whose answer was lost, and lets repeated requests wait
+// out the outcome of writes whose response was lost, and lets repeated requests wait
 // for a running attempt.
 package claims
 
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -19,10 +19,11 @@
 	"github.com/coltsfootdrift/coltsfootdrift/job"
 )
 
-// testCluster is a set of instances with one store and clocks that a test advances.
+// testCluster is a set of instances with one store and one clock that a test advances.
 type testCluster struct {
-	fake    *storetest.Fake
-	wall    atomic.Int64
+	fake *storetest.Fake
+	// nowMS is the boot time and the wall time in milliseconds.
+	nowMS   atomic.Int64
 	members []string
 	// successor is offered the jobs of an instance that shuts down.
 	successor *instance
@@ -30,17 +31,17 @@
 
 func newTestCluster() *testCluster {
 	cluster := &testCluster{fake: storetest.New()}
-	cluster.wall.Store(time.Unix(1_700_000_000, 0).UnixMilli())
+	cluster.nowMS.Store(time.Unix(1_700_000_000, 0).UnixMilli())
 	return cluster
 }
 
-func (cluster *testCluster) now() time.Time { return time.UnixMilli(cluster.wall.Load()) }
+func (cluster *testCluster) now() time.Time { return time.UnixMilli(cluster.nowMS.Load()) }
 
-// advance moves the store and the clocks forward in steps of 1 s and ticks the leases
+// advance moves the store and the clock forward in steps of 1 s and ticks the leases
 // of the given instances.
 func (cluster *testCluster) advance(c *qt.C, d time.Duration, active ...*instance) {
 	for ; d > 0; d -= time.Second {
-		cluster.wall.Add(time.Second.Milliseconds())
+		cluster.nowMS.Add(time.Second.Milliseconds())
 		cluster.fake.Advance(time.Second)
 		for _, i := range active {
 			i.lease.Tick(c.Context())
@@ -239,9 +240,10 @@
 }
 
 // Guards against a job that is accepted without a record, that runs although it was
-// refused, or that runs twice because the answer to the write of its record was lost.
+// refused, or that runs twice because the response to the write of its record was
+// lost.
 func TestSubmitWithFailingStore(t *testing.T) {
-	for _, phase := range []string{"down before", "answer lost", "down after lost answer"} {
+	for _, phase := range []string{"down before", "response lost", "down after lost response"} {
 		c := qt.New(t)
 		cluster := newTestCluster()
 		a := cluster.instance(c, "a")
@@ -262,11 +264,11 @@
 				return nil
 			}
 			lose = false
-			down = phase == "down after lost answer"
+			down = phase == "down after lost response"
 			return store.ErrUnknownOutcome
 		}
 		ctx, cancel := context.WithCancel(c.Context())
-		if phase == "down after lost answer" {
+		if phase == "down after lost response" {
 			cancel()
 		}
 		id, err := a.Submit(ctx, Job{Body: []byte(`{}`), Retention: time.Hour})
@@ -280,7 +282,7 @@
 			cluster.scan(c, a)
 			c.Assert(a.runs, qt.HasLen, 0)
 			continue
-		case "answer lost":
+		case "response lost":
 			c.Assert(err, qt.IsNil)
 		default:
 			c.Assert(err, qt.ErrorIs, ErrUnresolved)
@@ -332,7 +334,7 @@
 		cluster.scan(c, a)
 	}
 	a.waitFinished(c, id)
-	cluster.wall.Add((2 * time.Hour).Milliseconds())
+	cluster.nowMS.Add((2 * time.Hour).Milliseconds())
 	_, err := a.Status(c.Context(), id)
 	c.Assert(err, qt.ErrorIs, ErrNotFound)
 	for range 2 {
--- a/internal/jobs/run.go
+++ b/internal/jobs/run.go
@@ -85,9 +85,9 @@
 		var more []job.Output
 		switch out := outputs[0].(type) {
 		case job.WriteRecord:
-			var answer job.Input
-			answer, result = j.writeRecord(ctx, r, out)
-			more = r.machine.Step(j.WallTime(), answer)
+			var nextInput job.Input
+			nextInput, result = j.writeRecord(ctx, r, out)
+			more = r.machine.Step(j.WallTime(), nextInput)
 		case job.RunStages:
 			go j.execute(r, r.machine.Record(), out.Delay)
 		case job.StopRun:
@@ -159,7 +159,7 @@
 	return job.LeaseLost{}, ErrNotAccepted
 }
 
-// readBack finds out whether a write whose answer was lost took effect. It returns
+// readBack finds out whether a write whose response was lost took effect. It returns
 // writeErr if that is still unknown.
 func (j *Jobs) readBack(ctx context.Context, key string, value []byte, expectedVersion int64, writeErr error) (store.Version, error) {
 	entry, err := j.Store.Get(ctx, key)
--- a/internal/jobs/scan.go
+++ b/internal/jobs/scan.go
@@ -79,9 +79,9 @@
 	if !j.mayStart(record.ID) {
 		return nil
 	}
-	current, _ := j.currentHolder()
+	self, _ := j.currentHolder()
 	holder := job.Holder{Instance: record.Holder, FencingToken: record.FencingToken}
-	if liveHolders[holder] && holder != current {
+	if liveHolders[holder] && holder != self {
 		return nil
 	}
 	version, err := j.holderVersion(ctx, record.Holder)
@@ -90,7 +90,7 @@
 	}
 	// If this instance holds the job but does not run it, the write that created the
 	// record was not confirmed.
-	if holder != current && !job.MayTakeOver(record, version) {
+	if holder != self && !job.MayTakeOver(record, version) {
 		liveHolders[holder] = true
 		return nil
 	}
--- a/internal/jobs/values.go
+++ b/internal/jobs/values.go
@@ -9,7 +9,7 @@
 	"github.com/coltsfootdrift/coltsfootdrift/job"
 )
 
-// maxPutAttempts limits the attempts to write one piece if the answers are lost.
+// maxPutAttempts limits the attempts to write one piece if the responses are lost.
 const maxPutAttempts = 3
 
 // values stores request bodies and results, split into pieces.
--- a/internal/leases/leases.go
+++ b/internal/leases/leases.go
@@ -206,7 +206,7 @@
 }
 
 // writeKey writes the key. If the key is already written under the lease, an earlier
-// write took effect although its answer was lost.
+// write took effect although its response was lost.
 func (m *Manager) writeKey(ctx context.Context, id lease.ID) lease.Input {
 	entry, err := m.config.Store.Get(ctx, m.config.Key)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
--- a/internal/leases/leases_test.go
+++ b/internal/leases/leases_test.go
@@ -64,9 +64,9 @@
 	c.Assert(secondToken > firstToken, qt.IsTrue)
 }
 
-// Guards against a lease without a holder that may act, because the answer to the
-// write of its key was lost.
-func TestLostAnswerToKeyWriteIsResolved(t *testing.T) {
+// Guards against a lease without a holder that may act, because the response to
+// the write of its key was lost.
+func TestLostResponseToKeyWriteIsResolved(t *testing.T) {
 	c := qt.New(t)
 	f := newFixture()
 	lose := true
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -118,7 +118,7 @@
 		return h.granted(now, in)
 	case KeyWritten:
 		if in.Lease == h.lease {
-			// Answers to two writes of the key may arrive in either order; the later
+			// Responses to two writes of the key may arrive in either order; the later
 			// write has the higher version.
 			h.fencingToken = max(h.fencingToken, in.FencingToken)
 			// Send a keep-alive at once: the write may have taken several attempts, so
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -15,8 +15,8 @@
 )
 
 // Guards against a holder that acts although its lease has expired in the store
-// and another holder may have one. Answers of the store are late, lost and
-// reordered, and the process is paused at any time.
+// and another holder may have one. Responses of the store are late, lost
+// and reordered, and the process is paused at any time.
 func TestHolderStopsBeforeLeaseExpires(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
