--- a/internal/configuration/cluster_test.go
+++ b/internal/configuration/cluster_test.go
@@ -25,20 +25,20 @@
 var testTimes = Times{ReadTimeout: 2 * time.Second, BackoffMin: 5 * time.Millisecond, BackoffMax: 50 * time.Millisecond,
 	PullSpread: 5 * time.Millisecond, CheckInterval: 10 * time.Millisecond}
 
-// cluster connects loaders in memory. Each sees the revisions of the others at once.
-type cluster struct {
+// testCluster connects loaders in memory. Each sees the revisions of the others at once.
+type testCluster struct {
 	c       *qt.C
 	ctx     context.Context
 	service *standin.Store
 	address string
 
 	mu        sync.Mutex
-	instances []*instance
+	instances []*testInstance
 }
 
-// instance runs one loader of a cluster and implements Members for it.
-type instance struct {
-	cluster    *cluster
+// testInstance runs one loader of a cluster and implements Members for it.
+type testInstance struct {
+	cluster    *testCluster
 	id, domain string
 	loader     *Loader
 	revision   int64
@@ -46,42 +46,42 @@
 	stopped    sync.WaitGroup
 }
 
-func newCluster(t *testing.T) *cluster {
+func newCluster(t *testing.T) *testCluster {
 	c := qt.New(t)
 	service := standin.NewStore()
 	server := httptest.NewServer(service.Handler())
 	ctx, cancel := context.WithCancel(context.Background())
-	f := &cluster{c: c, ctx: ctx, service: service, address: server.Listener.Addr().String()}
+	cluster := &testCluster{c: c, ctx: ctx, service: service, address: server.Listener.Addr().String()}
 	c.Cleanup(func() {
 		cancel()
-		for _, n := range f.instances {
-			n.stopped.Wait()
+		for _, instance := range cluster.instances {
+			instance.stopped.Wait()
 		}
 		server.CloseClientConnections()
 		server.Close()
 	})
-	return f
+	return cluster
 }
 
-func (f *cluster) store() store.Store { return store.NewHTTP(f.address) }
+func (cluster *testCluster) store() store.Store { return store.NewHTTP(cluster.address) }
 
 // start runs an instance with the given store, which may be nil or differ from that
 // of the cluster.
-func (f *cluster) start(domain string, s store.Store, files fs.FS) *instance {
-	f.mu.Lock()
-	n := &instance{cluster: f, id: fmt.Sprintf("entry-%d", len(f.instances)), domain: domain}
-	n.loader = NewLoader(Options{Store: s, Peers: f, Members: n, Files: files, Times: testTimes,
+func (cluster *testCluster) start(domain string, s store.Store, files fs.FS) *testInstance {
+	cluster.mu.Lock()
+	instance := &testInstance{cluster: cluster, id: fmt.Sprintf("entry-%d", len(cluster.instances)), domain: domain}
+	instance.loader = NewLoader(Options{Store: s, Peers: cluster, Members: instance, Files: files, Times: testTimes,
 		Logger: slog.New(slog.NewTextHandler(io.Discard, nil))})
-	f.instances = append(f.instances, n)
-	f.mu.Unlock()
-	n.stopped.Go(func() { n.loader.Run(f.ctx) })
-	return n
+	cluster.instances = append(cluster.instances, instance)
+	cluster.mu.Unlock()
+	instance.stopped.Go(func() { instance.loader.Run(cluster.ctx) })
+	return instance
 }
 
 // publish publishes a set with the given number of organisations.
-func (f *cluster) publish(s store.Store, organisations int) {
-	_, err := Publish(f.ctx, s, config.Request{Author: "test", Set: setOf(organisations)}, false)
-	f.c.Assert(err, qt.IsNil)
+func (cluster *testCluster) publish(s store.Store, organisations int) {
+	_, err := Publish(cluster.ctx, s, config.Request{Author: "test", Set: setOf(organisations)}, false)
+	cluster.c.Assert(err, qt.IsNil)
 }
 
 func setOf(organisations int) *pipeline.Set {
@@ -93,62 +93,63 @@
 }
 
 // eventually waits until the condition is true and fails the test after 10 s.
-func (f *cluster) eventually(what string, condition func() bool) {
+func (cluster *testCluster) eventually(what string, condition func() bool) {
 	for range 2000 {
 		if condition() {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	f.c.Fatalf("condition not met within 10 s: %s", what)
+	cluster.c.Fatalf("condition not met within 10 s: %s", what)
 }
 
-func (f *cluster) allAt(revision int64) {
-	f.eventually(fmt.Sprintf("all at revision %d", revision), func() bool {
-		return !slices.ContainsFunc(f.instances, func(n *instance) bool { return n.loader.Revision() != revision })
+func (cluster *testCluster) allAt(revision int64) {
+	cluster.eventually(fmt.Sprintf("all at revision %d", revision), func() bool {
+		return !slices.ContainsFunc(cluster.instances, func(instance *testInstance) bool { return instance.loader.Revision() != revision })
 	})
 }
 
-func (f *cluster) find(address string) (*instance, error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, n := range f.instances {
-		if n.id == address && !n.down {
-			return n, nil
+func (cluster *testCluster) find(address string) (*testInstance, error) {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	for _, instance := range cluster.instances {
+		if instance.id == address && !instance.down {
+			return instance, nil
 		}
 	}
 	return nil, errors.New("peer is down")
 }
 
 // Head implements Peers.
-func (f *cluster) Head(_ context.Context, address string, have int64) ([]byte, error) {
-	n, err := f.find(address)
+func (cluster *testCluster) Head(_ context.Context, address string, inForce int64) ([]byte, error) {
+	instance, err := cluster.find(address)
 	if err != nil {
 		return nil, err
 	}
-	return n.loader.HeadAfter(have)
+	return instance.loader.HeadAfter(inForce)
 }
 
 // Parts implements Peers. It returns one part for each call, as for large parts.
-func (f *cluster) Parts(_ context.Context, address string, digests [][]byte) ([][]byte, error) {
-	n, err := f.find(address)
+func (cluster *testCluster) Parts(_ context.Context, address string, digests [][]byte) ([][]byte, error) {
+	instance, err := cluster.find(address)
 	if err != nil {
 		return nil, err
 	}
-	data, ok := n.loader.Part(digests[0])
+	data, ok := instance.loader.Part(digests[0])
 	if !ok {
 		return nil, nil
 	}
 	return [][]byte{data}, nil
 }
 
-func (n *instance) Self() string { return n.id }
+func (instance *testInstance) Self() string { return instance.id }
 
-func (n *instance) others(accept func(*instance) bool) []string {
-	n.cluster.mu.Lock()
-	defer n.cluster.mu.Unlock()
+// instanceIDs returns the IDs of the running instances that a filter accepts.
+func (instance *testInstance) instanceIDs(accept func(*testInstance) bool) []string {
+	instance.cluster.mu.Lock()
+	defer instance.cluster.mu.Unlock()
 	var ids []string
-	for _, other := range n.cluster.instances {
+	for _, other := range instance.cluster.instances {
 		if !other.down && accept(other) {
 			ids = append(ids, other.id)
 		}
@@ -156,32 +157,32 @@
 	return ids
 }
 
-func (n *instance) Live() []string {
-	return n.others(func(other *instance) bool { return other.domain == n.domain })
+func (instance *testInstance) Live() []string {
+	return instance.instanceIDs(func(other *testInstance) bool { return other.domain == instance.domain })
 }
 
-func (n *instance) Seeds() []string {
-	return n.others(func(other *instance) bool { return other != n })
+func (instance *testInstance) Seeds() []string {
+	return instance.instanceIDs(func(other *testInstance) bool { return other != instance })
 }
 
-func (n *instance) AddressesWithRevision(revision int64) []string {
-	return n.others(func(other *instance) bool { return other != n && other.revision >= revision })
+func (instance *testInstance) AddressesWithRevision(revision int64) []string {
+	return instance.instanceIDs(func(other *testInstance) bool { return other != instance && other.revision >= revision })
 }
 
-func (n *instance) HighestRevision() int64 {
+func (instance *testInstance) HighestRevision() int64 {
 	highest := int64(0)
-	n.others(func(other *instance) bool {
+	instance.instanceIDs(func(other *testInstance) bool {
 		highest = max(highest, other.revision)
 		return false
 	})
 	return highest
 }
 
-func (n *instance) SetRevision(revision int64, _ bool) {
-	n.cluster.mu.Lock()
-	defer n.cluster.mu.Unlock()
-	n.revision = revision
-	for _, other := range n.cluster.instances {
+func (instance *testInstance) SetRevision(revision int64, _ bool) {
+	instance.cluster.mu.Lock()
+	defer instance.cluster.mu.Unlock()
+	instance.revision = revision
+	for _, other := range instance.cluster.instances {
 		other.loader.Wake()
 	}
 }
--- a/internal/configuration/start_test.go
+++ b/internal/configuration/start_test.go
@@ -28,13 +28,13 @@
 // Guards against an instance that at its start reads all parts from the store
 // although a peer has them, and so exhausts its share of the store's rate limit.
 func TestStartReadsPartsFromPeers(t *testing.T) {
-	f := newCluster(t)
-	f.publish(f.store(), 400)
-	first, late := &partReadCounter{Store: f.store()}, &partReadCounter{Store: f.store()}
-	f.start("a", first, nil)
-	f.allAt(1)
-	f.start("a", late, nil)
-	f.allAt(1)
-	f.c.Assert(first.reads.Load() > 100, qt.IsTrue)
-	f.c.Assert(late.reads.Load(), qt.Equals, int64(0))
+	cluster := newCluster(t)
+	cluster.publish(cluster.store(), 400)
+	first, late := &partReadCounter{Store: cluster.store()}, &partReadCounter{Store: cluster.store()}
+	cluster.start("a", first, nil)
+	cluster.allAt(1)
+	cluster.start("a", late, nil)
+	cluster.allAt(1)
+	cluster.c.Assert(first.reads.Load() > 100, qt.IsTrue)
+	cluster.c.Assert(late.reads.Load(), qt.Equals, int64(0))
 }
