--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -14,7 +14,8 @@
 	Instance      string `json:"instance"`
 	Region        string `json:"region"`
 	FailureDomain string `json:"failure_domain"`
-	// CallerAddress is the address (IP and port) on which the instance serves clients.
+	// CallerAddress is the address (IP and port) on which the instance serves callers,
+	// the clients of its HTTP interface.
 	CallerAddress string `json:"caller_address"`
 	// PeerAddress is the address on which the instance serves other instances, with
 	// TCP and UDP on the same port.
@@ -54,8 +55,8 @@
 	return e.PeerAddress
 }
 
-// DefaultDrainGrace gives a load balancer that polls readiness every second time to
-// observe that the instance is not ready.
+// DefaultDrainGrace is long enough for a load balancer that polls readiness once per
+// second to observe that the instance is not ready.
 const DefaultDrainGrace = 2 * time.Second
 
 // DrainGrace returns the time for which a draining instance still accepts requests
--- a/order/order.go
+++ b/order/order.go
@@ -35,7 +35,8 @@
 // Order is one control command to one engine.
 type Order struct {
 	// ID identifies the order; an engine carries out each ID at most once.
-	ID      string
+	ID string
+	// Server is the name of the engine, which is a backend server.
 	Server  string
 	Address string
 	Action  Action
--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -55,7 +55,7 @@
 	// After lists the stages whose results this stage reads. Empty means the
 	// preceding stage of the file, or the body of the request for the first stage.
 	After []string `json:"after,omitempty"`
-	// Once marks a stage whose call must not be sent twice.
+	// Once marks a stage whose call is not idempotent and must not be sent twice.
 	Once bool `json:"once,omitempty"`
 	// MaxAnswerBytes limits the size of the stage's result; 0 means
 	// DefaultMaxAnswerBytes.
@@ -140,7 +140,7 @@
 	return Kind{}, false
 }
 
-// Organisation is a customer with its rate limit and its share under contention.
+// Organisation sends requests; it has a rate limit and a share under contention.
 type Organisation struct {
 	Name string `json:"name"`
 	// RequestsPerSecond is the sustained rate; 0 means no limit of its own.
--- a/pipeline/rules.go
+++ b/pipeline/rules.go
@@ -15,7 +15,7 @@
 	maxAnswerBytes    = int64(1) << 30
 	maxWaitMS         = int64(24 * time.Hour / time.Millisecond)
 	maxRetentionMS    = int64(7 * 24 * time.Hour / time.Millisecond)
-	maxRequestsPerSec = 1e6
+	maxRequestsPerSec = 1e6 // also the limit of burst and weight
 )
 
 func stageTypes() []StageType {
--- a/pipeline/validate.go
+++ b/pipeline/validate.go
@@ -13,8 +13,8 @@
 // part of the configuration, and a part has at most 512 KB.
 const MaxFileBytes = 512 << 10
 
-// maxNameLength keeps names short enough for store keys and heartbeats.
-const maxNameLength = 64
+// maxNameBytes keeps names short enough for store keys and heartbeats.
+const maxNameBytes = 64
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
 
@@ -155,9 +155,9 @@
 func (v *validator) checkName(fileIndex int, at path, what, name string) {
 	switch {
 	case name == "":
-		v.report(fileIndex, at, "%s has no name, expected 1 to %d characters", what, maxNameLength)
-	case len(name) > maxNameLength:
-		v.report(fileIndex, at, "name of %s has %d characters, expected at most %d", what, len(name), maxNameLength)
+		v.report(fileIndex, at, "%s has no name, expected 1 to %d characters", what, maxNameBytes)
+	case len(name) > maxNameBytes:
+		v.report(fileIndex, at, "name of %s has %d characters, expected at most %d", what, len(name), maxNameBytes)
 	case !namePattern.MatchString(name):
 		v.report(fileIndex, at, "name %q of %s is malformed, expected letters, digits, '.', '_' and '-'", name, what)
 	}
