--- a/membership/network_test.go
+++ b/membership/network_test.go
@@ -106,8 +106,8 @@
 		switch {
 		case !running || net.partitioned != nil && net.partitioned(out.Message.From, to.self):
 		case net.paused[out.Address]:
-			const socketBuffer = 50
-			if len(net.queuedWhilePaused[out.Address]) < socketBuffer {
+			const socketBufferMessages = 50
+			if len(net.queuedWhilePaused[out.Address]) < socketBufferMessages {
 				net.queuedWhilePaused[out.Address] = append(net.queuedWhilePaused[out.Address], out.Message)
 			}
 		default:
