--- a/config/messages.go
+++ b/config/messages.go
@@ -13,7 +13,8 @@
 	Author    string
 	Reason    string
 	Set       *pipeline.Set
-	// Base is the revision that must be in force; 0 accepts any.
+	// Base is the revision from which the operator started. The publish fails with a
+	// *ConflictError if another one is in force; 0 accepts any.
 	Base int64
 }
 
@@ -91,8 +92,8 @@
 	// WriteHead replaces the head by compare-and-swap if its store version is
 	// Expect. Input: HeadWritten.
 	WriteHead struct {
-		Expect int64
-		Value  []byte
+		ExpectedVersion int64
+		Value           []byte
 	}
 	// DeleteParts deletes unused parts. Failures are ignored. It has no input.
 	DeleteParts struct{ Digests []Digest }
--- a/internal/capacity/jobs.go
+++ b/internal/capacity/jobs.go
@@ -67,8 +67,8 @@
 // FailureDomainInstances implements jobs.Members: the failure domain has one instance.
 func (j *jobInstance) FailureDomainInstances() []string { return []string{"entry-instance-001"} }
 
-// JobsReleased implements jobs.Members.
-func (j *jobInstance) JobsReleased(context.Context, []string) {}
+// OfferJobs implements jobs.Members.
+func (j *jobInstance) OfferJobs(context.Context, []string) {}
 
 // Run implements jobs.Runner.
 func (j *jobInstance) Run(ctx context.Context, _ jobs.Job, progress jobs.Progress) jobs.Result {
