--- a/internal/gateway/bodymemory.go
+++ b/internal/gateway/bodymemory.go
@@ -20,9 +20,9 @@
 
 // bodyReader reads a body and reserves memory for what it has read.
 type bodyReader struct {
-	memory *bodyMemory
-	reader io.Reader
-	held   int64
+	memory        *bodyMemory
+	reader        io.Reader
+	reservedBytes int64
 }
 
 // Read reads from the body. It returns errBodyMemoryFull when the memory limit is
@@ -32,9 +32,9 @@
 	if n > 0 && !b.memory.available.TryAcquire(int64(n)) {
 		return 0, errBodyMemoryFull
 	}
-	b.held += int64(n)
+	b.reservedBytes += int64(n)
 	return n, err
 }
 
 // release releases the reserved memory.
-func (b *bodyReader) release() { b.memory.available.Release(b.held) }
+func (b *bodyReader) release() { b.memory.available.Release(b.reservedBytes) }
--- a/internal/gateway/clientrequest.go
+++ b/internal/gateway/clientrequest.go
@@ -43,8 +43,8 @@
 	// request ran. From then on the request is not refused, because a refusal states that
 	// it did not run.
 	mayHaveRun bool
-	// firstEvent is the time from the last send to the first event of a stream.
-	firstEvent time.Duration
+	// firstEventDelay is the time from the last send to the first event of a stream.
+	firstEventDelay time.Duration
 }
 
 var (
@@ -242,5 +242,5 @@
 	c.metrics.answered.Inc(1)
 	c.metrics.duration.RecordDuration(took)
 	c.log(events.AttemptEnded, slog.Int("status", status), slog.String("server", server), slog.String("route", c.route.Name),
-		slog.Int("sends", c.sends), slog.Int64("first_event_ms", c.firstEvent.Milliseconds()), slog.Int64("left_ms", c.remaining().Milliseconds()))
+		slog.Int("sends", c.sends), slog.Int64("first_event_ms", c.firstEventDelay.Milliseconds()), slog.Int64("left_ms", c.remaining().Milliseconds()))
 }
--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -29,13 +29,13 @@
 	// be long, because a stale registration only adds a candidate to membership.
 	registrationTTL           = 10 * time.Minute
 	registrationRenewInterval = 3 * time.Minute
-	// registrationRereads is how often the registrations are reread after the start:
+	// registrationRereads is how many times the registrations are reread after the start:
 	// instances that start together read them before the others have registered.
 	registrationRereads        = 2
 	registrationRereadInterval = 3 * time.Second
 	// joinGracePeriod is how long after the start registered instances count as live.
-	// Without it, every instance would consider itself the owner of all services until
-	// membership discovers the others.
+	// Without it, every instance would own all services until membership has discovered
+	// the others.
 	joinGracePeriod    = 5 * time.Second
 	registerRetryDelay = 2 * time.Second
 	maxRegistrations   = 1000
@@ -45,7 +45,8 @@
 
 var errNoPeerKnown = errors.New("no other instance is known")
 
-// Cluster is this instance's view of the other instances.
+// Cluster provides the addresses of the other instances, from membership and from the
+// registrations in the store, and chooses the owner of a key among all instances.
 type Cluster struct {
 	settings settings.Gateway
 	node     *peer.Node
@@ -69,7 +70,7 @@
 	Region  string `json:"region"`
 }
 
-// NewCluster returns the cluster as seen by a membership node.
+// NewCluster returns a Cluster that reads the live instances from a membership node.
 func NewCluster(s settings.Gateway, node *peer.Node, client *peer.Client, st store.Store, logger *slog.Logger) *Cluster {
 	return &Cluster{settings: s, node: node, client: client, store: st, logger: logger, avoidUntil: map[string]time.Time{}, started: time.Now(), rereadInterval: registrationRereadInterval}
 }
@@ -129,12 +130,12 @@
 	return n
 }
 
-// storeReaders is the number of instances of a region that poll the store for changes
-// at short intervals.
+// storeReaders is the number of instances of a region that watch the store at short
+// intervals.
 const storeReaders = 2
 
 // IsReader implements view.Peers. It returns false until joinGracePeriod has passed:
-// when all instances start together, each would otherwise consider itself a reader.
+// when all instances start together, each would otherwise be a reader.
 func (c *Cluster) IsReader() bool {
 	if time.Since(c.started) < joinGracePeriod {
 		return false
@@ -164,8 +165,8 @@
 
 // Owners returns the addresses of the region's live instances in the order of
 // rendezvous hashing of a key. The first one owns the key: it batches the calls of the
-// stage service of that name, or places the prompts of an engine service. Instances
-// that did not answer lately come last. An empty address is this instance.
+// stage service of that name, or places the prompts of a service of model servers.
+// Instances that did not answer lately come last. An empty address is this instance.
 func (c *Cluster) Owners(key string) []string {
 	ids, byID := c.liveInstances()
 	var owners, avoided []string
--- a/internal/gateway/daemon.go
+++ b/internal/gateway/daemon.go
@@ -55,21 +55,21 @@
 // daemon holds the components of the process.
 type daemon struct {
 	fx.In
-	Settings  settings.Gateway
-	Logger    *slog.Logger
-	Metrics   *metrics.Metrics
-	Node      *peer.Node
-	Peers     *peer.Server
-	Cluster   *Cluster
-	Views     *view.Sync
-	Fleet     *Fleet
-	Upstream  *upstream.Client
-	Scheduler *StageScheduler
-	Placer    *Placer
-	Gateway   *Gateway
-	Frontend  *Frontend
-	Drain     *Drain
-	Readiness *readiness.Readiness
+	Settings   settings.Gateway
+	Logger     *slog.Logger
+	Metrics    *metrics.Metrics
+	Node       *peer.Node
+	PeerServer *peer.Server
+	Cluster    *Cluster
+	Views      *view.Sync
+	Fleet      *Fleet
+	Upstream   *upstream.Client
+	Scheduler  *StageScheduler
+	Placer     *Placer
+	Gateway    *Gateway
+	Frontend   *Frontend
+	Drain      *Drain
+	Readiness  *readiness.Readiness
 }
 
 // module provides the components of a gateway.
@@ -171,9 +171,9 @@
 		v := d.Views.Current()
 		return v != nil && v.Table != nil
 	})
-	d.Peers.HandleViews(d.Views)
-	d.Peers.HandleStages(d.Scheduler)
-	d.Peers.HandlePlacements(d.Placer)
+	d.PeerServer.HandleViews(d.Views)
+	d.PeerServer.HandleStages(d.Scheduler)
+	d.PeerServer.HandlePlacements(d.Placer)
 	if err := d.listen(ctx); err != nil {
 		return err
 	}
@@ -193,7 +193,7 @@
 	metricsRouter := mux.NewRouter()
 	metricsRouter.Handle("/metrics", d.Metrics.Handler)
 	for address, handler := range map[string]http.Handler{
-		d.Settings.ReadyAddress: ready, d.Settings.MetricsAddress: metricsRouter, d.Settings.PeerAddress: d.Peers.Handler(),
+		d.Settings.ReadyAddress: ready, d.Settings.MetricsAddress: metricsRouter, d.Settings.PeerAddress: d.PeerServer.Handler(),
 	} {
 		server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
 		if err := httpserve.Start(ctx, server, address, d.Logger); err != nil {
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -44,8 +44,8 @@
 // NewDrain returns the state of an instance that is not stopping. Grace is how long a
 // shutdown may take.
 func NewDrain(grace time.Duration) *Drain {
-	closing, end := context.WithCancel(context.Background())
-	return &Drain{grace: grace, waitingCtx: closing, cancelWaiting: end}
+	ctx, cancel := context.WithCancel(context.Background())
+	return &Drain{grace: grace, waitingCtx: ctx, cancelWaiting: cancel}
 }
 
 // Begin starts the shutdown. Further calls have no effect.
--- a/internal/gateway/fetchestimates.go
+++ b/internal/gateway/fetchestimates.go
@@ -18,25 +18,26 @@
 	return &fetchEstimates{byService: map[string]*stagework.FetchEstimator{}}
 }
 
-// estimate returns the estimate of a service. It is called with the lock held.
-func (f *fetchEstimates) estimate(service string) *stagework.FetchEstimator {
-	estimate := f.byService[service]
-	if estimate == nil {
-		estimate = &stagework.FetchEstimator{}
-		f.byService[service] = estimate
+// forService returns the estimator of a service, a new one at first. It is called with
+// the lock held.
+func (f *fetchEstimates) forService(service string) *stagework.FetchEstimator {
+	estimator := f.byService[service]
+	if estimator == nil {
+		estimator = &stagework.FetchEstimator{}
+		f.byService[service] = estimator
 	}
-	return estimate
+	return estimator
 }
 
-// timeUntilFetched returns how long results are kept after the request that needs them
-// was sent to a model server of a service. Results lists them by the stage service that
-// produced them; bytes is their total size.
+// timeUntilFetched estimates how long after the send of a request a model server of a
+// service has fetched the results that the request needs. They are kept that long. Results
+// lists them by the stage service that produced them; bytes is their total size.
 func (f *fetchEstimates) timeUntilFetched(service string, table *route.Table, results map[string][]string, bytes int64) (longest time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for producer := range results {
 		if configured := table.Service(producer); configured != nil && configured.StageProfile != nil {
-			longest = max(longest, f.estimate(service).Duration(*configured.StageProfile, bytes))
+			longest = max(longest, f.forService(service).Duration(*configured.StageProfile, bytes))
 		}
 	}
 	return longest
@@ -48,8 +49,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if found {
-		f.estimate(service).RecordFetched()
+		f.forService(service).RecordFetched()
 	} else {
-		f.estimate(service).RecordLost()
+		f.forService(service).RecordLost()
 	}
 }
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -52,18 +52,18 @@
 }
 
 func (fakeProtocol) ReadRequest(h http.Header) RequestInfo {
-	d := RequestInfo{ID: h.Get("Id"), Key: h.Get("Key"), LastEventID: h.Get("Last"), PieceKey: "pk"}
+	info := RequestInfo{ID: h.Get("Id"), Key: h.Get("Key"), LastEventID: h.Get("Last"), PieceKey: "pk"}
 	if ms, err := strconv.Atoi(h.Get("Wait")); err == nil {
-		d.Timeout, d.HasTimeout = time.Duration(ms)*time.Millisecond, true
+		info.Timeout, info.HasTimeout = time.Duration(ms)*time.Millisecond, true
 	}
 	for _, part := range strings.Fields(h.Get("Prompt")) {
-		d.Prompt = append(d.Prompt, engine.Part{ID: part, Tokens: 1000})
+		info.Prompt = append(info.Prompt, engine.Part{ID: part, Tokens: 1000})
 	}
 	for _, n := range strings.Fields(h.Get("Counts")) {
 		count, _ := strconv.Atoi(n)
-		d.PieceCounts = append(d.PieceCounts, count)
+		info.PieceCounts = append(info.PieceCounts, count)
 	}
-	return d
+	return info
 }
 
 func (fakeProtocol) WriteRequest(h http.Header, s SendInfo) {
@@ -196,11 +196,11 @@
 	cluster := NewCluster(s, node, client, storetest.New(), discardLogger())
 	views := view.NewSync(fakeSource{entries}, cluster, protocol, discardLogger(), tally.NoopScope)
 	fleet := NewFleet(s, cluster)
-	connections := upstream.NewClient(tally.NoopScope)
-	freer := NewResultFreer(protocol, connections, serverByAddress(views), discardLogger())
-	f.scheduler = NewStageScheduler(protocol, connections, fleet, freer, discardLogger(), tally.NoopScope)
+	upstreamClient := upstream.NewClient(tally.NoopScope)
+	freer := NewResultFreer(protocol, upstreamClient, serverByAddress(views), discardLogger())
+	f.scheduler = NewStageScheduler(protocol, upstreamClient, fleet, freer, discardLogger(), tally.NoopScope)
 	f.drain = NewDrain(s.Grace())
-	f.gateway = New(protocol, views, fleet, connections, NewStageRunner(cluster, client, f.scheduler, discardLogger()), NewPlacer(cluster, client, fleet, connections, protocol, discardLogger()), f.drain, discardLogger(), tally.NoopScope)
+	f.gateway = New(protocol, views, fleet, upstreamClient, NewStageRunner(cluster, client, f.scheduler, discardLogger()), NewPlacer(cluster, client, fleet, upstreamClient, protocol, discardLogger()), f.drain, discardLogger(), tally.NoopScope)
 	changed := make(chan struct{}, 10)
 	views.Observe(fleet.Update)
 	views.Observe(f.scheduler.Update)
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -25,17 +25,18 @@
 // server.
 const minServerConnections = 2
 
-// Fleet holds this instance's view of the backend servers and of their load.
+// Fleet holds the backend servers of the current view, and for their services the server
+// pools, the schedulers of model servers and the retry budgets of this instance.
 type Fleet struct {
 	settings  settings.Gateway
 	instances func() int
 
-	mu      sync.Mutex
-	random  *rand.Rand
-	pools   map[string]*routing.Pool
-	engines map[string]*engine.Scheduler
-	servers map[string]upstream.Server
-	budgets map[string]*routing.RetryBudget
+	mu               sync.Mutex
+	random           *rand.Rand
+	pools            map[string]*routing.Pool
+	engineSchedulers map[string]*engine.Scheduler
+	servers          map[string]upstream.Server
+	budgets          map[string]*routing.RetryBudget
 }
 
 // NewFleet returns a fleet without servers.
@@ -43,7 +44,7 @@
 	return &Fleet{
 		settings: s, instances: cluster.InstanceCount,
 		random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		pools:  map[string]*routing.Pool{}, engines: map[string]*engine.Scheduler{},
+		pools:  map[string]*routing.Pool{}, engineSchedulers: map[string]*engine.Scheduler{},
 		servers: map[string]upstream.Server{}, budgets: map[string]*routing.RetryBudget{},
 	}
 }
@@ -65,9 +66,9 @@
 		switch {
 		case service.StageProfile != nil:
 		case service.Engine != nil:
-			f.updateEngines(service, v.Servers[service.Name])
+			f.updateEngineScheduler(service, v.Servers[service.Name])
 		default:
-			f.updatePlain(service.Name, v.Servers[service.Name])
+			f.updatePool(service.Name, v.Servers[service.Name])
 		}
 	}
 }
@@ -79,21 +80,21 @@
 	return max(minServerConnections, int(connectionLimitShare*float64(service.MaxConnections))/instances)
 }
 
-func (f *Fleet) updateEngines(service *route.Service, listed []view.Server) {
-	set := f.engines[service.Name]
-	if set == nil {
-		set = engine.NewScheduler(f.settings.Region)
-		f.engines[service.Name] = set
+func (f *Fleet) updateEngineScheduler(service *route.Service, listed []view.Server) {
+	scheduler := f.engineSchedulers[service.Name]
+	if scheduler == nil {
+		scheduler = engine.NewScheduler(f.settings.Region)
+		f.engineSchedulers[service.Name] = scheduler
 	}
 	servers := make([]engine.Server, len(listed))
 	for i, s := range listed {
 		servers[i] = engine.Server{ID: s.ID, Region: f.settings.Regions[s.FailureDomain], FailureDomain: s.FailureDomain, Incarnation: s.Incarnation,
 			CacheTokens: service.Engine.CacheTokens, CopyRate: service.Engine.CopyRate()}
 	}
-	set.SetServers(servers)
+	scheduler.SetServers(servers)
 }
 
-func (f *Fleet) updatePlain(service string, listed []view.Server) {
+func (f *Fleet) updatePool(service string, listed []view.Server) {
 	pool := f.pools[service]
 	if pool == nil {
 		pool = routing.NewPool(routing.Location{Region: f.settings.Region, FailureDomain: f.settings.FailureDomain})
@@ -139,16 +140,16 @@
 	return true
 }
 
-// WithEngines calls use with the model servers of a service while it holds the lock. It
-// returns false when the service has none.
-func (f *Fleet) WithEngines(service string, use func(*engine.Scheduler)) bool {
+// WithEngineScheduler calls use with the scheduler of the model servers of a service
+// while it holds the lock. It returns false when there is no such scheduler.
+func (f *Fleet) WithEngineScheduler(service string, use func(*engine.Scheduler)) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	set := f.engines[service]
-	if set == nil {
+	scheduler := f.engineSchedulers[service]
+	if scheduler == nil {
 		return false
 	}
-	use(set)
+	use(scheduler)
 	return true
 }
 
@@ -156,7 +157,7 @@
 func (f *Fleet) EngineServices() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Collect(maps.Keys(f.engines))
+	return slices.Collect(maps.Keys(f.engineSchedulers))
 }
 
 const (
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -46,23 +46,23 @@
 }
 
 // Accept returns the next connection.
-func (i *connListener) Accept() (net.Conn, error) {
+func (l *connListener) Accept() (net.Conn, error) {
 	select {
-	case conn := <-i.conns:
+	case conn := <-l.conns:
 		return conn, nil
-	case <-i.closed:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close makes Accept return net.ErrClosed.
-func (i *connListener) Close() error {
-	i.once.Do(func() { close(i.closed) })
+func (l *connListener) Close() error {
+	l.once.Do(func() { close(l.closed) })
 	return nil
 }
 
 // Addr returns the address that Frontend listens on.
-func (i *connListener) Addr() net.Addr { return i.address }
+func (l *connListener) Addr() net.Addr { return l.address }
 
 // Listen binds the address and serves connections until Close.
 func (f *Frontend) Listen(ctx context.Context, address string) error {
@@ -102,8 +102,8 @@
 		ConnState: f.countConnection, ErrorLog: slog.NewLogLogger(f.logger.Handler(), slog.LevelDebug),
 	}
 	f.servers = append(f.servers, server)
-	go func(i *connListener) {
-		if err := server.Serve(i); !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
+	go func(l *connListener) {
+		if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
 			events.ServeFailed.Log(context.Background(), f.logger, slog.Any("error", err))
 		}
 	}(f.current)
--- a/internal/gateway/inputs.go
+++ b/internal/gateway/inputs.go
@@ -119,7 +119,7 @@
 		g.inputDomain = g.chooseInputDomain()
 	}
 	var typical time.Duration
-	g.fleet.WithEngines(g.service.Name, func(s *engine.Scheduler) { typical = s.TypicalDelay() })
+	g.fleet.WithEngineScheduler(g.service.Name, func(s *engine.Scheduler) { typical = s.TypicalDelay() })
 	ctx, cancel := g.waitingContext()
 	defer cancel()
 	inputs, err := g.stages.Run(ctx, StagePlan{
@@ -160,12 +160,12 @@
 }
 
 // stagesDeadline returns when the stages must end, so that a run of typical length at
-// the model server ends by the deadline and its first event arrives within the
-// client's patience.
-func (g *generateRequest) stagesDeadline(firstEvent time.Duration) time.Time {
-	end := g.deadline.Add(-max(firstEvent, g.runTimes.mean(g.route.Name)))
-	if patience := g.arrived.Add(g.route.MaxFirstEventWait - firstEvent); g.route.MaxFirstEventWait > 0 && patience.Before(end) {
-		return patience
+// the model server ends by the deadline and its first event arrives before the client
+// cancels a stream without events.
+func (g *generateRequest) stagesDeadline(firstEventDelay time.Duration) time.Time {
+	end := g.deadline.Add(-max(firstEventDelay, g.runTimes.mean(g.route.Name)))
+	if cancelled := g.arrived.Add(g.route.MaxFirstEventWait - firstEventDelay); g.route.MaxFirstEventWait > 0 && cancelled.Before(end) {
+		return cancelled
 	}
 	return end
 }
--- a/internal/gateway/placer.go
+++ b/internal/gateway/placer.go
@@ -31,7 +31,8 @@
 )
 
 // Placer chooses model servers for prompts. One instance of the region places the
-// prompts of a service for all instances, so that it knows all placements.
+// prompts of a service for all instances, so that its choices take all placements into
+// account.
 type Placer struct {
 	cluster *Cluster
 	client  *peer.Client
@@ -51,8 +52,8 @@
 }
 
 // NewPlacer returns a placer for the model servers of fleet.
-func NewPlacer(cluster *Cluster, client *peer.Client, fleet *Fleet, servers *upstream.Client, protocol Protocol, logger *slog.Logger) *Placer {
-	return &Placer{cluster: cluster, client: client, fleet: fleet, upstream: servers, protocol: protocol, logger: logger, restored: map[string]bool{}, pendingShares: map[string][]*peerpb.SharedPlacement{}}
+func NewPlacer(cluster *Cluster, client *peer.Client, fleet *Fleet, upstreamClient *upstream.Client, protocol Protocol, logger *slog.Logger) *Placer {
+	return &Placer{cluster: cluster, client: client, fleet: fleet, upstream: upstreamClient, protocol: protocol, logger: logger, restored: map[string]bool{}, pendingShares: map[string][]*peerpb.SharedPlacement{}}
 }
 
 // Restore reads the cached prompt parts of the model servers of each service whose
@@ -70,7 +71,7 @@
 
 func (p *Placer) restore(ctx context.Context, service string) {
 	var ids []string
-	p.fleet.WithEngines(service, func(s *engine.Scheduler) { ids = s.LocalServers() })
+	p.fleet.WithEngineScheduler(service, func(s *engine.Scheduler) { ids = s.LocalServers() })
 	for _, id := range ids {
 		server, known := p.fleet.Server(id)
 		if !known {
@@ -81,7 +82,7 @@
 			events.CacheUnknown.Log(ctx, p.logger, slog.String("server", id), slog.Any("error", err))
 			continue
 		}
-		p.fleet.WithEngines(service, func(s *engine.Scheduler) { s.ReplaceCached(id, parts) })
+		p.fleet.WithEngineScheduler(service, func(s *engine.Scheduler) { s.ReplaceCached(id, parts) })
 	}
 	events.PlacerChanged.Log(ctx, p.logger, slog.String("service", service), slog.Int("servers", len(ids)))
 }
@@ -130,7 +131,7 @@
 }
 
 func (p *Placer) placeLocally(service string, q engine.Query) (placed engine.Placement, ok bool) {
-	p.fleet.WithEngines(service, func(s *engine.Scheduler) { placed, ok = s.Place(time.Now(), q) })
+	p.fleet.WithEngineScheduler(service, func(s *engine.Scheduler) { placed, ok = s.Place(time.Now(), q) })
 	return placed, ok
 }
 
@@ -154,7 +155,7 @@
 
 // Report records the outcome of a placement, here and at the instance that made it.
 func (p *Placer) Report(service string, r engine.Report) {
-	p.fleet.WithEngines(service, func(s *engine.Scheduler) { s.Report(time.Now(), r) })
+	p.fleet.WithEngineScheduler(service, func(s *engine.Scheduler) { s.Report(time.Now(), r) })
 	address := p.cluster.Owners(placementKey(service))[0]
 	if address == "" {
 		return
@@ -176,5 +177,5 @@
 		Server: request.Server, Failed: request.Failed, Refused: request.Refused,
 		Expected: time.Duration(request.ExpectedUs) * time.Microsecond, Delay: time.Duration(request.DelayUs) * time.Microsecond,
 	}
-	p.fleet.WithEngines(request.Service, func(s *engine.Scheduler) { s.Report(time.Now(), r) })
+	p.fleet.WithEngineScheduler(request.Service, func(s *engine.Scheduler) { s.Report(time.Now(), r) })
 }
--- a/internal/gateway/plain_test.go
+++ b/internal/gateway/plain_test.go
@@ -161,8 +161,8 @@
 	}
 }
 
-// Guards against requests that are refused against the configuration, and against
-// requests that are served without a valid key.
+// Guards against requests that are refused although the configuration allows them, and
+// against requests that are served without a valid key.
 func TestLocalAnswers(t *testing.T) {
 	c := qt.New(t)
 	f := newPlainFixture(c, route.Idempotent)
--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -27,8 +27,8 @@
 	Prompt []engine.Part
 	// LastEventID is the ID of the last event that the client has received of a stream.
 	LastEventID string
-	// PieceCounts holds the number of pieces of each stage. PieceKey is the key that is
-	// sent with each piece.
+	// PieceCounts holds the number of pieces of each stage. PieceKey is the client's key
+	// for the pieces.
 	PieceCounts []int
 	PieceKey    string
 }
@@ -47,7 +47,7 @@
 	// Inputs are the handles of the stage results that a model server fetches.
 	Inputs []string
 	// CopyFrom is the address of a model server from which the receiving one copies the
-	// prompt parts that it lacks; empty for none.
+	// prompt parts that it has not cached; empty for none.
 	CopyFrom string
 }
 
--- a/internal/gateway/resultfreer.go
+++ b/internal/gateway/resultfreer.go
@@ -36,14 +36,14 @@
 	onFreed []func()
 }
 
-// NewResultFreer returns a ResultFreer that looks up servers by address in servers.
-func NewResultFreer(protocol Protocol, client *upstream.Client, servers func(address string) (upstream.Server, bool), logger *slog.Logger) *ResultFreer {
-	return &ResultFreer{protocol: protocol, upstream: client, serverAt: servers, logger: logger, pending: map[string]*pendingFree{}}
+// NewResultFreer returns a ResultFreer that looks up servers by address with serverAt.
+func NewResultFreer(protocol Protocol, client *upstream.Client, serverAt func(address string) (upstream.Server, bool), logger *slog.Logger) *ResultFreer {
+	return &ResultFreer{protocol: protocol, upstream: client, serverAt: serverAt, logger: logger, pending: map[string]*pendingFree{}}
 }
 
-// Free frees results after freeCallDelay. Done is called once for each producer with
+// Free frees results after freeCallDelay. onFreed is called once for each producer with
 // the results that it has freed.
-func (f *ResultFreer) Free(results []string, done func(freed []string)) {
+func (f *ResultFreer) Free(results []string, onFreed func(freed []string)) {
 	byProducer := map[string][]string{}
 	for _, result := range results {
 		producer := f.protocol.Producer(result)
@@ -52,31 +52,31 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for producer, own := range byProducer {
-		waiting := f.pending[producer]
-		if waiting == nil {
-			waiting = &pendingFree{}
-			f.pending[producer] = waiting
+		pending := f.pending[producer]
+		if pending == nil {
+			pending = &pendingFree{}
+			f.pending[producer] = pending
 			time.AfterFunc(freeCallDelay, func() { f.flush(producer) })
 		}
-		waiting.results = append(waiting.results, own...)
-		waiting.onFreed = append(waiting.onFreed, func() { done(own) })
+		pending.results = append(pending.results, own...)
+		pending.onFreed = append(pending.onFreed, func() { onFreed(own) })
 	}
 }
 
 func (f *ResultFreer) flush(producer string) {
 	f.mu.Lock()
-	waiting := f.pending[producer]
+	pending := f.pending[producer]
 	delete(f.pending, producer)
 	f.mu.Unlock()
 	// The results of a server that is no longer registered are gone with it.
 	if server, ok := f.serverAt(producer); ok {
-		if err := f.send(server, waiting.results); err != nil {
-			events.FreeResultsFailed.Log(context.Background(), f.logger, slog.String("server", server.ID), slog.Int("results", len(waiting.results)), slog.Any("error", err))
+		if err := f.send(server, pending.results); err != nil {
+			events.FreeResultsFailed.Log(context.Background(), f.logger, slog.String("server", server.ID), slog.Int("results", len(pending.results)), slog.Any("error", err))
 			return
 		}
 	}
-	for _, done := range waiting.onFreed {
-		done()
+	for _, onFreed := range pending.onFreed {
+		onFreed()
 	}
 }
 
--- a/internal/gateway/servicequeue.go
+++ b/internal/gateway/servicequeue.go
@@ -28,8 +28,8 @@
 	request  *peerpb.RunStageRequest
 	deadline time.Time
 	done     chan stagework.EndedJob
-	// fetched is closed when the inputs may be freed. It is nil when the requester does
-	// not need to know.
+	// fetched is closed when the inputs may be freed. It is nil when the requester did
+	// not set TellFetched.
 	fetched chan struct{}
 	// fetchReported is true once a response has said that the inputs may be freed. Only
 	// the call that awaits the job uses it.
--- a/internal/gateway/settingswatcher.go
+++ b/internal/gateway/settingswatcher.go
@@ -32,24 +32,24 @@
 
 // check reads the file again and logs a change. With always it logs an unchanged file
 // too.
-func (r *settingsWatcher) check(always bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	data, err := os.ReadFile(r.path)
-	if err == nil && bytes.Equal(data, r.data) && !always {
+func (w *settingsWatcher) check(always bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	data, err := os.ReadFile(w.path)
+	if err == nil && bytes.Equal(data, w.data) && !always {
 		return
 	}
 	var next settings.Gateway
 	if err == nil {
-		r.data = data
-		next, err = settings.ParseGateway(r.path, data)
+		w.data = data
+		next, err = settings.ParseGateway(w.path, data)
 	}
 	if err != nil {
-		events.SettingsInvalid.Log(context.Background(), r.logger, slog.Any("error", err))
+		events.SettingsInvalid.Log(context.Background(), w.logger, slog.Any("error", err))
 		return
 	}
-	restart := next.ClientAddress != r.current.ClientAddress || next.ReadyAddress != r.current.ReadyAddress ||
-		next.PeerAddress != r.current.PeerAddress || next.StoreAddress != r.current.StoreAddress
-	r.current = next
-	events.SettingsReloaded.Log(context.Background(), r.logger, slog.Bool("restart_needed", restart))
+	restart := next.ClientAddress != w.current.ClientAddress || next.ReadyAddress != w.current.ReadyAddress ||
+		next.PeerAddress != w.current.PeerAddress || next.StoreAddress != w.current.StoreAddress
+	w.current = next
+	events.SettingsReloaded.Log(context.Background(), w.logger, slog.Bool("restart_needed", restart))
 }
--- a/internal/gateway/stagerequest.go
+++ b/internal/gateway/stagerequest.go
@@ -68,7 +68,7 @@
 func (r *stageRun) newRunStageRequest(i int, inputs []string) *peerpb.RunStageRequest {
 	stage := r.Route.Stages[i]
 	r.mu.Lock()
-	tail, started := r.progress.Tail(i), r.progress.AnyEnded()
+	tail, started := r.schedule.Tail(i), r.schedule.AnyEnded()
 	r.mu.Unlock()
 	request := &peerpb.RunStageRequest{
 		Service: stage.Service, RequestId: r.RequestID, Stage: int32(i), Key: r.Key, Inputs: inputs,
--- a/internal/gateway/stagerun.go
+++ b/internal/gateway/stagerun.go
@@ -39,7 +39,7 @@
 	consumers []int
 	// inputsFreed is true for the stages that no longer need their inputs.
 	inputsFreed []bool
-	progress    *stagework.StageSchedule
+	schedule    *stagework.StageSchedule
 	// changed is closed and replaced whenever a stage ends.
 	changed chan struct{}
 }
@@ -50,7 +50,7 @@
 	n := len(plan.Route.Stages)
 	r := &stageRun{
 		StageRunner: s, StagePlan: plan, ended: make([]chan struct{}, n), results: make([][]string, n), consumers: make([]int, n), inputsFreed: make([]bool, n),
-		progress: stagework.NewStageSchedule(plan.Graph.After, plan.Graph.Counts), changed: make(chan struct{}),
+		schedule: stagework.NewStageSchedule(plan.Graph.After, plan.Graph.Counts), changed: make(chan struct{}),
 	}
 	for i := range n {
 		r.ended[i] = make(chan struct{})
@@ -101,7 +101,7 @@
 	r.stageTimes.observe(r.Route.Stages[i].Service, time.Since(started))
 	r.mu.Lock()
 	r.results[i] = results
-	r.progress.MarkEnded(i)
+	r.schedule.MarkEnded(i)
 	close(r.changed)
 	r.changed = make(chan struct{})
 	r.mu.Unlock()
@@ -141,11 +141,11 @@
 	for {
 		typical := r.typicalTimes()
 		r.mu.Lock()
-		r.progress.SetTypicalDurations(typical)
+		r.schedule.SetTypicalDurations(typical)
 		now := time.Now()
-		wait, changed := r.progress.StartDelay(i, now), r.changed
+		wait, changed := r.schedule.StartDelay(i, now), r.changed
 		if wait == 0 {
-			r.progress.MarkStarted(i, now)
+			r.schedule.MarkStarted(i, now)
 		}
 		r.mu.Unlock()
 		if wait == 0 {
--- a/internal/gateway/stagescheduler.go
+++ b/internal/gateway/stagescheduler.go
@@ -67,7 +67,7 @@
 		if service.StageProfile == nil {
 			continue
 		}
-		q := s.serviceQueue(service.Name, true)
+		q := s.queueOf(service.Name, true)
 		q.mu.Lock()
 		q.queue.SetProfile(*service.StageProfile)
 		q.queue.SetServers(s.regionServers(v.Servers[service.Name]))
@@ -93,7 +93,7 @@
 	return all
 }
 
-func (s *StageScheduler) serviceQueue(service string, create bool) *serviceQueue {
+func (s *StageScheduler) queueOf(service string, create bool) *serviceQueue {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	q := s.queues[service]
@@ -106,7 +106,7 @@
 
 // RunStage implements peer.StageHandler.
 func (s *StageScheduler) RunStage(ctx context.Context, request *peerpb.RunStageRequest) (*peerpb.RunStageResponse, error) {
-	q := s.serviceQueue(request.Service, false)
+	q := s.queueOf(request.Service, false)
 	if q == nil {
 		return &peerpb.RunStageResponse{Refusal: string(stagework.RefusedNoServer)}, nil
 	}
@@ -150,7 +150,7 @@
 
 // AwaitStage implements peer.StageHandler.
 func (s *StageScheduler) AwaitStage(ctx context.Context, request *peerpb.AwaitStageRequest) (*peerpb.RunStageResponse, error) {
-	q := s.serviceQueue(request.Service, false)
+	q := s.queueOf(request.Service, false)
 	if q == nil {
 		return nil, errUnknownJob
 	}
@@ -218,7 +218,7 @@
 
 // FreeResults implements peer.StageHandler.
 func (s *StageScheduler) FreeResults(request *peerpb.FreeResultsRequest) {
-	s.freeResults(s.serviceQueue(request.Service, false), request.Results)
+	s.freeResults(s.queueOf(request.Service, false), request.Results)
 }
 
 // freeResults frees results. Their memory counts as used until their producer has freed
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -238,7 +238,7 @@
 // the model server has fetched by then.
 func (g *generateRequest) recordFirstEvent(placed engine.Placement, delay time.Duration) {
 	now := time.Now()
-	g.firstEvent = delay
+	g.firstEventDelay = delay
 	g.placer.Report(g.service.Name, engine.Report{Server: placed.Server, Expected: placed.Expected, Delay: delay})
 	g.metrics.timeToFirstEvent.RecordDuration(now.Sub(g.arrived))
 	g.freeInputs()
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -41,10 +41,10 @@
 func TestEventsArePassedOnAsTheyArrive(t *testing.T) {
 	c := qt.New(t)
 	f := newEngineFixture(c, false)
-	goOn := make(chan struct{})
+	release := make(chan struct{})
 	f.addServer("x", func(rw http.ResponseWriter, _ *http.Request) {
 		sendEvents(rw, 1, 1)
-		<-goOn
+		<-release
 		sendEvents(rw, 2, 2)
 	})
 	f.start()
@@ -58,7 +58,7 @@
 	line, err := reader.ReadString('\n')
 	c.Assert(err, qt.IsNil)
 	c.Assert(line, qt.Equals, "id: 1\n")
-	close(goOn)
+	close(release)
 	rest, err := io.ReadAll(reader)
 	c.Assert(err, qt.IsNil)
 	c.Assert(line+string(rest), qt.Equals, eventText(1, 2))
@@ -336,7 +336,7 @@
 	c.Assert(calls.all(), qt.HasLen, 0)
 }
 
-// Guards against an owner that is considered dead because a stage takes long, and
+// Guards against an owner that is treated as failed because a stage takes long, and
 // against jobs that are kept although their requester no longer polls them.
 func TestPendingStagesAreAwaitedAgainOrAbandoned(t *testing.T) {
 	c := qt.New(t)
@@ -386,7 +386,7 @@
 	<-begun
 	go runAsync("second")
 	eventually(c, func() bool {
-		queue := f.scheduler.serviceQueue("stage", false)
+		queue := f.scheduler.queueOf("stage", false)
 		queue.mu.Lock()
 		defer queue.mu.Unlock()
 		return len(queue.jobs) == 2
@@ -447,16 +447,16 @@
 func TestWaitingRequestsAreRefusedBeforeTheProcessEnds(t *testing.T) {
 	c := qt.New(t)
 	f := newEngineFixture(c, false, route.Stage{Service: "stage"})
-	asked := make(chan struct{}, 4)
+	called := make(chan struct{}, 4)
 	f.addServer("stage", func(_ http.ResponseWriter, r *http.Request) {
-		asked <- struct{}{}
+		called <- struct{}{}
 		<-r.Context().Done()
 	})
 	f.addServer("x", func(rw http.ResponseWriter, _ *http.Request) { sendEvents(rw, 1, 1) })
 	f.config.Services[1].StageProfile.CallTime = time.Second
 	f.start()
 	go func() {
-		<-asked
+		<-called
 		f.drain.Begin(time.Now().Add(waitingMargin - 8*time.Second))
 	}()
 	response, body, err := f.do("POST", "/p/", "", "Counts", "1")
@@ -513,11 +513,11 @@
 func TestPlacersReadServerCachesOnce(t *testing.T) {
 	c := qt.New(t)
 	f := newEngineFixture(c, false)
-	var asked recorder
+	var cacheReads recorder
 	for range 2 {
 		f.addServer("x", func(rw http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/cache" {
-				asked.add("")
+				cacheReads.add("")
 				_, _ = io.WriteString(rw, `[{"ID":"p","Tokens":9000}]`)
 			}
 		})
@@ -526,7 +526,7 @@
 	for range 3 {
 		f.gateway.placer.Restore(c.Context())
 	}
-	c.Assert(asked.all(), qt.HasLen, 2)
+	c.Assert(cacheReads.all(), qt.HasLen, 2)
 }
 
 // Guards against pieces that fetch their inputs from another failure domain although the
@@ -549,9 +549,9 @@
 	c := qt.New(t)
 	f := newEngineFixture(c, false, route.Stage{Service: "stage"}, route.Stage{Service: "stage", After: []int{0}})
 	table := route.NewTable(f.config)
-	chain := StagePlan{Table: table, Route: &table.Routes[0], Graph: table.Routes[0].NewGraph([]int{1, 1}), Deadline: time.Now().Add(time.Minute)}
-	r := &stageRun{StageRunner: NewStageRunner(nil, nil, nil, discardLogger()), StagePlan: chain, progress: stagework.NewStageSchedule(chain.Graph.After, chain.Graph.Counts)}
-	r.progress.SetTypicalDurations(make([]time.Duration, 2))
+	plan := StagePlan{Table: table, Route: &table.Routes[0], Graph: table.Routes[0].NewGraph([]int{1, 1}), Deadline: time.Now().Add(time.Minute)}
+	r := &stageRun{StageRunner: NewStageRunner(nil, nil, nil, discardLogger()), StagePlan: plan, schedule: stagework.NewStageSchedule(plan.Graph.After, plan.Graph.Counts)}
+	r.schedule.SetTypicalDurations(make([]time.Duration, 2))
 	c.Assert(r.newRunStageRequest(0, nil).DeadlineMs > 50_000, qt.IsTrue)
 	c.Assert(r.newRunStageRequest(1, nil).DeadlineMs, qt.Equals, int64(1000))
 }
