--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -68,13 +68,13 @@
 		}
 		c.discard(idle)
 	}
-	if !c.reserveSlot(server) {
+	if !c.reserveConnection(server) {
 		return nil, c.notSentError(server, "too_many_connections", fmt.Errorf("limit of %d connections is reached", server.MaxConnections))
 	}
 	c.dials.Inc(1)
 	netConn, err := c.dialer.DialContext(ctx, "tcp", server.Address)
 	if err != nil {
-		c.releaseSlot(server.ID)
+		c.releaseConnection(server.ID)
 		return nil, c.notSentError(server, "dial_failed", err)
 	}
 	return newConn(netConn, server), nil
@@ -96,7 +96,7 @@
 	return newest
 }
 
-func (c *Client) reserveSlot(server Server) bool {
+func (c *Client) reserveConnection(server Server) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if server.MaxConnections > 0 && c.open[server.ID] >= server.MaxConnections {
@@ -106,7 +106,7 @@
 	return true
 }
 
-func (c *Client) releaseSlot(serverID string) {
+func (c *Client) releaseConnection(serverID string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.open[serverID]--; c.open[serverID] <= 0 {
@@ -123,7 +123,7 @@
 
 func (c *Client) discard(cn *conn) {
 	cn.netConn.Close()
-	c.releaseSlot(cn.serverID)
+	c.releaseConnection(cn.serverID)
 }
 
 // CloseIdle closes the idle connections that have expired and those to servers that are
