--- a/internal/view/state.go
+++ b/internal/view/state.go
@@ -31,7 +31,7 @@
 	return c.Configuration || len(c.Joined)+len(c.Drained)+len(c.Left) > 0
 }
 
-// State is a copy of the store's entries, from which views are built. Its version never
+// State is a copy of the store's entries, from which views are built. Its position never
 // decreases, and neither does the version of its configuration. It is not safe for
 // concurrent use.
 type State struct {
@@ -222,8 +222,8 @@
 }
 
 // ChangesAfter returns, for a peer, what changed after a version, or all entries of
-// configuration and servers when some removals since that version are not known any
-// more. The result has version 0 when nothing newer is known.
+// configuration and servers when some removals since that version have been dropped. The
+// result has version 0 when the state is not newer than that version.
 func (s *State) ChangesAfter(have store.Version) (c store.Changes) {
 	if s.position <= have {
 		return c
