--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -48,11 +48,11 @@
 // Cluster provides the addresses of the other instances, from membership and from the
 // registrations in the store, and chooses the owner of a key among all instances.
 type Cluster struct {
-	settings settings.Gateway
-	node     *peer.Node
-	client   *peer.Client
-	store    store.Store
-	logger   *slog.Logger
+	settings   settings.Gateway
+	node       *peer.Node
+	peerClient *peer.Client
+	store      store.Store
+	logger     *slog.Logger
 
 	mu         sync.Mutex
 	avoidUntil map[string]time.Time
@@ -71,8 +71,8 @@
 }
 
 // NewCluster returns a Cluster that reads the live instances from a membership node.
-func NewCluster(s settings.Gateway, node *peer.Node, client *peer.Client, st store.Store, logger *slog.Logger) *Cluster {
-	return &Cluster{settings: s, node: node, client: client, store: st, logger: logger, avoidUntil: map[string]time.Time{}, started: time.Now(), rereadInterval: registrationRereadInterval}
+func NewCluster(s settings.Gateway, node *peer.Node, peerClient *peer.Client, st store.Store, logger *slog.Logger) *Cluster {
+	return &Cluster{settings: s, node: node, peerClient: peerClient, store: st, logger: logger, avoidUntil: map[string]time.Time{}, started: time.Now(), rereadInterval: registrationRereadInterval}
 }
 
 // Pull implements view.Peers.
@@ -83,7 +83,7 @@
 	if address == "" {
 		return store.Changes{}, errNoPeerKnown
 	}
-	return c.client.PullView(ctx, address, have)
+	return c.peerClient.PullView(ctx, address, have)
 }
 
 // Announce implements view.Peers.
@@ -194,7 +194,7 @@
 }
 
 // Leave announces to the other instances that this one stops.
-func (c *Cluster) Leave(ctx context.Context) { c.node.Leave(ctx, c.client) }
+func (c *Cluster) Leave(ctx context.Context) { c.node.Leave(ctx, c.peerClient) }
 
 // Register writes this instance's peer address into the store, reads those of the
 // others, and renews the registration until the context ends.
--- a/internal/gateway/daemon.go
+++ b/internal/gateway/daemon.go
@@ -93,14 +93,14 @@
 			func(st Store, c *Cluster, m *metrics.Metrics) *view.Sync {
 				return view.NewSync(st, c, adapter.Protocol, logger, m.Scope)
 			},
-			func(client *upstream.Client, views *view.Sync) *ResultFreer {
-				return NewResultFreer(adapter.Protocol, client, serverByAddress(views), logger)
+			func(upstreamClient *upstream.Client, views *view.Sync) *ResultFreer {
+				return NewResultFreer(adapter.Protocol, upstreamClient, serverByAddress(views), logger)
 			},
-			func(client *upstream.Client, fleet *Fleet, freer *ResultFreer, m *metrics.Metrics) *StageScheduler {
-				return NewStageScheduler(adapter.Protocol, client, fleet, freer, logger, m.Scope)
+			func(upstreamClient *upstream.Client, fleet *Fleet, freer *ResultFreer, m *metrics.Metrics) *StageScheduler {
+				return NewStageScheduler(adapter.Protocol, upstreamClient, fleet, freer, logger, m.Scope)
 			},
-			func(views *view.Sync, fleet *Fleet, client *upstream.Client, stages *StageRunner, placer *Placer, drain *Drain, m *metrics.Metrics) *Gateway {
-				return New(adapter.Protocol, views, fleet, client, stages, placer, drain, logger, m.Scope)
+			func(views *view.Sync, fleet *Fleet, upstreamClient *upstream.Client, stages *StageRunner, placer *Placer, drain *Drain, m *metrics.Metrics) *Gateway {
+				return New(adapter.Protocol, views, fleet, upstreamClient, stages, placer, drain, logger, m.Scope)
 			},
 			func() *Drain { return NewDrain(s.Grace()) },
 			func() *readiness.Readiness { return &readiness.Readiness{Logger: logger, Ready: events.GatewayReady} },
--- a/internal/gateway/eventreader.go
+++ b/internal/gateway/eventreader.go
@@ -22,8 +22,8 @@
 	return &eventReader{bufio.NewReader(r)}
 }
 
-// event is one event with the blank line that ends it.
-type event struct {
+// streamEvent is one event of a stream with the blank line that ends it.
+type streamEvent struct {
 	data []byte
 	// id is the event's ID, empty when it has none.
 	id string
@@ -31,8 +31,8 @@
 
 // next returns the next complete event. At the end of the stream it returns the rest of
 // the stream with io.EOF. With any other error the returned event is incomplete.
-func (r *eventReader) next() (event, error) {
-	var e event
+func (r *eventReader) next() (streamEvent, error) {
+	var e streamEvent
 	for {
 		line, err := r.reader.ReadBytes('\n')
 		e.data = append(e.data, line...)
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -192,15 +192,15 @@
 	for _, server := range f.servers {
 		add("server/"+server.ID, server)
 	}
-	protocol, client := fakeProtocol{}, peer.NewClient()
-	cluster := NewCluster(s, node, client, storetest.New(), discardLogger())
+	protocol, peerClient := fakeProtocol{}, peer.NewClient()
+	cluster := NewCluster(s, node, peerClient, storetest.New(), discardLogger())
 	views := view.NewSync(fakeSource{entries}, cluster, protocol, discardLogger(), tally.NoopScope)
 	fleet := NewFleet(s, cluster)
 	upstreamClient := upstream.NewClient(tally.NoopScope)
 	freer := NewResultFreer(protocol, upstreamClient, serverByAddress(views), discardLogger())
 	f.scheduler = NewStageScheduler(protocol, upstreamClient, fleet, freer, discardLogger(), tally.NoopScope)
 	f.drain = NewDrain(s.Grace())
-	f.gateway = New(protocol, views, fleet, upstreamClient, NewStageRunner(cluster, client, f.scheduler, discardLogger()), NewPlacer(cluster, client, fleet, upstreamClient, protocol, discardLogger()), f.drain, discardLogger(), tally.NoopScope)
+	f.gateway = New(protocol, views, fleet, upstreamClient, NewStageRunner(cluster, peerClient, f.scheduler, discardLogger()), NewPlacer(cluster, peerClient, fleet, upstreamClient, protocol, discardLogger()), f.drain, discardLogger(), tally.NoopScope)
 	changed := make(chan struct{}, 10)
 	views.Observe(fleet.Update)
 	views.Observe(f.scheduler.Update)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -53,8 +53,8 @@
 }
 
 // New returns a gateway that serves requests by the current view of views.
-func New(protocol Protocol, views *view.Sync, fleet *Fleet, client *upstream.Client, stages *StageRunner, placer *Placer, drain *Drain, logger *slog.Logger, scope tally.Scope) *Gateway {
-	return &Gateway{protocol: protocol, views: views, fleet: fleet, upstream: client, stages: stages, placer: placer, drain: drain, logger: logger, metrics: newRequestMetrics(scope), runTimes: newMovingAverages(), fetchEstimates: newFetchEstimates(), bodyMemory: newBodyMemory()}
+func New(protocol Protocol, views *view.Sync, fleet *Fleet, upstreamClient *upstream.Client, stages *StageRunner, placer *Placer, drain *Drain, logger *slog.Logger, scope tally.Scope) *Gateway {
+	return &Gateway{protocol: protocol, views: views, fleet: fleet, upstream: upstreamClient, stages: stages, placer: placer, drain: drain, logger: logger, metrics: newRequestMetrics(scope), runTimes: newMovingAverages(), fetchEstimates: newFetchEstimates(), bodyMemory: newBodyMemory()}
 }
 
 // InFlight returns the number of requests in flight.
--- a/internal/gateway/placementsharing.go
+++ b/internal/gateway/placementsharing.go
@@ -49,7 +49,7 @@
 func (p *Placer) sendShare(address string, request *peerpb.SharePlacementsRequest) {
 	ctx, cancel := context.WithTimeout(context.Background(), shareTimeout)
 	defer cancel()
-	if err := p.client.SharePlacements(ctx, address, request); err != nil {
+	if err := p.peerClient.SharePlacements(ctx, address, request); err != nil {
 		events.PlacementShareFailed.Log(ctx, p.logger, slog.String("service", request.Service), slog.String("address", address), slog.Any("error", err))
 	}
 }
--- a/internal/gateway/placer.go
+++ b/internal/gateway/placer.go
@@ -34,9 +34,9 @@
 // prompts of a service for all instances, so that its choices take all placements into
 // account.
 type Placer struct {
-	cluster *Cluster
-	client  *peer.Client
-	fleet   *Fleet
+	cluster    *Cluster
+	peerClient *peer.Client
+	fleet      *Fleet
 	// upstream and protocol read the cached prompt parts of model servers.
 	upstream *upstream.Client
 	protocol Protocol
@@ -52,8 +52,8 @@
 }
 
 // NewPlacer returns a placer for the model servers of fleet.
-func NewPlacer(cluster *Cluster, client *peer.Client, fleet *Fleet, upstreamClient *upstream.Client, protocol Protocol, logger *slog.Logger) *Placer {
-	return &Placer{cluster: cluster, client: client, fleet: fleet, upstream: upstreamClient, protocol: protocol, logger: logger, restored: map[string]bool{}, pendingShares: map[string][]*peerpb.SharedPlacement{}}
+func NewPlacer(cluster *Cluster, peerClient *peer.Client, fleet *Fleet, upstreamClient *upstream.Client, protocol Protocol, logger *slog.Logger) *Placer {
+	return &Placer{cluster: cluster, peerClient: peerClient, fleet: fleet, upstream: upstreamClient, protocol: protocol, logger: logger, restored: map[string]bool{}, pendingShares: map[string][]*peerpb.SharedPlacement{}}
 }
 
 // Restore reads the cached prompt parts of the model servers of each service whose
@@ -119,7 +119,7 @@
 	request.Prompt = encodeParts(q.Prompt)
 	bounded, cancel := context.WithTimeout(ctx, placePromptTimeout)
 	defer cancel()
-	response, err := p.client.PlacePrompt(bounded, address, request)
+	response, err := p.peerClient.PlacePrompt(bounded, address, request)
 	if err == nil && response.Server != "" && p.fleet.InUse(response.Server) {
 		return engine.Placement{Server: response.Server, Expected: time.Duration(response.ExpectedUs) * time.Microsecond, FailureDomain: response.FailureDomain, CopyFrom: response.CopyFrom}, true
 	}
@@ -165,7 +165,7 @@
 		Failed: r.Failed, Refused: r.Refused,
 	}
 	go func() {
-		if err := p.client.ReportPlacement(context.Background(), address, request); err != nil {
+		if err := p.peerClient.ReportPlacement(context.Background(), address, request); err != nil {
 			p.cluster.Avoid(address)
 		}
 	}()
--- a/internal/gateway/resultfreer.go
+++ b/internal/gateway/resultfreer.go
@@ -37,8 +37,8 @@
 }
 
 // NewResultFreer returns a ResultFreer that looks up servers by address with serverAt.
-func NewResultFreer(protocol Protocol, client *upstream.Client, serverAt func(address string) (upstream.Server, bool), logger *slog.Logger) *ResultFreer {
-	return &ResultFreer{protocol: protocol, upstream: client, serverAt: serverAt, logger: logger, pending: map[string]*pendingFree{}}
+func NewResultFreer(protocol Protocol, upstreamClient *upstream.Client, serverAt func(address string) (upstream.Server, bool), logger *slog.Logger) *ResultFreer {
+	return &ResultFreer{protocol: protocol, upstream: upstreamClient, serverAt: serverAt, logger: logger, pending: map[string]*pendingFree{}}
 }
 
 // Free frees results after freeCallDelay. onFreed is called once for each producer with
--- a/internal/gateway/stagerequest.go
+++ b/internal/gateway/stagerequest.go
@@ -139,7 +139,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, peerAnswerTimeout)
 	defer cancel()
-	return r.client.RunStage(ctx, address, request)
+	return r.peerClient.RunStage(ctx, address, request)
 }
 
 func (r *stageRun) callAwaitStage(ctx context.Context, address string, request *peerpb.AwaitStageRequest) (*peerpb.RunStageResponse, error) {
@@ -148,5 +148,5 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, peerAnswerTimeout)
 	defer cancel()
-	return r.client.AwaitStage(ctx, address, request)
+	return r.peerClient.AwaitStage(ctx, address, request)
 }
--- a/internal/gateway/stagerunner.go
+++ b/internal/gateway/stagerunner.go
@@ -38,10 +38,10 @@
 // StageRunner runs the stages of requests. It sends each stage to the instance that
 // owns the stage's service.
 type StageRunner struct {
-	cluster   *Cluster
-	client    *peer.Client
-	scheduler *StageScheduler
-	logger    *slog.Logger
+	cluster    *Cluster
+	peerClient *peer.Client
+	scheduler  *StageScheduler
+	logger     *slog.Logger
 
 	stageTimes *movingAverages
 
@@ -61,9 +61,9 @@
 }
 
 // NewStageRunner returns a StageRunner that uses the local scheduler and, through
-// client, those of peers.
-func NewStageRunner(cluster *Cluster, client *peer.Client, local *StageScheduler, logger *slog.Logger) *StageRunner {
-	return &StageRunner{cluster: cluster, client: client, scheduler: local, logger: logger, stageTimes: newMovingAverages(), pendingFrees: map[string][]string{}, queueStates: map[string]queueState{}}
+// peerClient, those of peers.
+func NewStageRunner(cluster *Cluster, peerClient *peer.Client, local *StageScheduler, logger *slog.Logger) *StageRunner {
+	return &StageRunner{cluster: cluster, peerClient: peerClient, scheduler: local, logger: logger, stageTimes: newMovingAverages(), pendingFrees: map[string][]string{}, queueStates: map[string]queueState{}}
 }
 
 // TypicalTime returns the mean duration of a stage of a service, or the duration by the
@@ -135,7 +135,7 @@
 		s.scheduler.FreeResults(request)
 		return
 	}
-	if err := s.client.FreeResults(context.Background(), address, request); err != nil {
+	if err := s.peerClient.FreeResults(context.Background(), address, request); err != nil {
 		s.cluster.Avoid(address)
 		s.scheduler.FreeResults(request)
 	}
--- a/internal/gateway/stagescheduler.go
+++ b/internal/gateway/stagescheduler.go
@@ -49,9 +49,9 @@
 }
 
 // NewStageScheduler returns a scheduler without services.
-func NewStageScheduler(protocol Protocol, client *upstream.Client, fleet *Fleet, freer *ResultFreer, logger *slog.Logger, scope tally.Scope) *StageScheduler {
+func NewStageScheduler(protocol Protocol, upstreamClient *upstream.Client, fleet *Fleet, freer *ResultFreer, logger *slog.Logger, scope tally.Scope) *StageScheduler {
 	return &StageScheduler{
-		protocol: protocol, upstream: client, fleet: fleet, freer: freer, logger: logger,
+		protocol: protocol, upstream: upstreamClient, fleet: fleet, freer: freer, logger: logger,
 		calls: scope.Counter("stage_calls"), callsFailed: scope.Counter("stage_calls_refused"), callTime: scope.Timer("stage_call_time"),
 		queues: map[string]*serviceQueue{},
 	}
