--- a/internal/capacity/orders.go
+++ b/internal/capacity/orders.go
@@ -19,11 +19,11 @@
 func ordersSweeps() []sweep {
 	return []sweep{{
 		role: RoleOrders, per: "engine of a leader", sizes: []int{12, 56, targetAccelerators / targetDomains, 500, targetAccelerators},
-		target: targetAccelerators, prepare: prepareOrders,
+		target: targetAccelerators, setUp: setUpOrders,
 	}}
 }
 
-// byteCounter counts the bytes of connections in both directions.
+// byteCounter counts the bytes of connections in both directions, and the dials.
 type byteCounter struct{ sent, received, dials atomic.Int64 }
 
 type countedConn struct {
@@ -49,16 +49,16 @@
 	return countedConn{conn, b}, err
 }
 
-// leading is a Leader that always leads.
-type leading struct{}
+// permanentLeader is an orders.Leader that always holds the leadership.
+type permanentLeader struct{}
 
 // Leadership implements orders.Leader.
-func (leading) Leadership(now time.Time) order.Leadership {
+func (permanentLeader) Leadership(now time.Time) order.Leadership {
 	return order.Leadership{Held: true, FencingToken: 1, Since: now.Add(-time.Minute), Until: now.Add(time.Minute)}
 }
 
-// prepareOrders starts one stand-in engine that stands for all engines.
-func prepareOrders() (func(int) ([]figure, error), func(), error) {
+// setUpOrders starts one stand-in whose address is used for all engines.
+func setUpOrders() (func(int) ([]figure, error), func(), error) {
 	engine := standin.NewBackend(standin.BackendConfig{ID: "engine", Engine: standin.EngineConfig{Models: []string{"model-01"}, Role: "decode"}})
 	server := httptest.NewServer(engine.Handler())
 	counter := &byteCounter{}
@@ -66,47 +66,47 @@
 	measure := func(engines int) ([]figure, error) {
 		return measureOrders(engines, server.Listener.Addr().String(), client, counter)
 	}
-	end := func() {
+	tearDown := func() {
 		client.CloseIdleConnections()
 		server.Close()
 	}
-	return measure, end, nil
+	return measure, tearDown, nil
 }
 
-func wantedEngines(n int, address string) []order.Desired {
-	wanted := make([]order.Desired, n)
-	for i := range wanted {
-		wanted[i] = order.Desired{
+func desiredEngines(n int, address string) []order.Desired {
+	desired := make([]order.Desired, n)
+	for i := range desired {
+		desired[i] = order.Desired{
 			Server: fmt.Sprintf("engine-%04d", i), Address: address, Pool: "engines", Models: []string{"model-01"}, Role: "decode",
 		}
 	}
-	return wanted
+	return desired
 }
 
-// measureOrders runs the control loop over engines that are as wanted, for as
-// many periods as it takes to read each of them once. Figures are the mean of a
-// loop.
+// measureOrders runs the control loop over engines that are already in the desired
+// state, for as many periods as it takes to read each of them once. Figures are means
+// for one period.
 func measureOrders(engines int, address string, client *http.Client, counter *byteCounter) ([]figure, error) {
-	wanted := wantedEngines(engines, address)
+	desired := desiredEngines(engines, address)
 	loop := &orders.Loop{
-		Leader: leading{}, Engines: &backend.HTTPEngines{Client: client}, Now: time.Now, Logger: slog.New(slog.DiscardHandler),
-		Desired:  func() []order.Desired { return wanted },
+		Leader: permanentLeader{}, Engines: &backend.HTTPEngines{Client: client}, BootTime: time.Now, Logger: slog.New(slog.DiscardHandler),
+		Desired:  func() []order.Desired { return desired },
 		LoadRate: func() float64 { return 1 },
 	}
 	loop.Step(context.Background())
 	sent, received := counter.sent.Load(), counter.received.Load()
 	elapsed := stopwatch()
 	took, err := processorTime(func() error {
-		for range orders.SettledPeriods {
+		for range orders.ConvergedReadPeriods {
 			loop.Step(context.Background())
 		}
 		return nil
 	})
 	return []figure{
-		{"engine calls of a loop", "calls", float64(engines) / orders.SettledPeriods},
-		{"bytes sent by a loop", "B", float64(counter.sent.Load()-sent) / orders.SettledPeriods},
-		{"bytes received by a loop", "B", float64(counter.received.Load()-received) / orders.SettledPeriods},
-		{"processor time of a loop with the engines' side", "us", float64(took.Microseconds()) / orders.SettledPeriods},
-		{"duration of a loop on loopback", "ms", milliseconds(elapsed()) / orders.SettledPeriods},
+		{"engine calls of a loop", "calls", float64(engines) / orders.ConvergedReadPeriods},
+		{"bytes sent by a loop", "B", float64(counter.sent.Load()-sent) / orders.ConvergedReadPeriods},
+		{"bytes received by a loop", "B", float64(counter.received.Load()-received) / orders.ConvergedReadPeriods},
+		{"processor time of a loop with the engines' side", "us", float64(took.Microseconds()) / orders.ConvergedReadPeriods},
+		{"duration of a loop on loopback", "ms", milliseconds(elapsed()) / orders.ConvergedReadPeriods},
 	}, err
 }
--- a/internal/experiment/virtual_test.go
+++ b/internal/experiment/virtual_test.go
@@ -19,23 +19,23 @@
 	virtualSeeds = flag.Uint64("virtual-seeds", 1, "number of seeds of TestInVirtualTime")
 )
 
-// direct is a network of function calls, so that time can be virtual.
-type direct struct {
+// inProcessNetwork replaces connections by function calls, so that time can be virtual.
+type inProcessNetwork struct {
 	mu       sync.Mutex
 	handlers []http.Handler
 }
 
-func (d *direct) serve(handler http.Handler) (address string, stop func()) {
+func (d *inProcessNetwork) serve(handler http.Handler) (address string, stop func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.handlers = append(d.handlers, handler)
 	return strconv.Itoa(len(d.handlers) - 1), func() {}
 }
 
-func (d *direct) transport() http.RoundTripper { return d }
+func (d *inProcessNetwork) transport() http.RoundTripper { return d }
 
-// RoundTrip runs the handler of the address to its end.
-func (d *direct) RoundTrip(r *http.Request) (*http.Response, error) {
+// RoundTrip calls the handler of the address and returns its whole response.
+func (d *inProcessNetwork) RoundTrip(r *http.Request) (*http.Response, error) {
 	number, err := strconv.Atoi(r.URL.Host)
 	if err != nil {
 		return nil, err
@@ -59,16 +59,16 @@
 	return response, nil
 }
 
-// Guards against decisions that let requests miss their deadlines although the
-// load fits, apart from the noise of a machine. It logs the figures, so that a
-// change of a decision can be compared.
+// Guards against decisions under which requests miss their deadlines although the load
+// is within the capacity. Virtual time excludes the noise of the machine. The figures
+// are logged, so that a changed decision can be compared.
 func TestInVirtualTime(t *testing.T) {
-	usual := connections
-	defer func() { connections = usual }()
-	for _, policy := range []string{PolicyOwn, PolicyLeast} {
+	original := fleetNetwork
+	defer func() { fleetNetwork = original }()
+	for _, policy := range []string{PolicyColtsfootdrift, PolicyLeastRequests} {
 		for seed := range *virtualSeeds {
 			synctest.Test(t, func(t *testing.T) {
-				connections = &direct{}
+				fleetNetwork = &inProcessNetwork{}
 				figures, err := scenarios[*virtualName].trial(policy, seed+1)
 				qt.Assert(t, err, qt.IsNil)
 				t.Log(policy, seed+1, figures)
--- a/internal/gateway/stagerequest.go
+++ b/internal/gateway/stagerequest.go
@@ -68,7 +68,7 @@
 func (r *stageRun) newRunStageRequest(i int, inputs []string) *peerpb.RunStageRequest {
 	stage := r.Route.Stages[i]
 	r.mu.Lock()
-	tail, started := r.progress.Tail(i), r.progress.AnyEnded()
+	tail, started := r.schedule.Tail(i), r.schedule.AnyEnded()
 	r.mu.Unlock()
 	request := &peerpb.RunStageRequest{
 		Service: stage.Service, RequestId: r.RequestID, Stage: int32(i), Key: r.Key, Inputs: inputs,
@@ -139,7 +139,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, peerAnswerTimeout)
 	defer cancel()
-	return r.client.RunStage(ctx, address, request)
+	return r.peerClient.RunStage(ctx, address, request)
 }
 
 func (r *stageRun) callAwaitStage(ctx context.Context, address string, request *peerpb.AwaitStageRequest) (*peerpb.RunStageResponse, error) {
@@ -148,5 +148,5 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, peerAnswerTimeout)
 	defer cancel()
-	return r.client.AwaitStage(ctx, address, request)
+	return r.peerClient.AwaitStage(ctx, address, request)
 }
--- a/membership/network_test.go
+++ b/membership/network_test.go
@@ -106,8 +106,8 @@
 		switch {
 		case !running || net.partitioned != nil && net.partitioned(out.Message.From, to.self):
 		case net.paused[out.Address]:
-			const socketBuffer = 50
-			if len(net.queuedWhilePaused[out.Address]) < socketBuffer {
+			const socketBufferMessages = 50
+			if len(net.queuedWhilePaused[out.Address]) < socketBufferMessages {
 				net.queuedWhilePaused[out.Address] = append(net.queuedWhilePaused[out.Address], out.Message)
 			}
 		default:
@@ -151,8 +151,8 @@
 	net.deliver()
 }
 
-// roundsUntil plays rounds until all running instances satisfy a condition, at most
-// maxRounds, and returns how many it played.
+// roundsUntil simulates rounds until all running instances satisfy a condition, at
+// most maxRounds, and returns how many it simulated.
 func (net *testNetwork) roundsUntil(maxRounds int, condition func(*State) bool) int {
 	for n := range maxRounds {
 		if net.all(condition) {
