--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -243,8 +243,8 @@
 	return a.rates.Summary(a.now())
 }
 
-// SetPeers sets the demand that other instances and failure domains reported.
-func (a *AdmissionControl) SetPeers(summaries []quota.Summary) {
+// SetPeerDemand sets the demand that other instances and failure domains reported.
+func (a *AdmissionControl) SetPeerDemand(summaries []quota.Summary) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.rates.SetPeers(summaries)
--- a/internal/entry/gossip.go
+++ b/internal/entry/gossip.go
@@ -133,7 +133,7 @@
 	}
 	g.mu.Unlock()
 	for pool := range g.servers.snapshot() {
-		g.servers.PeerCounts(out.Instance, pool, merged)
+		g.servers.SetPeerCounts(out.Instance, pool, merged)
 	}
 }
 
@@ -163,7 +163,7 @@
 		}
 		return nil
 	})
-	g.admission.SetPeers(peers)
+	g.admission.SetPeerDemand(peers)
 }
 
 // membershipDemand converts demand for heartbeats. Demand below a thousandth of a
@@ -201,7 +201,7 @@
 		reporters = s.PeerStragglers()
 		return s.SetStragglers(own)
 	})
-	g.servers.PeerStragglers(reporters)
+	g.servers.SetPeerStragglers(reporters)
 }
 
 // reportInFlight publishes the requests in flight of this instance.
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -213,7 +213,7 @@
 			counts := sender.Counts()[poolName]
 			for to, receiver := range peers {
 				if to != from {
-					receiver.PeerCounts(fmt.Sprint(from), poolName, counts)
+					receiver.SetPeerCounts(fmt.Sprint(from), poolName, counts)
 				}
 			}
 		}
@@ -238,7 +238,7 @@
 				}
 			}
 		}
-		receiver.PeerStragglers(reports)
+		receiver.SetPeerStragglers(reports)
 	}
 }
 
