--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -28,7 +28,7 @@
 	bytes int64
 }
 
-// receive calls the server and reads its answer up to the end marker. It resumes
+// receive calls the server and reads its answer up to the end mark. It resumes
 // a broken stream at the same server.
 func (a *answer) receive(ctx context.Context, picked PickedServer) error {
 	for resumes := 0; ; resumes++ {
@@ -62,7 +62,7 @@
 	}
 	err = a.read(stream, picked)
 	c.countMismatched(err)
-	// The end marker was verified, so an error from Close cannot mean lost data.
+	// The end mark was verified, so an error from Close cannot mean lost data.
 	_ = stream.Close()
 	return err
 }
--- a/internal/entry/claimwait_test.go
+++ b/internal/entry/claimwait_test.go
@@ -10,7 +10,7 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/claims"
 )
 
-// waitingClaims implements Claims for a key whose owner never answers.
+// waitingClaims implements Claims for a key whose holder never answers.
 type waitingClaims struct{}
 
 func (waitingClaims) Claim(ctx context.Context, _ *Request) (Claim, *RecordedAnswer, *Problem) {
@@ -19,7 +19,7 @@
 }
 
 // Guards against a request with a repeated key that waits beyond its deadline for
-// the owner of the key, which is paused.
+// the holder of the key, which is paused.
 func TestClaimWaitsUntilDeadline(t *testing.T) {
 	c := qt.New(t)
 	h := newTestHandler(&fakeCaller{}, waitingClaims{})
--- a/internal/entry/daemon.go
+++ b/internal/entry/daemon.go
@@ -126,29 +126,29 @@
 // serveCallers listens for callers after all other parts have started. Since fx
 // runs stop hooks in reverse order, its stop hook runs the shutdown steps before
 // any other part stops.
-func serveCallers(lc fx.Lifecycle, s callerServerParams) {
-	server := &http.Server{Handler: s.Handler.Router(), ReadHeaderTimeout: headerTimeout}
+func serveCallers(lc fx.Lifecycle, p callerServerParams) {
+	server := &http.Server{Handler: p.Handler.Router(), ReadHeaderTimeout: headerTimeout}
 	var listening atomic.Bool
-	s.Readiness.Require("start", listening.Load)
-	s.Readiness.Require("configuration", func() bool { return s.Handler.Configuration.Current() != nil })
-	s.Steps.Add(StopStep{StopReadiness, "readiness", func(ctx context.Context) error {
-		s.Readiness.Withdraw()
-		s.Handler.Drain()
-		clock.Sleep(ctx, s.Entry.DrainGrace())
+	p.Readiness.Require("start", listening.Load)
+	p.Readiness.Require("configuration", func() bool { return p.Handler.Configuration.Current() != nil })
+	p.Steps.Add(StopStep{StopReadiness, "readiness", func(ctx context.Context) error {
+		p.Readiness.Withdraw()
+		p.Handler.Drain()
+		clock.Sleep(ctx, p.Entry.DrainGrace())
 		return nil
 	}})
-	s.Steps.Add(StopStep{StopCallers, "callers", server.Shutdown})
+	p.Steps.Add(StopStep{StopCallers, "callers", server.Shutdown})
 	lc.Append(fx.Hook{
 		OnStart: func(ctx context.Context) error {
-			if err := httpserve.Start(ctx, server, s.Entry.CallerAddress, s.Logger); err != nil {
+			if err := httpserve.Start(ctx, server, p.Entry.CallerAddress, p.Logger); err != nil {
 				return err
 			}
 			listening.Store(true)
-			events.EntryStarted.Log(ctx, s.Logger, slog.String("instance", s.Entry.Instance), slog.String("address", s.Entry.CallerAddress))
+			events.EntryStarted.Log(ctx, p.Logger, slog.String("instance", p.Entry.Instance), slog.String("address", p.Entry.CallerAddress))
 			return nil
 		},
 		OnStop: func(ctx context.Context) error {
-			s.Steps.run(ctx, s.Logger)
+			p.Steps.run(ctx, p.Logger)
 			return nil
 		},
 	})
--- a/internal/entry/eventwriter.go
+++ b/internal/entry/eventwriter.go
@@ -39,32 +39,32 @@
 	return &eventWriter{w: w, controller: http.NewResponseController(w), digest: sha256.New()}
 }
 
-func (s *eventWriter) writeChunk(data []byte) error {
-	s.digest.Write(data)
-	s.bytes += int64(len(data))
-	return s.writeEvent(EventData, string(data))
+func (e *eventWriter) writeChunk(data []byte) error {
+	e.digest.Write(data)
+	e.bytes += int64(len(data))
+	return e.writeEvent(EventData, string(data))
 }
 
 // finish writes the last event: the end of the answer, or the problem. A problem
 // before the first chunk is sent as a problem response instead of an event.
-func (s *eventWriter) finish(result Result) error {
+func (e *eventWriter) finish(result Result) error {
 	switch {
 	case result.Problem == nil:
-		end := StreamEnd{Outcome: OutcomeCompleted, Bytes: s.bytes, SHA256: hex.EncodeToString(s.digest.Sum(nil))}
-		return s.writeEvent(EventEnd, end)
-	case s.started:
-		return s.writeEvent(EventError, result.Problem)
+		end := StreamEnd{Outcome: OutcomeCompleted, Bytes: e.bytes, SHA256: hex.EncodeToString(e.digest.Sum(nil))}
+		return e.writeEvent(EventEnd, end)
+	case e.started:
+		return e.writeEvent(EventError, result.Problem)
 	default:
-		result.Problem.write(s.w)
+		result.Problem.write(e.w)
 		return nil
 	}
 }
 
 // writeEvent writes one event with data encoded as JSON, and flushes it.
-func (s *eventWriter) writeEvent(name string, data any) error {
-	if !s.started {
-		s.started = true
-		s.w.Header().Set("Content-Type", "text/event-stream")
+func (e *eventWriter) writeEvent(name string, data any) error {
+	if !e.started {
+		e.started = true
+		e.w.Header().Set("Content-Type", "text/event-stream")
 	}
 	encoded, err := json.Marshal(data)
 	if err != nil {
@@ -72,8 +72,8 @@
 	}
 	message := sse.Message{Type: sse.Type(name)}
 	message.AppendData(string(encoded))
-	if _, err := message.WriteTo(s.w); err != nil {
+	if _, err := message.WriteTo(e.w); err != nil {
 		return err
 	}
-	return s.controller.Flush()
+	return e.controller.Flush()
 }
--- a/internal/entry/fakes_test.go
+++ b/internal/entry/fakes_test.go
@@ -56,16 +56,16 @@
 
 func completeStream(data ...string) *fakeStream { return &fakeStream{data, io.EOF} }
 
-func (p *fakeStream) Next() ([]byte, error) {
-	if len(p.chunks) == 0 {
-		return nil, p.end
+func (s *fakeStream) Next() ([]byte, error) {
+	if len(s.chunks) == 0 {
+		return nil, s.end
 	}
-	chunk := p.chunks[0]
-	p.chunks = p.chunks[1:]
+	chunk := s.chunks[0]
+	s.chunks = s.chunks[1:]
 	return []byte(chunk), nil
 }
 
-func (p *fakeStream) Close() error { return nil }
+func (s *fakeStream) Close() error { return nil }
 
 // fakePicker offers the servers s1 to s3, in this order, in every pool.
 type fakePicker struct{}
--- a/internal/entry/gossip_test.go
+++ b/internal/entry/gossip_test.go
@@ -50,16 +50,16 @@
 
 // simulatedFleet simulates the instances of one failure domain without sockets.
 type simulatedFleet struct {
-	now    time.Time
-	shares []*quota.RateLimiter
-	states []*membership.State
+	now      time.Time
+	limiters []*quota.RateLimiter
+	states   []*membership.State
 }
 
 func newSimulatedFleet(n int) *simulatedFleet {
 	f := &simulatedFleet{now: time.Unix(1000, 0)}
 	for i := range n {
 		id := string(rune('a' + i))
-		f.shares = append(f.shares, quota.NewRateLimiter())
+		f.limiters = append(f.limiters, quota.NewRateLimiter())
 		f.states = append(f.states, membership.New(membership.Identity{ID: id, FailureDomain: "d", Address: id, Incarnation: 1}, rand.New(rand.NewPCG(uint64(i), 1)), f.now))
 		f.states[i].SetCandidates([]membership.Candidate{{FailureDomain: "d", Address: "a"}})
 	}
@@ -69,24 +69,24 @@
 // simulateSecond offers requests that are spread evenly over one second, exchanges
 // heartbeats and returns the number of admitted requests.
 func (f *simulatedFleet) simulateSecond(offered []int, rate float64, burst int) (granted int) {
-	for i, share := range f.shares {
+	for i, limiter := range f.limiters {
 		for k := range offered[i] {
 			at := f.now.Add(time.Duration(k) * time.Second / time.Duration(offered[i]))
-			share.Observe("acme", 1, at)
-			if ok, _ := share.Allow("acme", rate, burst, 1, at); ok {
+			limiter.Observe("acme", 1, at)
+			if ok, _ := limiter.Allow("acme", rate, burst, 1, at); ok {
 				granted++
 			}
 		}
 	}
 	f.now = f.now.Add(time.Second)
 	for i, state := range f.states {
-		state.SetDemand(membershipDemand(f.shares[i].Summary(f.now)))
+		state.SetDemand(membershipDemand(f.limiters[i].Summary(f.now)))
 		f.deliver(state.Tick(f.now))
 		var peers []quota.Summary
 		for _, report := range state.PeerDemand(f.now) {
 			peers = append(peers, quotaSummary(report))
 		}
-		f.shares[i].SetPeers(peers)
+		f.limiters[i].SetPeers(peers)
 	}
 	return granted
 }
@@ -119,7 +119,7 @@
 	request := &Request{Organisation: pipeline.Organisation{Name: "acme", RequestsPerSecond: 0.001, Burst: 2}}
 	waitForStatus(c, second, func(controlStatus) bool {
 		busy.checkRate(request, time.Now())
-		servers.unreachable("p", "e1")
+		servers.recordUnreachable("p", "e1")
 		shares := other.status().Organisations
 		return len(shares) == 1 && shares[0].Share < 1 && slices.ContainsFunc(others.findPool("p").status(), func(s serverStatus) bool {
 			return s.ID == "e1" && s.Reported
@@ -127,7 +127,8 @@
 	})
 }
 
-func (s *Servers) unreachable(pool, id string) {
+// recordUnreachable records a call that did not reach the server.
+func (s *Servers) recordUnreachable(pool, id string) {
 	p := s.findPool(pool)
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/entry/jobs.go
+++ b/internal/entry/jobs.go
@@ -204,18 +204,18 @@
 }
 
 // Run implements jobs.Runner.
-func (j JobRunner) Run(ctx context.Context, durable jobs.Job, progress jobs.Progress) jobs.Result {
+func (j JobRunner) Run(ctx context.Context, durableJob jobs.Job, progress jobs.Progress) jobs.Result {
 	set := j.Configuration.Current()
 	if set == nil {
 		return jobs.Result{Outcome: job.OutcomeNotRun, Detail: "this instance holds no configuration yet"}
 	}
 	request, problem := resolveRequest(map[string]string{
-		"organisation": durable.Organisation, "pipeline": durable.Pipeline, "kind": durable.Kind,
+		"organisation": durableJob.Organisation, "pipeline": durableJob.Pipeline, "kind": durableJob.Kind,
 	}, set)
 	if problem != nil {
 		return jobs.Result{Outcome: string(problem.Outcome), Detail: problem.Error()}
 	}
-	request.Body = durable.Body
+	request.Body = durableJob.Body
 	request.Deadline = j.Now().Add(request.Kind.MaxWait())
 	result := j.runWithAdmission(ctx, request, progress)
 	if result.Problem != nil {
--- a/internal/entry/jobs_test.go
+++ b/internal/entry/jobs_test.go
@@ -108,7 +108,7 @@
 }
 
 // Guards against a durable request that waits for the acceptance of its job beyond
-// its deadline, for example while its key is owned by a paused instance.
+// its deadline, for example while its key is held by a paused instance.
 func TestJobAcceptanceIsBoundedByDeadline(t *testing.T) {
 	c := qt.New(t)
 	h := newTestHandler(&fakeCaller{}, nil)
--- a/internal/entry/link.go
+++ b/internal/entry/link.go
@@ -11,8 +11,8 @@
 // linkBudget limits the use of the link between regions to this instance's share
 // of its capacity.
 type linkBudget struct {
-	mu   sync.Mutex
-	link *quota.LinkBudget
+	mu     sync.Mutex
+	budget *quota.LinkBudget
 	// instances is the number of instances that share the link, minInstances its
 	// lower bound.
 	minInstances int
@@ -20,7 +20,7 @@
 }
 
 func newLinkBudget(minInstances int) *linkBudget {
-	return &linkBudget{link: quota.NewLinkBudget(0), minInstances: minInstances, instances: minInstances}
+	return &linkBudget{budget: quota.NewLinkBudget(0), minInstances: minInstances, instances: minInstances}
 }
 
 // update sets the capacity of the link and the number of instances that the
@@ -30,7 +30,7 @@
 	defer l.mu.Unlock()
 	l.instances = max(l.minInstances, instances)
 	if set != nil {
-		l.link.SetCapacity(quota.BytesPerSecond(set.Deployment.LinkMbits))
+		l.budget.SetCapacity(quota.BytesPerSecond(set.Deployment.LinkMbits))
 	}
 }
 
@@ -48,7 +48,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.link.CanReserve(bytes, l.share(), now)
+	return l.budget.CanReserve(bytes, l.share(), now)
 }
 
 // reserve takes bytes from the budget before a call, and returns false when the
@@ -56,7 +56,7 @@
 func (l *linkBudget) reserve(bytes int64, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	ok, _ := l.link.Reserve(bytes, l.share(), now)
+	ok, _ := l.budget.Reserve(bytes, l.share(), now)
 	return ok
 }
 
@@ -65,15 +65,15 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	use := quota.LinkUse{Kind: query.Kind, Stage: query.Stage, Organisation: query.Organisation}
-	l.link.Settle(use, query.LinkBytes, bytes)
+	l.budget.Settle(use, query.LinkBytes, bytes)
 }
 
 // LinkUsage returns the bytes that crossed the link by kind, stage and organisation.
 func (s *Servers) LinkUsage() map[quota.LinkUse]int64 {
 	s.link.mu.Lock()
 	defer s.link.mu.Unlock()
-	usage := make(map[quota.LinkUse]int64, len(s.link.link.Used()))
-	for use, bytes := range s.link.link.Used() {
+	usage := make(map[quota.LinkUse]int64, len(s.link.budget.Used()))
+	for use, bytes := range s.link.budget.Used() {
 		usage[use] = bytes
 	}
 	return usage
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -115,8 +115,8 @@
 	m.Do(func(s *membership.State) []membership.Output { return s.SetRevision(revision, fromStore) })
 }
 
-// MarkDraining publishes a drain marker for a backend server that refused a call
-// because it is leaving.
+// MarkDraining publishes a drain marker for a backend server that is draining: it
+// refused a call, or the instance list shows it as leaving.
 func (m *Members) MarkDraining(server string, incarnation int64, lifetime time.Duration) {
 	m.Do(func(s *membership.State) []membership.Output {
 		return s.MarkDraining(time.Now(), server, incarnation, lifetime)
--- a/internal/entry/orders.go
+++ b/internal/entry/orders.go
@@ -21,8 +21,8 @@
 // engineTimeout limits a call to the control interface of a model engine.
 const engineTimeout = time.Second
 
-// orderService holds the dependencies of runOrders.
-type orderService struct {
+// ordersParams are the dependencies of runOrders.
+type ordersParams struct {
 	fx.In
 	Entry         settings.Entry
 	Access        *StoreAccess
@@ -44,26 +44,26 @@
 
 // runOrders takes part in the leader election of the failure domain, and sends
 // orders to model engines while this instance is the leader.
-func runOrders(lc fx.Lifecycle, s orderService) {
-	if s.Access.Store == nil {
+func runOrders(lc fx.Lifecycle, p ordersParams) {
+	if p.Access.Store == nil {
 		return
 	}
-	election := orders.NewElection(s.Access.Store, s.Entry.FailureDomain, s.Entry.Instance, s.candidate, clock.Boot{}.Now, s.Logger)
+	election := orders.NewElection(p.Access.Store, p.Entry.FailureDomain, p.Entry.Instance, p.candidate, clock.Boot{}.Now, p.Logger)
 	loop := &orders.Loop{
 		Leader:   election,
 		Engines:  &backend.HTTPEngines{Client: &http.Client{Timeout: engineTimeout}},
-		Desired:  s.wanted,
-		LoadRate: s.loadRate,
+		Desired:  p.desiredStates,
+		LoadRate: p.loadRate,
 		Now:      clock.Boot{}.Now,
-		Logger:   s.Logger,
+		Logger:   p.Logger,
 	}
-	s.Status.Add("orders", func() any {
+	p.Status.Add("orders", func() any {
 		leadership := election.Leadership(clock.Boot{}.Now())
 		return ordersStatus{leadership.Held, leadership.FencingToken}
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	s.Steps.Add(StopStep{StopLeases, "leadership", func(ctx context.Context) error {
+	p.Steps.Add(StopStep{StopLeases, "leadership", func(ctx context.Context) error {
 		cancel()
 		running.Wait()
 		election.Resign(ctx)
@@ -85,36 +85,36 @@
 
 // candidate reports whether this instance should become the leader when there is
 // none. Rendezvous hashing selects one of the live members.
-func (s orderService) candidate() bool {
-	return rendezvous.Choose("leader", s.Members.Live()) == s.Entry.Instance
+func (p ordersParams) candidate() bool {
+	return rendezvous.Choose("leader", p.Members.Live()) == p.Entry.Instance
 }
 
-// wanted returns the desired states of the model engines in the failure domain.
-func (s orderService) wanted() []order.Desired {
-	set := s.Configuration.Current()
+// desiredStates returns the desired states of the model engines in the failure domain.
+func (p ordersParams) desiredStates() []order.Desired {
+	set := p.Configuration.Current()
 	if set == nil {
 		return nil
 	}
-	var wanted []order.Desired
-	for _, server := range s.Servers.InFailureDomain(s.Entry.FailureDomain) {
+	var desired []order.Desired
+	for _, server := range p.Servers.InFailureDomain(p.Entry.FailureDomain) {
 		pool, ok := set.Pool(server.Pool)
 		// Engines of a pool without configured models keep the models they have.
 		if !ok || pool.Type != pipeline.StageGenerate || len(pool.Models) == 0 {
 			continue
 		}
-		wanted = append(wanted, order.Desired{
+		desired = append(desired, order.Desired{
 			Server: server.ID, Address: server.Address, Pool: pool.Name, Models: pool.Models, FencesOrders: pool.FencesOrders,
 		})
 	}
-	return wanted
+	return desired
 }
 
 // loadRate returns this failure domain's part of the rate of the weight store, in
 // loads per minute. Each failure domain has an equal part, and those without a
 // leader leave theirs unused. This keeps the sum within the rate without any
 // coordination.
-func (s orderService) loadRate() float64 {
-	set := s.Configuration.Current()
+func (p ordersParams) loadRate() float64 {
+	set := p.Configuration.Current()
 	if set == nil {
 		return 0
 	}
--- a/internal/entry/state.go
+++ b/internal/entry/state.go
@@ -108,14 +108,14 @@
 	Logger        *slog.Logger
 }
 
-func newJobs(s jobsParams) *jobs.Jobs {
-	if s.Access.Store == nil {
+func newJobs(p jobsParams) *jobs.Jobs {
+	if p.Access.Store == nil {
 		return nil
 	}
 	return jobs.New(jobs.Config{
-		Instance: s.Entry.Instance, Store: s.Access.Store, Members: jobPeers{s.Members, s.Client},
-		Runner:   JobRunner{Configuration: s.Configuration, Executor: s.Executor, Admission: s.Admission, Now: time.Now},
-		BootTime: clock.Boot{}.Now, WallTime: time.Now, Scope: s.Metrics.Scope, Log: s.Logger,
+		Instance: p.Entry.Instance, Store: p.Access.Store, Members: jobPeers{p.Members, p.Client},
+		Runner:   JobRunner{Configuration: p.Configuration, Executor: p.Executor, Admission: p.Admission, Now: time.Now},
+		BootTime: clock.Boot{}.Now, WallTime: time.Now, Scope: p.Metrics.Scope, Log: p.Logger,
 	})
 }
 
@@ -125,8 +125,8 @@
 	if c == nil || j == nil {
 		return nil, nil
 	}
-	granted := StoreClaims{c}
-	return granted, StoreJobs{Jobs: j, Claims: granted}
+	storeClaims := StoreClaims{c}
+	return storeClaims, StoreJobs{Jobs: j, Claims: storeClaims}
 }
 
 // jobPeers implements jobs.Members. It offers the jobs of an instance that stops to
@@ -162,18 +162,18 @@
 }
 
 // runState serves claims and jobs to the other instances and runs jobs.
-func runState(lc fx.Lifecycle, s stateParams) {
-	if s.Claims == nil || s.Jobs == nil {
+func runState(lc fx.Lifecycle, p stateParams) {
+	if p.Claims == nil || p.Jobs == nil {
 		return
 	}
-	s.Server.HandleClaims(s.Claims)
-	s.Server.HandleJobs(s.Jobs)
-	s.Steps.Add(StopStep{StopJobs, "jobs", func(ctx context.Context) error {
-		s.Jobs.Close(ctx)
+	p.Server.HandleClaims(p.Claims)
+	p.Server.HandleJobs(p.Jobs)
+	p.Steps.Add(StopStep{StopJobs, "jobs", func(ctx context.Context) error {
+		p.Jobs.Close(ctx)
 		return nil
 	}})
-	s.Steps.Add(StopStep{StopClaims, "claims", func(ctx context.Context) error {
-		if left := s.Claims.WaitRecorded(ctx); left > 0 {
+	p.Steps.Add(StopStep{StopClaims, "claims", func(ctx context.Context) error {
+		if left := p.Claims.WaitRecorded(ctx); left > 0 {
 			return fmt.Errorf("the outcomes of %d claims are not recorded", left)
 		}
 		return nil
@@ -182,7 +182,7 @@
 	var running sync.WaitGroup
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
-			running.Go(func() { s.Jobs.Serve(ctx) })
+			running.Go(func() { p.Jobs.Serve(ctx) })
 			return nil
 		},
 		OnStop: func(context.Context) error {
--- a/internal/entry/statussections.go
+++ b/internal/entry/statussections.go
@@ -130,8 +130,8 @@
 	s.link.mu.Lock()
 	defer s.link.mu.Unlock()
 	fraction := s.link.share()
-	status := linkStatus{Share: fraction, BytesPerSecond: s.link.link.Capacity() * fraction}
-	for _, bytes := range s.link.link.Used() {
+	status := linkStatus{Share: fraction, BytesPerSecond: s.link.budget.Capacity() * fraction}
+	for _, bytes := range s.link.budget.Used() {
 		status.UsedBytes += bytes
 	}
 	return status
