--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -51,9 +51,9 @@
 	Timeout time.Duration
 }
 
-// StageStream is the answer of a stage, read in pieces.
+// StageStream is the answer of a stage, read in chunks.
 type StageStream interface {
-	// Next returns the next piece of the answer. It returns io.EOF only after the
+	// Next returns the next chunk of the answer. It returns io.EOF only after the
 	// server marked the end of the whole answer.
 	Next() ([]byte, error)
 	// Close ends the call, and cancels it when the answer is not complete.
--- a/internal/backend/orders.go
+++ b/internal/backend/orders.go
@@ -25,7 +25,7 @@
 
 // Engines sends orders to model engines and reads their state.
 type Engines interface {
-	// State returns what the engine at an address has loaded.
+	// State returns the state of the engine at an address.
 	State(ctx context.Context, server, address string) (order.Observed, error)
 	// Send sends one order. An engine carries out each order ID at most once.
 	Send(ctx context.Context, o order.Order) error
