--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -40,7 +40,7 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(figures[2].name, qt.Equals, "bytes sent by the busiest instance")
 	c.Assert(figures[2].value > 0 && figures[2].value <= 4096, qt.IsTrue, qt.Commentf("%v", figures[2]))
-	figures, err = measureClaimRate(claimRate)
+	figures, err = measureClaimRate(peakClaimsPerSecond)
 	c.Assert(err, qt.IsNil)
 	c.Assert(figures[0].value <= 160, qt.IsTrue, qt.Commentf("%v", figures[0]))
 	figures, err = measureReplacement(6)
--- a/internal/capacity/claims.go
+++ b/internal/capacity/claims.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// claimRate is the number of claims per second at the peak expected in two
-	// years, when every request is at-most-once.
-	claimRate = 2500
+	// peakClaimsPerSecond is the rate at the peak expected in two years, when every
+	// request is at-most-once.
+	peakClaimsPerSecond = 2500
 	// simulatedSeconds is how long claims arrive at a rate, finishDelayIntervals
 	// the time from a claim to its finish in write intervals.
 	simulatedSeconds     = 10
@@ -35,15 +35,15 @@
 func claimsSweeps() []sweep {
 	return []sweep{
 		{
-			role: RoleClaims, per: "claim/s", sizes: []int{50, 160, 500, 1000, claimRate}, target: claimRate,
+			role: RoleClaims, per: "claim/s", sizes: []int{50, 160, 500, 1000, peakClaimsPerSecond}, target: peakClaimsPerSecond,
 			setUp: withoutState(measureClaimRate),
 		},
 		{
 			role: RoleClaims, per: "retained claim of a shard", sizes: []int{5_000, 20_000, 60_000, 140_000},
-			target: claimRate * 3600 / claim.Shards, setUp: withoutState(measureTakeover),
+			target: peakClaimsPerSecond * 3600 / claim.Shards, setUp: withoutState(measureTakeover),
 		},
 		{
-			role: RoleClaims, per: "claim through the adapter", sizes: []int{200, 1000, 3000}, target: claimRate,
+			role: RoleClaims, per: "claim through the adapter", sizes: []int{200, 1000, 3000}, target: peakClaimsPerSecond,
 			setUp: withoutState(measureAdapter),
 		},
 	}
--- a/internal/capacity/control.go
+++ b/internal/capacity/control.go
@@ -126,24 +126,24 @@
 func (f *idleFleet) serve(handler http.Handler, counter *byteCounter) string {
 	server := httptest.NewUnstartedServer(handler)
 	if counter != nil {
-		server.Listener = countedListener{server.Listener, counter}
+		server.Listener = byteCountingListener{server.Listener, counter}
 	}
 	server.Start()
 	f.servers = append(f.servers, server)
 	return server.Listener.Addr().String()
 }
 
-type countedListener struct {
+type byteCountingListener struct {
 	net.Listener
 	counter *byteCounter
 }
 
-func (l countedListener) Accept() (net.Conn, error) {
+func (l byteCountingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return countedConn{conn, l.counter}, nil
+	return byteCountingConn{conn, l.counter}, nil
 }
 
 func (f *idleFleet) startEntries(n int) error {
--- a/internal/capacity/membership.go
+++ b/internal/capacity/membership.go
@@ -78,15 +78,15 @@
 		return nil, err
 	}
 	all, largest := g.takeTraffic()
-	revision, err := g.publish()
-	seconds := float64(measuredRounds * instances)
+	revisionRounds, err := g.publish()
+	instanceSeconds := float64(measuredRounds * instances)
 	return []figure{
-		{"messages sent by an instance", "1/s", float64(all.messages) / seconds},
-		{"bytes sent by an instance", "B/s", float64(all.bytes) / seconds},
+		{"messages sent by an instance", "1/s", float64(all.messages) / instanceSeconds},
+		{"bytes sent by an instance", "B/s", float64(all.bytes) / instanceSeconds},
 		{"bytes sent by the busiest instance", "B/s", float64(largest) / measuredRounds},
-		{"processor time of an instance", "us/s", float64(took.Microseconds()) / seconds},
+		{"processor time of an instance", "us/s", float64(took.Microseconds()) / instanceSeconds},
 		{"state of an instance", "B", g.stateBytes / float64(instances)},
-		{"time until a new revision is known everywhere", "s", float64(revision)},
+		{"time until a new revision is known everywhere", "s", float64(revisionRounds)},
 	}, err
 }
 
--- a/internal/capacity/metrics.go
+++ b/internal/capacity/metrics.go
@@ -37,10 +37,10 @@
 type singleServer struct{ server backend.Server }
 
 // Pick implements entry.Picker.
-func (o singleServer) Pick(entry.Query) (entry.PickedServer, bool) { return o, true }
+func (s singleServer) Pick(entry.Query) (entry.PickedServer, bool) { return s, true }
 
 // Server implements entry.PickedServer.
-func (o singleServer) Server() backend.Server { return o.server }
+func (s singleServer) Server() backend.Server { return s.server }
 
 // FirstByte implements entry.PickedServer.
 func (singleServer) FirstByte() {}
@@ -57,11 +57,11 @@
 type singleChunkStream struct{ read bool }
 
 // Next implements backend.StageStream.
-func (a *singleChunkStream) Next() ([]byte, error) {
-	if a.read {
+func (s *singleChunkStream) Next() ([]byte, error) {
+	if s.read {
 		return nil, io.EOF
 	}
-	a.read = true
+	s.read = true
 	return []byte(`{"ok":true}`), nil
 }
 
@@ -97,19 +97,19 @@
 	if err != nil {
 		return nil, err
 	}
-	var scrape *httptest.ResponseRecorder
+	var recorder *httptest.ResponseRecorder
 	if err := m.Close(); err != nil {
 		return nil, err
 	}
 	took, err := processorTime(func() error {
-		scrape = httptest.NewRecorder()
-		m.Handler.ServeHTTP(scrape, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+		recorder = httptest.NewRecorder()
+		m.Handler.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 		return nil
 	})
-	series := bytes.Count(scrape.Body.Bytes(), []byte("\ncoltsfootdrift_"))
+	series := bytes.Count(recorder.Body.Bytes(), []byte("\ncoltsfootdrift_"))
 	return []figure{
 		{"series", "series", float64(series)},
-		{"bytes of a scrape", "B", float64(scrape.Body.Len())},
+		{"bytes of a scrape", "B", float64(recorder.Body.Len())},
 		{"processor time of a scrape", "us", float64(took.Microseconds())},
 		{"memory of metrics", "B", stateBytes},
 		{"log lines per request", "lines", float64(logs.lines) / float64(requests)},
--- a/internal/capacity/orders.go
+++ b/internal/capacity/orders.go
@@ -26,18 +26,18 @@
 // byteCounter counts the bytes of connections in both directions, and the dials.
 type byteCounter struct{ sent, received, dials atomic.Int64 }
 
-type countedConn struct {
+type byteCountingConn struct {
 	net.Conn
 	counter *byteCounter
 }
 
-func (c countedConn) Read(p []byte) (int, error) {
+func (c byteCountingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.counter.received.Add(int64(n))
 	return n, err
 }
 
-func (c countedConn) Write(p []byte) (int, error) {
+func (c byteCountingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.counter.sent.Add(int64(n))
 	return n, err
@@ -46,7 +46,7 @@
 func (b *byteCounter) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
 	b.dials.Add(1)
-	return countedConn{conn, b}, err
+	return byteCountingConn{conn, b}, err
 }
 
 // permanentLeader is an orders.Leader that always holds the leadership.
--- a/internal/capacity/resources.go
+++ b/internal/capacity/resources.go
@@ -15,18 +15,18 @@
 // processorTime returns the user and system time that a function used in this
 // process, which on a shared machine is less noisy than wall time.
 func processorTime(run func() error) (time.Duration, error) {
-	before, err := processUsage()
+	before, err := usedProcessorTime()
 	if err != nil {
 		return 0, err
 	}
 	if err := run(); err != nil {
 		return 0, err
 	}
-	after, err := processUsage()
+	after, err := usedProcessorTime()
 	return after - before, err
 }
 
-func processUsage() (time.Duration, error) {
+func usedProcessorTime() (time.Duration, error) {
 	var usage syscall.Rusage
 	err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()), err
