--- a/internal/experiment/baselines.go
+++ b/internal/experiment/baselines.go
@@ -18,9 +18,10 @@
 	PolicyLeastRequests  = "least requests"
 	PolicyTwoChoices     = "two choices, reported load"
 	PolicyLatencyAverage = "latency average"
-	// latencyWeight is the weight of a new measurement in the mean latency.
+	// latencyWeight is the weight of a new measurement in the moving average of the
+	// latency.
 	latencyWeight = 0.2
-	// unmeasuredLatency is the mean latency of a server without a measurement.
+	// unmeasuredLatency is the moving average of a server without a measurement.
 	unmeasuredLatency = 0
 )
 
@@ -38,7 +39,8 @@
 	next         int
 	inFlight     []int
 	reportedLoad []int
-	meanLatency  []float64
+	// meanLatency holds the moving average of the latency of each server in seconds.
+	meanLatency []float64
 }
 
 func newBaseline(policy string, servers []backend.Server, seed uint64) *baseline {
@@ -64,7 +66,7 @@
 	}
 	chosen := b.choose(candidates)
 	b.inFlight[chosen]++
-	return &baselinePicked{b, chosen, time.Now()}, true
+	return &baselinePickedServer{b, chosen, time.Now()}, true
 }
 
 func (b *baseline) choose(candidates []int) int {
@@ -102,22 +104,22 @@
 	b.reportedLoad[i] = report.Running + report.Waiting
 }
 
-// baselinePicked is a call in flight.
-type baselinePicked struct {
+// baselinePickedServer is a call in flight.
+type baselinePickedServer struct {
 	*baseline
 	index   int
 	started time.Time
 }
 
 // Server returns the chosen server.
-func (p *baselinePicked) Server() backend.Server { return p.servers[p.index] }
+func (p *baselinePickedServer) Server() backend.Server { return p.servers[p.index] }
 
 // FirstByte does nothing.
-func (p *baselinePicked) FirstByte() {}
+func (p *baselinePickedServer) FirstByte() {}
 
-// Done ends the call and updates the mean latency of its server. A server without a
+// Done ends the call and updates the moving average of its server. A server without a
 // measurement counts as the fastest.
-func (p *baselinePicked) Done(error, int64) {
+func (p *baselinePickedServer) Done(error, int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.inFlight[p.index]--
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -27,13 +27,13 @@
 
 // layout describes the servers, instances and request kinds of an experiment.
 type layout struct {
-	regions     int
-	servers     int // per region
-	instances   int // per region
-	slots       int
-	serviceTime time.Duration
-	stage       pipeline.StageType
-	kinds       []kind
+	regions            int
+	serversPerRegion   int
+	instancesPerRegion int
+	slots              int
+	serviceTime        time.Duration
+	stage              pipeline.StageType
+	kinds              []kind
 }
 
 const (
@@ -70,7 +70,7 @@
 		httpTransport.MaxIdleConnsPerHost = callerConnections
 	}
 	for region := range l.regions {
-		for i := range l.servers {
+		for i := range l.serversPerRegion {
 			f.startServer(region, i)
 		}
 	}
@@ -78,7 +78,7 @@
 	f.close = append(f.close, cancel)
 	var peers []*entry.Servers
 	for region := range l.regions {
-		for i := range l.instances {
+		for i := range l.instancesPerRegion {
 			id := fmt.Sprintf("i%d-%d", region, i)
 			if policy == PolicyColtsfootdrift {
 				peers = append(peers, f.startInstance(ctx, region, id))
@@ -149,7 +149,7 @@
 		})
 	}
 	for region := range f.regions {
-		for i := range f.instances {
+		for i := range f.instancesPerRegion {
 			members = append(members, platform.Member{
 				ID: fmt.Sprintf("i%d-%d", region, i), Role: platform.RoleEntry,
 				Region: regionName(region), FailureDomain: regionName(region), State: platform.StateLive,
@@ -178,7 +178,7 @@
 func (f *fleet) startInstance(ctx context.Context, region int, id string) *entry.Servers {
 	logger := slog.New(slog.NewTextHandler(io.Discard, nil))
 	location := routing.Location{Region: regionName(region), FailureDomain: regionName(region)}
-	servers := entry.NewServers(id, location, f.instances, logger, time.Now)
+	servers := entry.NewServers(id, location, f.instancesPerRegion, logger, time.Now)
 	servers.Update(f.members(), f.set())
 	control := entry.NewAdmissionControl(servers, entry.NewAdmissionMetrics(tally.NoopScope), logger, time.Now)
 	executor := entry.NewExecutor(f.caller(region), servers, time.Now)
--- a/internal/experiment/link.go
+++ b/internal/experiment/link.go
@@ -70,7 +70,7 @@
 
 // Next returns the next chunk and counts its bytes.
 func (s *linkStream) Next() ([]byte, error) {
-	piece, err := s.StageStream.Next()
-	s.counter.add(int64(len(piece)))
-	return piece, err
+	chunk, err := s.StageStream.Next()
+	s.counter.add(int64(len(chunk)))
+	return chunk, err
 }
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -13,10 +13,10 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/entry"
 )
 
-// Range and precision of latency histograms, in microseconds.
+// Range and precision (significant decimal digits) of latency histograms.
 const (
-	histogramMax    = int64(time.Minute / time.Microsecond)
-	histogramDigits = 3
+	histogramMaxMicroseconds = int64(time.Minute / time.Microsecond)
+	histogramDigits          = 3
 )
 
 // requestResult is the result of one arrival.
@@ -92,7 +92,7 @@
 // latency returns the histogram of the latency of completed requests in microseconds,
 // without requests whose intended send time is before from.
 func (r *results) latency(s selection, from time.Duration) *hdrhistogram.Histogram {
-	h := hdrhistogram.New(1, histogramMax, histogramDigits)
+	h := hdrhistogram.New(1, histogramMaxMicroseconds, histogramDigits)
 	for i, a := range r.arrivals {
 		if s.matches(a) && a.at >= from && r.requests[i].outcome == entry.OutcomeCompleted {
 			_ = h.RecordValue(max(1, r.requests[i].duration.Microseconds()))
--- a/internal/experiment/overhead.go
+++ b/internal/experiment/overhead.go
@@ -30,11 +30,11 @@
 // overheadInput is the input of every request.
 var overheadInput = `{"text":"` + strings.Repeat("lot 4711 ", 60) + `"}`
 
-// Overhead is the processor time per request of the whole process: client, hop and
-// the stand-in of a backend server.
+// Overhead is the processor time per request of the whole process: client, relay or
+// entry instance, and the stand-in of a backend server.
 type Overhead struct {
-	// Direct is for requests without a hop, Relay for requests through a relay that
-	// only forwards, Entry for requests through an entry instance.
+	// Direct is for requests straight to the stand-in, Relay for requests through a relay
+	// that only forwards, Entry for requests through an entry instance.
 	Direct, Relay, Entry time.Duration
 }
 
@@ -87,7 +87,7 @@
 
 // sendBatch returns the processor time of a batch.
 func sendBatch(client *http.Client, path overheadPath, batch int) (time.Duration, error) {
-	start, err := processorTime()
+	start, err := usedProcessorTime()
 	if err != nil {
 		return 0, err
 	}
@@ -96,7 +96,7 @@
 			return 0, err
 		}
 	}
-	end, err := processorTime()
+	end, err := usedProcessorTime()
 	return end - start, err
 }
 
@@ -115,8 +115,8 @@
 	return nil
 }
 
-// processorTime returns the user and system time of this process.
-func processorTime() (time.Duration, error) {
+// usedProcessorTime returns the user and system time of this process.
+func usedProcessorTime() (time.Duration, error) {
 	var usage syscall.Rusage
 	err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()), err
--- a/internal/experiment/scenarios.go
+++ b/internal/experiment/scenarios.go
@@ -24,7 +24,7 @@
 	goals:    []Goal{{Figure: "p99 ratio", Bound: 1.5}},
 	trial: func(policy string, seed uint64) (map[string]float64, error) {
 		f := startFleet(layout{
-			regions: 1, servers: 12, instances: 9, slots: 4, serviceTime: 20 * time.Millisecond, stage: pipeline.StageRerank,
+			regions: 1, serversPerRegion: 12, instancesPerRegion: 9, slots: 4, serviceTime: 20 * time.Millisecond, stage: pipeline.StageRerank,
 			kinds: []kind{{name: "lookup", class: "interactive", deadline: time.Second, body: smallBody}},
 		}, policy, seed)
 		defer f.stop()
@@ -47,7 +47,7 @@
 	goals:    []Goal{{Figure: "short p99 ratio", Bound: 1.2}, {Figure: "long mean ratio", Bound: 1.3}},
 	trial: func(policy string, seed uint64) (map[string]float64, error) {
 		f := startFleet(layout{
-			regions: 1, servers: 8, instances: 4, slots: 5, serviceTime: 20 * time.Millisecond, stage: pipeline.StageGenerate,
+			regions: 1, serversPerRegion: 8, instancesPerRegion: 4, slots: 5, serviceTime: 20 * time.Millisecond, stage: pipeline.StageGenerate,
 			kinds: []kind{
 				{name: "check", class: "interactive", deadline: 500 * time.Millisecond, body: smallBody},
 				{name: "dossier", class: "long", deadline: 10 * time.Second, body: `{"answer_bytes":40960}`},
@@ -84,7 +84,7 @@
 	},
 	trial: func(policy string, seed uint64) (map[string]float64, error) {
 		l := layout{
-			regions: 1, servers: 12, instances: 9, slots: 4, serviceTime: 80 * time.Millisecond, stage: pipeline.StageRerank,
+			regions: 1, serversPerRegion: 12, instancesPerRegion: 9, slots: 4, serviceTime: 80 * time.Millisecond, stage: pipeline.StageRerank,
 			kinds: []kind{
 				{name: "read", class: "interactive", deadline: 400 * time.Millisecond, body: smallBody},
 				{name: "draft", class: "normal", deadline: time.Second, body: smallBody},
@@ -154,7 +154,7 @@
 	},
 	trial: func(policy string, seed uint64) (map[string]float64, error) {
 		f := startFleet(layout{
-			regions: 2, servers: 6, instances: 4, slots: 4, serviceTime: 40 * time.Millisecond, stage: pipeline.StageRerank,
+			regions: 2, serversPerRegion: 6, instancesPerRegion: 4, slots: 4, serviceTime: 40 * time.Millisecond, stage: pipeline.StageRerank,
 			kinds: []kind{{
 				name: "label", class: "interactive", deadline: 300 * time.Millisecond, linkBytes: 8 << 10,
 				body: `{"text":"` + strings.Repeat("lot 4711 ", 200) + `"}`,
--- a/internal/experiment/stages.go
+++ b/internal/experiment/stages.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// stageRequestRate is in requests per second, stageArrivalPeriod the time during
-	// which requests arrive.
-	stageRequestRate   = 12
+	stageRequestsPerSecond = 12
+	// stageArrivalPeriod is the time during which requests arrive.
 	stageArrivalPeriod = 24 * time.Second
-	policyHeldToEvent  = "held to the event"
+	// policyHeldToEvent frees results only at the first event of the model server.
+	policyHeldToEvent = "held to the event"
 )
 
 // sharedQueuePolicy returns the policy of this system: all instances share one queue.
@@ -42,7 +42,7 @@
 		default:
 			return nil, fmt.Errorf("policy %q does not exist", policy)
 		}
-		return simulateStages(p, stageArrivals(stageRequestRate, stageArrivalPeriod, seed)).figures(), nil
+		return simulateStages(p, stageArrivals(stageRequestsPerSecond, stageArrivalPeriod, seed)).figures(), nil
 	},
 	derive: func(byPolicy map[string]map[string]float64) {
 		best := 0.0
@@ -81,7 +81,7 @@
 		default:
 			return nil, fmt.Errorf("policy %q does not exist", policy)
 		}
-		return simulateStages(p, stageArrivals(stageRequestRate, stageArrivalPeriod, seed)).figures(), nil
+		return simulateStages(p, stageArrivals(stageRequestsPerSecond, stageArrivalPeriod, seed)).figures(), nil
 	},
 	derive: stages.derive,
 }
--- a/internal/experiment/virtual_test.go
+++ b/internal/experiment/virtual_test.go
@@ -25,24 +25,24 @@
 	handlers []http.Handler
 }
 
-func (d *inProcessNetwork) serve(handler http.Handler) (address string, stop func()) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.handlers = append(d.handlers, handler)
-	return strconv.Itoa(len(d.handlers) - 1), func() {}
+func (n *inProcessNetwork) serve(handler http.Handler) (address string, stop func()) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.handlers = append(n.handlers, handler)
+	return strconv.Itoa(len(n.handlers) - 1), func() {}
 }
 
-func (d *inProcessNetwork) transport() http.RoundTripper { return d }
+func (n *inProcessNetwork) transport() http.RoundTripper { return n }
 
 // RoundTrip calls the handler of the address and returns its whole response.
-func (d *inProcessNetwork) RoundTrip(r *http.Request) (*http.Response, error) {
+func (n *inProcessNetwork) RoundTrip(r *http.Request) (*http.Response, error) {
 	number, err := strconv.Atoi(r.URL.Host)
 	if err != nil {
 		return nil, err
 	}
-	d.mu.Lock()
-	handler := d.handlers[number]
-	d.mu.Unlock()
+	n.mu.Lock()
+	handler := n.handlers[number]
+	n.mu.Unlock()
 	recorder := httptest.NewRecorder()
 	request := r.Clone(r.Context())
 	request.RequestURI = r.URL.RequestURI()
