--- a/internal/peer/cost_test.go
+++ b/internal/peer/cost_test.go
@@ -47,7 +47,7 @@
 	perInstance := float64(seconds * len(f.order))
 	messages, bytes := float64(f.sent)/perInstance, float64(f.bytes)/perInstance
 
-	first := f.nodes[f.order[0]]
+	first := f.instances[f.order[0]]
 	domain := first.Self().FailureDomain
 	f.emit(first, first.MarkDraining(f.now, "backend-server-0001", 1, time.Minute))
 	f.deliver()
--- a/internal/peer/fleet_test.go
+++ b/internal/peer/fleet_test.go
@@ -14,15 +14,18 @@
 
 // fleet runs instances in memory and delivers their encoded heartbeats.
 type fleet struct {
-	tb           testing.TB
-	now          time.Time
-	random       *rand.Rand
-	loss         float64
-	nodes        map[string]*membership.State
-	order        []string
-	queue        []datagram
-	sent         int
-	bytes        int
+	tb     testing.TB
+	now    time.Time
+	random *rand.Rand
+	// loss is the share of datagrams that are lost.
+	loss      float64
+	instances map[string]*membership.State
+	// order holds the addresses of the instances in the order in which they tick.
+	order []string
+	queue []datagram
+	sent  int
+	bytes int
+	// largestBytes is the length of the largest datagram.
 	largestBytes int
 }
 
@@ -34,7 +37,7 @@
 // newFleet starts instances whose messages hold as many entries as fit.
 func newFleet(tb testing.TB, instances, domains int, loss float64) *fleet {
 	f := &fleet{tb: tb, now: time.Unix(1_700_000_000, 0), random: rand.New(rand.NewPCG(1, uint64(instances))), loss: loss,
-		nodes: map[string]*membership.State{}}
+		instances: map[string]*membership.State{}}
 	var candidates []membership.Candidate
 	for i := range instances {
 		identity := membership.Identity{ID: fmt.Sprintf("entry-instance-%03d", i), FailureDomain: fmt.Sprintf("failure-domain-%02d", i%domains),
@@ -43,12 +46,12 @@
 		state.SetInFlightCounts(sampleCounts())
 		state.SetDemand(sampleDemand(i))
 		state.SetStragglers([]membership.Straggler{{Server: "backend-server-0007", Remaining: time.Hour}})
-		f.nodes[identity.Address] = state
+		f.instances[identity.Address] = state
 		f.order = append(f.order, identity.Address)
 		candidates = append(candidates, membership.Candidate{FailureDomain: identity.FailureDomain, Address: identity.Address})
 	}
 	f.random.Shuffle(len(f.order), func(i, j int) { f.order[i], f.order[j] = f.order[j], f.order[i] })
-	for _, state := range f.nodes {
+	for _, state := range f.instances {
 		state.SetCandidates(candidates)
 	}
 	return f
@@ -107,7 +110,7 @@
 		if err != nil {
 			f.tb.Fatal(err)
 		}
-		state := f.nodes[next.address]
+		state := f.instances[next.address]
 		f.emit(state, state.Receive(f.now, message))
 	}
 }
@@ -118,7 +121,7 @@
 	start := f.now
 	for i, address := range f.order {
 		f.now = start.Add(membership.Interval * time.Duration(i) / time.Duration(len(f.order)))
-		f.emit(f.nodes[address], f.nodes[address].Tick(f.now))
+		f.emit(f.instances[address], f.instances[address].Tick(f.now))
 		f.deliver()
 	}
 	f.now = start.Add(membership.Interval)
@@ -129,7 +132,7 @@
 func (f *fleet) roundsUntil(condition func(*membership.State) bool) int {
 	for n := range 100 {
 		reached := true
-		for _, state := range f.nodes {
+		for _, state := range f.instances {
 			reached = reached && condition(state)
 		}
 		if reached {
