--- a/internal/experiment/baselines.go
+++ b/internal/experiment/baselines.go
@@ -104,7 +104,7 @@
 	b.reportedLoad[i] = report.Running + report.Waiting
 }
 
-// baselinePickedServer is a call in flight.
+// baselinePickedServer implements entry.PickedServer: a call in flight.
 type baselinePickedServer struct {
 	*baseline
 	index   int
--- a/internal/experiment/stagesim.go
+++ b/internal/experiment/stagesim.go
@@ -22,7 +22,8 @@
 	stageInstances     = 9
 	stageTargetLatency = 900 * time.Millisecond
 	stageDeadline      = 3 * time.Second
-	maxPieces          = 6
+	// maxPieces is the largest number of pieces that a request needs.
+	maxPieces = 6
 	// firstEventDelay is the time from sending a request to its model server until the
 	// server sends the first event.
 	firstEventDelay = 350 * time.Millisecond
