--- a/internal/capacity/control.go
+++ b/internal/capacity/control.go
@@ -52,7 +52,7 @@
 // stand-ins that they use run in this process.
 type idleFleet struct {
 	keyStore        *standin.Store
-	instanceList    *standin.Platform
+	instanceList    *standin.InstanceList
 	storeBytes      *byteCounter
 	storeAddress    string
 	platformAddress string
@@ -94,7 +94,7 @@
 }
 
 func startIdleFleet(n int) (*idleFleet, error) {
-	f := &idleFleet{keyStore: standin.NewStore(), instanceList: &standin.Platform{}, storeBytes: &byteCounter{}}
+	f := &idleFleet{keyStore: standin.NewStore(), instanceList: &standin.InstanceList{}, storeBytes: &byteCounter{}}
 	f.storeAddress = f.serve(f.keyStore.Handler(), f.storeBytes)
 	f.platformAddress = f.serve(f.instanceList.Handler(), nil)
 	engine := f.serve(standin.NewBackend(standin.BackendConfig{
--- a/internal/demo/deployment.go
+++ b/internal/demo/deployment.go
@@ -93,7 +93,7 @@
 	if err := app.Start(ctx); err != nil {
 		return err
 	}
-	d.cluster.Platform.Put(platform.Member{
+	d.cluster.InstanceList.Put(platform.Member{
 		ID: e.Instance, Role: platform.RoleEntry, Address: e.PeerAddress, Region: e.Region,
 		FailureDomain: e.FailureDomain, State: platform.StateLive,
 	})
--- a/internal/entry/configuration_test.go
+++ b/internal/entry/configuration_test.go
@@ -35,7 +35,7 @@
 func TestConfigurationReachesInstanceCutOffFromStore(t *testing.T) {
 	c := qt.New(t)
 	storeAddress := startServer(c, standin.NewStore().Handler())
-	list := startServer(c, (&standin.Platform{}).Handler())
+	list := startServer(c, (&standin.InstanceList{}).Handler())
 	first := controlSettings(c, list, "a")
 	first.StoreAddress = storeAddress
 	second := controlSettings(c, list, "b")
@@ -62,7 +62,7 @@
 // which would then send new work to the draining server.
 func TestDrainRefusalReachesOtherInstances(t *testing.T) {
 	c := qt.New(t)
-	list := &standin.Platform{}
+	list := &standin.InstanceList{}
 	list.Set([]platform.Member{{ID: "e1", Role: platform.RoleBackend, Address: "127.0.0.1:1", Pool: "p", Region: "r",
 		FailureDomain: "a", State: platform.StateLive, Incarnation: 3}})
 	address := startServer(c, list.Handler())
--- a/internal/entry/daemon_test.go
+++ b/internal/entry/daemon_test.go
@@ -82,7 +82,7 @@
 	engine := startServer(c, standin.NewBackend(standin.BackendConfig{
 		ID: "g1", Slots: 4, AnswerBytes: largeAnswerBytes, ChunkBytes: 4096, ServiceTime: 10 * time.Millisecond,
 	}).Handler())
-	list := &standin.Platform{}
+	list := &standin.InstanceList{}
 	list.Set([]platform.Member{
 		{ID: "e1", Role: platform.RoleBackend, Address: encoder, Pool: "encoders", State: platform.StateLive},
 		{ID: "g1", Role: platform.RoleBackend, Address: engine, Pool: "engines", State: platform.StateLive},
--- a/internal/entry/gossip_test.go
+++ b/internal/entry/gossip_test.go
@@ -104,7 +104,7 @@
 // the slow server until they have samples of their own.
 func TestDemandAndStragglersReachOtherInstances(t *testing.T) {
 	c := qt.New(t)
-	list := &standin.Platform{}
+	list := &standin.InstanceList{}
 	for _, id := range []string{"e1", "e2", "e3", "e4"} {
 		list.Put(platform.Member{ID: id, Role: platform.RoleBackend, Address: "127.0.0.1:1", Pool: "p", Region: "r", FailureDomain: "a", State: platform.StateLive})
 	}
--- a/internal/entry/orders_test.go
+++ b/internal/entry/orders_test.go
@@ -22,7 +22,7 @@
 	engine := startServer(c, standin.NewBackend(standin.BackendConfig{
 		ID: "g1", Slots: 1, Engine: standin.EngineConfig{FencesOrders: true, Models: []string{"m@1"}},
 	}).Handler())
-	list := &standin.Platform{}
+	list := &standin.InstanceList{}
 	list.Set([]platform.Member{{ID: "g1", Role: platform.RoleBackend, Address: engine, Pool: "engines",
 		Region: "r", FailureDomain: "a", State: platform.StateLive}})
 	entry := controlSettings(c, startServer(c, list.Handler()), "a")
--- a/internal/entry/statussections_test.go
+++ b/internal/entry/statussections_test.go
@@ -18,7 +18,7 @@
 // are empty, so that an operator cannot see its servers, limits and state.
 func TestStatusShowsServersLimitsAndState(t *testing.T) {
 	c := qt.New(t)
-	list := &standin.Platform{}
+	list := &standin.InstanceList{}
 	list.Put(platform.Member{ID: "e1", Role: platform.RoleBackend, Address: "127.0.0.1:1", Pool: "p", Region: "r", FailureDomain: "a", State: platform.StateLive})
 	entry := controlSettings(c, startServer(c, list.Handler()), "a")
 	entry.StoreAddress = startServer(c, standin.NewStore().Handler())
--- a/internal/proof/fleet_test.go
+++ b/internal/proof/fleet_test.go
@@ -126,7 +126,7 @@
 			}
 		}
 		e := entries[n]
-		f.cluster.Platform.Put(platform.Member{ID: e.Instance, Role: platform.RoleEntry, Address: e.AdvertiseAddress,
+		f.cluster.InstanceList.Put(platform.Member{ID: e.Instance, Role: platform.RoleEntry, Address: e.AdvertiseAddress,
 			Region: e.Region, FailureDomain: e.FailureDomain, State: platform.StateLive})
 	}
 }
--- a/internal/standin/backend_test.go
+++ b/internal/standin/backend_test.go
@@ -215,12 +215,12 @@
 // Guards against a list that shows a change before the lag has passed.
 func TestListLags(t *testing.T) {
 	c := qt.New(t)
-	var list Platform
+	var list InstanceList
 	list.Put(platform.Member{ID: "a"})
-	list.SetFaults(PlatformFaults{LagMS: 60000})
+	list.SetFaults(InstanceListFaults{LagMS: 60000})
 	list.Put(platform.Member{ID: "b"})
 	c.Assert(list.Members(), qt.HasLen, 1)
-	list.SetFaults(PlatformFaults{})
+	list.SetFaults(InstanceListFaults{})
 	list.Remove("a")
 	c.Assert(list.Members(), qt.DeepEquals, []platform.Member{{ID: "b"}})
 }
--- a/internal/standin/cluster.go
+++ b/internal/standin/cluster.go
@@ -30,11 +30,11 @@
 
 // Cluster holds the running stand-ins of one deployment.
 type Cluster struct {
-	Set      *pipeline.Set
-	Store    *Store
-	Platform *Platform
-	Weights  *WeightStore
-	Servers  []*Server
+	Set          *pipeline.Set
+	Store        *Store
+	InstanceList *InstanceList
+	Weights      *WeightStore
+	Servers      []*Server
 
 	StoreAddress, PlatformAddress, WeightsAddress string
 
@@ -48,7 +48,7 @@
 	backend      *Backend
 	member       platform.Member
 	http         *http.Server
-	instanceList *Platform
+	instanceList *InstanceList
 }
 
 // StartCluster reads a deployment folder and starts its stand-ins.
@@ -69,11 +69,11 @@
 		config.Speed = 1
 	}
 	c := &Cluster{
-		Set:      set,
-		Store:    NewStore(),
-		Platform: &Platform{},
-		Weights:  NewWeightStore(set.Deployment.WeightLoadsPerMinute),
-		nextPort: config.BasePort,
+		Set:          set,
+		Store:        NewStore(),
+		InstanceList: &InstanceList{},
+		Weights:      NewWeightStore(set.Deployment.WeightLoadsPerMinute),
+		nextPort:     config.BasePort,
 	}
 	err = c.start(fleet.plan(set.Deployment, c.Weights, config.Speed))
 	if err != nil {
@@ -88,7 +88,7 @@
 		handler http.Handler
 	}{
 		{&c.StoreAddress, c.Store.Handler()},
-		{&c.PlatformAddress, c.Platform.Handler()},
+		{&c.PlatformAddress, c.InstanceList.Handler()},
 		{&c.WeightsAddress, c.Weights.Handler()},
 	} {
 		server, address, err := serve(c.nextAddress(), service.handler)
@@ -101,14 +101,14 @@
 	members := make([]platform.Member, len(servers))
 	for i, p := range servers {
 		p.member.Address = c.nextAddress()
-		server := &Server{backend: NewBackend(p.config), member: p.member, instanceList: c.Platform}
+		server := &Server{backend: NewBackend(p.config), member: p.member, instanceList: c.InstanceList}
 		if err := server.listen(); err != nil {
 			return err
 		}
 		c.Servers = append(c.Servers, server)
 		members[i] = server.member
 	}
-	c.Platform.Set(members)
+	c.InstanceList.Set(members)
 	return nil
 }
 
--- a/internal/standin/cluster_test.go
+++ b/internal/standin/cluster_test.go
@@ -60,7 +60,7 @@
 		c.Assert(errors.Is(err, backend.ErrNotSent), qt.IsTrue)
 		c.Assert(server.Restart(), qt.IsNil)
 		c.Assert(recordedRuns(c, server), qt.DeepEquals, before)
-		c.Assert(slices.Contains(cluster.Platform.Members(), server.Member()), qt.IsTrue)
+		c.Assert(slices.Contains(cluster.InstanceList.Members(), server.Member()), qt.IsTrue)
 	}
 }
 
--- a/internal/standin/fault_spec.go
+++ b/internal/standin/fault_spec.go
@@ -40,7 +40,7 @@
 	case targetStore:
 		return merge(document, c.Store.Faults(), c.Store.SetFaults)
 	case targetList:
-		return merge(document, c.Platform.Faults(), c.Platform.SetFaults)
+		return merge(document, c.InstanceList.Faults(), c.InstanceList.SetFaults)
 	}
 	found := false
 	for _, server := range c.Servers {
