--- a/internal/standin/answer.go
+++ b/internal/standin/answer.go
@@ -32,33 +32,33 @@
 
 // serve sends the answer, or applies the fault of the run. It returns true when the
 // whole answer was sent.
-func (a *stageResponse) serve() bool {
-	switch a.run.Fault {
+func (s *stageResponse) serve() bool {
+	switch s.run.Fault {
 	case FaultHang:
-		<-a.r.Context().Done()
+		<-s.r.Context().Done()
 		return false
 	case FaultError:
-		http.Error(a.w, "stand-in error", http.StatusInternalServerError)
+		http.Error(s.w, "stand-in error", http.StatusInternalServerError)
 		return false
 	case FaultGarbage:
-		a.w.Header().Set("Content-Type", "application/json")
-		_, _ = a.w.Write([]byte("\x00\xff not an answer"))
+		s.w.Header().Set("Content-Type", "application/json")
+		_, _ = s.w.Write([]byte("\x00\xff not an answer"))
 		return false
 	case FaultTooMuch:
-		a.sendOversized()
+		s.sendOversized()
 		return false
 	}
-	if a.run.Type == pipeline.StageGenerate {
-		return a.streamText()
+	if s.run.Type == pipeline.StageGenerate {
+		return s.streamText()
 	}
-	return a.sendDocument()
+	return s.sendDocument()
 }
 
-func (a *stageResponse) sendOversized() {
-	a.w.Header().Set("Content-Type", "application/json")
+func (s *stageResponse) sendOversized() {
+	s.w.Header().Set("Content-Type", "application/json")
 	block := []byte(strings.Repeat(" ", 64<<10))
 	for range oversizedAnswerBytes / len(block) {
-		if _, err := a.w.Write(block); err != nil {
+		if _, err := s.w.Write(block); err != nil {
 			return
 		}
 	}
@@ -66,37 +66,37 @@
 
 // sendDocument waits for the service time and sends the input back with the server's
 // ID. A server of any stage type but generate answers like this.
-func (a *stageResponse) sendDocument() bool {
-	if !clock.Sleep(a.r.Context(), a.backend.serviceTime()) {
+func (s *stageResponse) sendDocument() bool {
+	if !clock.Sleep(s.r.Context(), s.backend.serviceTime()) {
 		return false
 	}
 	encoded, err := json.Marshal(output{
-		Server:    a.backend.config.ID,
-		Stage:     a.run.Type,
-		RequestID: a.run.RequestID,
-		Input:     a.body.Input,
+		Server:    s.backend.config.ID,
+		Stage:     s.run.Type,
+		RequestID: s.run.RequestID,
+		Input:     s.body.Input,
 	})
 	if err != nil {
-		http.Error(a.w, err.Error(), http.StatusInternalServerError)
+		http.Error(s.w, err.Error(), http.StatusInternalServerError)
 		return false
 	}
-	answer, err := json.Marshal(backend.Answer{Attempt: a.run.Attempt, Output: encoded})
+	answer, err := json.Marshal(backend.Answer{Attempt: s.run.Attempt, Output: encoded})
 	if err != nil {
-		http.Error(a.w, err.Error(), http.StatusInternalServerError)
+		http.Error(s.w, err.Error(), http.StatusInternalServerError)
 		return false
 	}
-	a.w.Header().Set("Content-Type", "application/json")
-	if a.run.Fault == FaultHalf {
-		a.abort(answer[:len(answer)/2])
+	s.w.Header().Set("Content-Type", "application/json")
+	if s.run.Fault == FaultHalf {
+		s.abort(answer[:len(answer)/2])
 	}
-	_, err = a.w.Write(answer)
+	_, err = s.w.Write(answer)
 	return err == nil
 }
 
 // abort sends a part of the answer and closes the connection.
-func (a *stageResponse) abort(part []byte) {
-	_, _ = a.w.Write(part)
-	_ = http.NewResponseController(a.w).Flush()
+func (s *stageResponse) abort(part []byte) {
+	_, _ = s.w.Write(part)
+	_ = http.NewResponseController(s.w).Flush()
 	panic(http.ErrAbortHandler)
 }
 
@@ -123,30 +123,30 @@
 // streamText streams GeneratedText from the resume offset on. The service time of
 // the engine applies to an answer of its configured length; longer and shorter ones
 // take proportionally longer and shorter.
-func (a *stageResponse) streamText() bool {
-	text := GeneratedText(a.run.InputHash, a.run.AnswerBytes)
-	a.w.Header().Set("Content-Type", "text/event-stream")
-	if !clock.Sleep(a.r.Context(), a.backend.engine.prefill(a.body.PrefixKey, a.backend.faults.slowdown())) {
+func (s *stageResponse) streamText() bool {
+	text := GeneratedText(s.run.InputHash, s.run.AnswerBytes)
+	s.w.Header().Set("Content-Type", "text/event-stream")
+	if !clock.Sleep(s.r.Context(), s.backend.engine.prefill(s.body.PrefixKey, s.backend.faults.slowdown())) {
 		return false
 	}
 	// Each chunk has its own due time, so that timer delays do not accumulate.
 	due := time.Now()
-	for offset := int(a.body.ResumeOffset); offset < len(text); {
-		end := min(offset+a.backend.config.ChunkBytes, len(text))
-		due = due.Add(a.backend.chunkTime())
-		if !clock.Sleep(a.r.Context(), time.Until(due)) {
+	for offset := int(s.body.ResumeOffset); offset < len(text); {
+		end := min(offset+s.backend.config.ChunkBytes, len(text))
+		due = due.Add(s.backend.chunkTime())
+		if !clock.Sleep(s.r.Context(), time.Until(due)) {
 			return false
 		}
-		if a.run.Fault == FaultHalf && end > len(text)/2 {
-			a.abort(nil)
+		if s.run.Fault == FaultHalf && end > len(text)/2 {
+			s.abort(nil)
 		}
-		chunk := backend.StreamChunk{Attempt: a.run.Attempt, Offset: int64(offset), Data: text[offset:end]}
-		if a.sendEvent(backend.EventChunk, chunk) != nil {
+		chunk := backend.StreamChunk{Attempt: s.run.Attempt, Offset: int64(offset), Data: text[offset:end]}
+		if s.sendEvent(backend.EventChunk, chunk) != nil {
 			return false
 		}
 		offset = end
 	}
-	return a.sendEvent(backend.EventEnd, backend.StreamEnd{Attempt: a.run.Attempt, Bytes: int64(len(text))}) == nil
+	return s.sendEvent(backend.EventEnd, backend.StreamEnd{Attempt: s.run.Attempt, Bytes: int64(len(text))}) == nil
 }
 
 // chunkTime returns the interval between two chunks under the current load.
@@ -156,15 +156,15 @@
 }
 
 // sendEvent sends one server-sent event with a JSON document as its data.
-func (a *stageResponse) sendEvent(name string, data any) error {
+func (s *stageResponse) sendEvent(name string, data any) error {
 	encoded, err := json.Marshal(data)
 	if err != nil {
 		return fmt.Errorf("encode event: %w", err)
 	}
 	message := sse.Message{Type: sse.Type(name)}
 	message.AppendData(string(encoded))
-	if _, err := message.WriteTo(a.w); err != nil {
+	if _, err := message.WriteTo(s.w); err != nil {
 		return err
 	}
-	return http.NewResponseController(a.w).Flush()
+	return http.NewResponseController(s.w).Flush()
 }
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -156,11 +156,11 @@
 	run := b.runs.start(record)
 	finished := false
 	defer func() { b.runs.end(run, finished) }()
-	a := &stageResponse{backend: b, w: w, r: r, run: record, body: body}
+	s := &stageResponse{backend: b, w: w, r: r, run: record, body: body}
 	if record.Fault == FaultCrossed {
-		a.run.Attempt = "another-" + record.Attempt
+		s.run.Attempt = "another-" + record.Attempt
 	}
-	finished = a.serve()
+	finished = s.serve()
 }
 
 // serviceTime returns how long a request takes under the current load.
--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -8,9 +8,9 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/backend"
 )
 
-// dropInterval is the interval at which cache events are dropped: every tenth one is
-// never published.
-const dropInterval = 10
+// eventsPerDrop is the number of cache events of which one is dropped: every tenth
+// event is never published.
+const eventsPerDrop = 10
 
 // maxCacheEvents is the number of events that are kept for readers.
 const maxCacheEvents = 1000
@@ -24,12 +24,12 @@
 // prefixCache is a bounded set of prompt prefixes with LRU eviction. It reports
 // insertions and evictions as numbered events, which are published with a delay.
 type prefixCache struct {
-	mu     sync.Mutex
-	limit  int
-	delay  time.Duration
-	keys   []string // least recently used first
-	events []cacheEvent
-	number int64
+	mu         sync.Mutex
+	limit      int           // maximum number of prefixes
+	delay      time.Duration // from an event to its publication
+	keys       []string      // least recently used first
+	events     []cacheEvent
+	lastNumber int64 // number of the last event, dropped ones included
 }
 
 // use reports whether a prefix was cached, and caches it.
@@ -55,11 +55,11 @@
 
 // addEvent adds an event unless it is one of the dropped ones.
 func (c *prefixCache) addEvent(prefix string, stored bool) {
-	c.number++
-	if c.number%dropInterval == 0 {
+	c.lastNumber++
+	if c.lastNumber%eventsPerDrop == 0 {
 		return
 	}
-	event := backend.WireCacheEvent{Number: c.number, PrefixKey: prefix, Stored: stored}
+	event := backend.WireCacheEvent{Number: c.lastNumber, PrefixKey: prefix, Stored: stored}
 	c.events = append(c.events, cacheEvent{event, time.Now().Add(c.delay)})
 	if len(c.events) > maxCacheEvents {
 		c.events = slices.Delete(c.events, 0, len(c.events)-maxCacheEvents)
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -30,7 +30,7 @@
 	FencesOrders bool
 	// LoadTime is how long loading a model takes after the weight store allowed it.
 	LoadTime time.Duration
-	// Weights is the weight store; nil allows every load.
+	// Weights is the weight store; nil allows every load of a model.
 	Weights *WeightStore
 	// PrefillTime is the time to the first chunk when the prefix is not cached. A
 	// cached prefix takes a tenth of it.
@@ -83,10 +83,10 @@
 
 // prefill returns the time to the first chunk and caches the prefix.
 func (e *engine) prefill(prefix string, slowdown float64) time.Duration {
-	const cachedShare = 10
+	const cachedPrefillDivisor = 10
 	needed := time.Duration(float64(e.config.PrefillTime) * slowdown)
 	if e.cache.use(prefix) {
-		return needed / cachedShare
+		return needed / cachedPrefillDivisor
 	}
 	return needed
 }
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -18,8 +18,8 @@
 // It is optional and in the same folder as the deployment file.
 const FleetFile = "standin.jsonc"
 
-// Fleet is the content of the fleet file. Pools are keyed by name.
-type Fleet struct {
+// FleetConfig is the content of the fleet file. Pools are keyed by name.
+type FleetConfig struct {
 	Pools map[string]PoolConfig `json:"pools"`
 }
 
@@ -44,8 +44,8 @@
 
 // ReadFleet reads the fleet file in the root of a file system. Without the file it
 // returns an empty Fleet.
-func ReadFleet(root fs.FS) (Fleet, error) {
-	var fleet Fleet
+func ReadFleet(root fs.FS) (FleetConfig, error) {
+	var fleet FleetConfig
 	data, err := fs.ReadFile(root, FleetFile)
 	if errors.Is(err, fs.ErrNotExist) {
 		return fleet, nil
@@ -65,8 +65,10 @@
 	return fleet, nil
 }
 
-// poolConfig returns the configuration of a pool, with defaults for omitted fields.
-func (f Fleet) poolConfig(pool string) PoolConfig {
+// poolConfig returns the configuration of a pool: the default one when the fleet file
+// does not name the pool, and otherwise with defaults for an omitted number of replicas
+// and chunk length.
+func (f FleetConfig) poolConfig(pool string) PoolConfig {
 	config, ok := f.Pools[pool]
 	if !ok {
 		return defaultPoolConfig
@@ -103,7 +105,7 @@
 
 // plan returns the backend servers of a deployment. The servers of a pool are
 // distributed over the failure domains in turn.
-func (f Fleet) plan(deployment pipeline.Deployment, weights *WeightStore, speed float64) []plannedServer {
+func (f FleetConfig) plan(deployment pipeline.Deployment, weights *WeightStore, speed float64) []plannedServer {
 	var all []plannedServer
 	domains := domainLocations(deployment)
 	for _, pool := range deployment.Pools {
@@ -124,26 +126,26 @@
 
 // backendConfig returns the configuration of one server of a pool, with all times
 // divided by speed.
-func (s PoolConfig) backendConfig(pool pipeline.Pool, weights *WeightStore, speed float64) BackendConfig {
+func (p PoolConfig) backendConfig(pool pipeline.Pool, weights *WeightStore, speed float64) BackendConfig {
 	duration := func(ms float64) time.Duration { return time.Duration(ms / speed * float64(time.Millisecond)) }
 	return BackendConfig{
 		Pool:        pool.Name,
 		Slots:       pool.Slots,
-		ServiceTime: duration(s.ServiceTimeMS),
-		LoadFactor:  s.LoadFactor,
-		AnswerBytes: s.AnswerBytes,
-		ChunkBytes:  s.ChunkBytes,
-		LoadLag:     duration(s.LoadLagMS),
+		ServiceTime: duration(p.ServiceTimeMS),
+		LoadFactor:  p.LoadFactor,
+		AnswerBytes: p.AnswerBytes,
+		ChunkBytes:  p.ChunkBytes,
+		LoadLag:     duration(p.LoadLagMS),
 		Incarnation: 1,
 		Engine: EngineConfig{
 			Models:         pool.Models,
 			FencesOrders:   pool.FencesOrders,
-			LoadTime:       duration(s.LoadTimeMS),
+			LoadTime:       duration(p.LoadTimeMS),
 			Weights:        weights,
-			PrefillTime:    duration(s.PrefillMS),
-			CachedPrefixes: s.CachedPrefixes,
-			EventDelay:     duration(s.EventDelayMS),
-			PrefixBytes:    s.PrefixBytes,
+			PrefillTime:    duration(p.PrefillMS),
+			CachedPrefixes: p.CachedPrefixes,
+			EventDelay:     duration(p.EventDelayMS),
+			PrefixBytes:    p.PrefixBytes,
 		},
 	}
 }
--- a/internal/standin/slots.go
+++ b/internal/standin/slots.go
@@ -10,7 +10,7 @@
 type waiter struct {
 	rank, arrival int
 	granted       chan struct{}
-	position      int
+	position      int // index in the queue, -1 after the waiter left it
 }
 
 // waiters is a priority queue for container/heap: higher ranks first, and equal ranks
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -10,8 +10,9 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/store"
 )
 
-// historyRetention is how long past values and tombstones are kept. Stale reads cannot
-// go back further, and a watch that starts at an older version misses deletions.
+// historyRetention is how long past values, tombstones and instance lists are kept.
+// Stale reads cannot go back further, and a watch that starts at an older version misses
+// deletions. Instance lists are kept for longer when the lag of the list is longer.
 const historyRetention = 2 * time.Minute
 
 // revision is the state of a key between two writes.
@@ -46,7 +47,7 @@
 // leaseState is a lease with the keys that are bound to it.
 type leaseState struct {
 	ttl   time.Duration
-	timer *time.Timer
+	timer *time.Timer // ends the lease
 	keys  map[string]bool
 }
 
