--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -55,14 +55,14 @@
 	var group errgroup.Group
 	for _, name := range examples.Deployments() {
 		group.Go(func() error {
-			d, results, err := runDeployment(ctx, name, folder, logger)
+			d, exchanges, err := runDeployment(ctx, name, folder, logger)
 			if err != nil {
 				return fmt.Errorf("demo of %s: %w", name, err)
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			report.Instances += d.instanceCount
-			report.countRequests(d, results)
+			report.countRequests(d, exchanges)
 			return nil
 		})
 	}
@@ -83,18 +83,18 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	results := d.send(ctx, traffic.Plan(d.cluster.Set, rand.New(rand.NewPCG(requestOrderSeed, 1)), ""))
-	return d, results, d.stop()
+	exchanges := d.send(ctx, traffic.Plan(d.cluster.Set, rand.New(rand.NewPCG(requestOrderSeed, 1)), ""))
+	return d, exchanges, d.stop()
 }
 
 // countRequests verifies the requests of a deployment and adds their counts.
-func (r *Report) countRequests(d *deployment, results []traffic.Exchange) {
+func (r *Report) countRequests(d *deployment, exchanges []traffic.Exchange) {
 	v := traffic.NewVerifier(d.cluster.Set, d.cluster.Runs())
-	for _, s := range results {
-		counts := v.Count(s)
-		r.countsOf(d.name, s.Kind.Name).Add(counts)
+	for _, e := range exchanges {
+		counts := v.Count(e)
+		r.countsOf(d.name, e.Kind.Name).Add(counts)
 		if counts.Violations() > 0 {
-			r.addViolation(d.name, s)
+			r.addViolation(d.name, e)
 		}
 	}
 }
@@ -104,23 +104,23 @@
 func (d *deployment) send(ctx context.Context, requests []traffic.Request) []traffic.Exchange {
 	c := &traffic.Client{HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callersPerDeployment}}}
 	defer c.HTTP.CloseIdleConnections()
-	results := make([]traffic.Exchange, len(requests))
+	exchanges := make([]traffic.Exchange, len(requests))
 	var group errgroup.Group
 	group.SetLimit(callersPerDeployment)
 	started := time.Now()
 	for i, r := range requests {
 		if time.Since(started) > sendPeriod {
-			results = results[:i]
+			exchanges = exchanges[:i]
 			break
 		}
 		d.injectFaults(i, len(requests))
 		group.Go(func() error {
-			results[i] = traffic.Exchange{Request: r, Answers: d.sendWithRepeats(ctx, c, i, r)}
+			exchanges[i] = traffic.Exchange{Request: r, Answers: d.sendWithRepeats(ctx, c, i, r)}
 			return nil
 		})
 	}
 	_ = group.Wait() // the functions return no error
-	return results
+	return exchanges
 }
 
 // sendWithRepeats sends a request and its repeats, each to another instance. Requests
@@ -164,4 +164,4 @@
 }
 
 // ErrViolations reports that a count which must be 0 is not.
-var ErrViolations = errors.New("requests were lost, doubled, mixed up, or ran although the caller was told not_run")
+var ErrViolations = errors.New("requests were lost, doubled, mixed up, or ran although the caller got the outcome not_run")
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -27,12 +27,12 @@
 
 // addViolation adds the description of a request with a count that must be 0 and is
 // not.
-func (r *Report) addViolation(deployment string, s traffic.Exchange) {
+func (r *Report) addViolation(deployment string, e traffic.Exchange) {
 	if len(r.ViolationDetails) == maxViolations {
 		return
 	}
-	description := deployment + "/" + s.Kind.Name + " " + s.ID + ":"
-	for _, answer := range s.Answers {
+	description := deployment + "/" + e.Kind.Name + " " + e.ID + ":"
+	for _, answer := range e.Answers {
 		description += fmt.Sprintf(" [%s %s, %d bytes]", answer.Outcome, answer.Detail, len(answer.Body))
 	}
 	r.ViolationDetails = append(r.ViolationDetails, description)
--- a/internal/traffic/plan.go
+++ b/internal/traffic/plan.go
@@ -14,11 +14,12 @@
 	normalRequests      = 40
 	longRequests        = 6
 	atMostOnceRequests  = 60
-	// repeatInterval is the interval at which requests with a key are sent again:
-	// every third one.
-	repeatInterval = 3
-	// streamInterval is the interval at which requests are streamed: every second one.
-	streamInterval = 2
+	// requestsPerRepeat is the number of requests with a key of which one is sent
+	// again: every third one.
+	requestsPerRepeat = 3
+	// requestsPerStream is the number of requests of which one is streamed: every
+	// second one.
+	requestsPerStream = 2
 )
 
 // Lengths of generated answers in bytes.
@@ -103,11 +104,11 @@
 		length = longAnswerBytes + n
 	case kind.AtMostOnce():
 		r.Key = "key-" + r.ID
-		if n%repeatInterval == 0 {
+		if n%requestsPerRepeat == 0 {
 			r.Repeats = 1 + n%2
 		}
 	default:
-		r.Stream = r.LastStage == pipeline.StageGenerate && n%streamInterval == 0
+		r.Stream = r.LastStage == pipeline.StageGenerate && n%requestsPerStream == 0
 	}
 	r.Body, _ = json.Marshal(callerBody{RequestID: r.ID, Text: "request " + r.ID, AnswerBytes: length})
 	return r
--- a/internal/traffic/verify.go
+++ b/internal/traffic/verify.go
@@ -40,42 +40,42 @@
 }
 
 // Count verifies one request with its repeats and returns the counts.
-func (v *Verifier) Count(s Exchange) Counts {
+func (v *Verifier) Count(e Exchange) Counts {
 	var counts Counts
-	allNotRun := s.Interrupted == 0
-	for i, a := range s.Answers {
+	allNotRun := e.Interrupted == 0
+	for i, a := range e.Answers {
 		counts.Requests++
-		if s.Stream {
+		if e.Stream {
 			counts.Streams++
 		}
 		if i > 0 {
 			counts.RepeatedKeys++
 		}
 		allNotRun = allNotRun && a.Outcome == entry.OutcomeNotRun
-		v.countAnswer(&counts, s, a)
+		v.countAnswer(&counts, e, a)
 	}
-	if allNotRun && len(v.byRequest[s.ID]) > 0 {
-		counts.NotRunButRan += len(s.Answers)
+	if allNotRun && len(v.byRequest[e.ID]) > 0 {
+		counts.NotRunButRan += len(e.Answers)
 	}
-	counts.Doubled = max(0, v.nonIdempotentRuns(s.Request)-1)
+	counts.Doubled = max(0, v.nonIdempotentRuns(e.Request)-1)
 	return counts
 }
 
 // countAnswer counts an answer by its outcome. A completed one counts as completed
 // only if it is the whole answer to its own request.
-func (v *Verifier) countAnswer(counts *Counts, s Exchange, a Answer) {
+func (v *Verifier) countAnswer(counts *Counts, e Exchange, a Answer) {
 	switch {
 	case a.Outcome != entry.OutcomeCompleted:
 		counts.count(a.Outcome)
 		return
-	case a.Body == nil && !s.delivered(a.Digest):
+	case a.Body == nil && !e.delivered(a.Digest):
 		counts.Lost++
 		return
 	case a.Body == nil:
 		counts.Completed++
 		return
 	}
-	switch v.checkBody(s.Request, a.Body) {
+	switch v.checkBody(e.Request, a.Body) {
 	case answerComplete:
 		counts.Completed++
 	case answerTruncated:
@@ -87,8 +87,8 @@
 
 // delivered reports whether the caller got an answer with the digest to any of the
 // requests with this key.
-func (s Exchange) delivered(digest string) bool {
-	for _, a := range s.Answers {
+func (e Exchange) delivered(digest string) bool {
+	for _, a := range e.Answers {
 		sum := sha256.Sum256(a.Body)
 		if a.Body != nil && hex.EncodeToString(sum[:]) == digest {
 			return true
