--- a/internal/proof/backend_test.go
+++ b/internal/proof/backend_test.go
@@ -20,26 +20,26 @@
 func TestServerDrainsWithoutInstanceList(t *testing.T) {
 	f := startLongScenario(t, "server-leaves")
 	const serverDomain = "norte-adega" // has a second server of the pool
-	leaving := f.serverIn("labelling", serverDomain)
+	draining := f.serverIn("labelling", serverDomain)
 	first, second := f.inDomain(serverDomain)[0], f.inDomain(serverDomain)[1]
 	l := f.startLoad(f.inDomain(serverDomain)...)
-	f.waitUntil("runs at the server", func() bool { return len(leaving.Backend().Runs()) > 10 })
+	f.waitUntil("runs at the server", func() bool { return len(draining.Backend().Runs()) > 10 })
 	for _, proxy := range f.listProxies {
 		proxy.blackhole()
 	}
 	l.retarget(first)
 	l.waitForRunningRequests()
-	leaving.Backend().SetDraining(true)
-	f.waitUntil("first refusal", func() bool { return slices.Contains(first.status().Peers.Draining, leaving.Member().ID) })
+	draining.Backend().SetDraining(true)
+	f.waitUntil("first refusal", func() bool { return slices.Contains(first.status().Peers.Draining, draining.Member().ID) })
 	refusedAt := time.Now()
 	f.waitUntil("drain limit", func() bool { return time.Since(refusedAt) > drainPropagationLimit })
 	// From here on the stand-in accepts requests, so that any are recorded as runs.
-	leaving.Backend().SetDraining(false)
-	before := len(leaving.Backend().Runs())
+	draining.Backend().SetDraining(false)
+	before := len(draining.Backend().Runs())
 	l.retarget(second)
 	l.waitMore(150, idempotent)
-	f.Check(len(leaving.Backend().Runs())-before, qt.Equals, 0, qt.Commentf("runs at the leaving server"))
-	l.verify("server leaves", "list cut off")
+	f.Check(len(draining.Backend().Runs())-before, qt.Equals, 0, qt.Commentf("runs at the draining server"))
+	l.verify("server drains", "instance list unreachable")
 }
 
 // serverIn returns the first server of a pool in a failure domain.
--- a/internal/proof/burst_test.go
+++ b/internal/proof/burst_test.go
@@ -12,7 +12,7 @@
 // burst is a set of requests that a scenario sends to instances of its choice.
 type burst struct {
 	mu          sync.Mutex
-	sent        []traffic.Exchange
+	exchanges   []traffic.Exchange
 	interrupted []atomic.Int32
 }
 
@@ -22,14 +22,14 @@
 	b := &burst{}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for round := 0; len(b.sent) < n; round++ {
+	for round := 0; len(b.exchanges) < n; round++ {
 		for _, r := range traffic.Plan(l.f.cluster.Set, l.random, fmt.Sprintf("%s%d-", prefix, round)) {
-			if selects(r) && len(b.sent) < n {
-				b.sent = append(b.sent, traffic.Exchange{Request: r})
+			if selects(r) && len(b.exchanges) < n {
+				b.exchanges = append(b.exchanges, traffic.Exchange{Request: r})
 			}
 		}
 	}
-	b.interrupted = make([]atomic.Int32, len(b.sent))
+	b.interrupted = make([]atomic.Int32, len(b.exchanges))
 	return b
 }
 
@@ -40,15 +40,15 @@
 // instance breaks the connection. The returned group waits for the answers.
 func (l *load) sendTo(first *instance, b *burst) *sync.WaitGroup {
 	var group sync.WaitGroup
-	for n, s := range b.sent {
+	for n, e := range b.exchanges {
 		group.Go(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), finalAnswerTimeout)
 			defer cancel()
-			answer := l.client.Send(ctx, first.settings.CallerAddress, s.Request)
-			l.recordProblem(s.Request, answer)
+			answer := l.client.Send(ctx, first.settings.CallerAddress, e.Request)
+			l.recordProblem(e.Request, answer)
 			if answer.Outcome == "" && answer.Location == "" {
 				b.interrupted[n].Add(1)
-				answer = l.send(s.Request, &b.interrupted[n])
+				answer = l.send(e.Request, &b.interrupted[n])
 			}
 			b.addAnswer(n, answer)
 		})
@@ -59,8 +59,8 @@
 // resend sends the requests again, to random ready instances.
 func (l *load) resend(b *burst) {
 	var group sync.WaitGroup
-	for n, s := range b.sent {
-		group.Go(func() { b.addAnswer(n, l.send(s.Request, &b.interrupted[n])) })
+	for n, e := range b.exchanges {
+		group.Go(func() { b.addAnswer(n, l.send(e.Request, &b.interrupted[n])) })
 	}
 	group.Wait()
 }
@@ -68,24 +68,24 @@
 func (b *burst) addAnswer(n int, answer traffic.Answer) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.sent[n].Answers = append(b.sent[n].Answers, answer)
+	b.exchanges[n].Answers = append(b.exchanges[n].Answers, answer)
 }
 
 // addBurst adds the requests and answers of a finished burst to those of the load.
 func (l *load) addBurst(b *burst) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for n, s := range b.sent {
-		s.Interrupted = int(b.interrupted[n].Load())
-		l.sent = append(l.sent, s)
+	for n, e := range b.exchanges {
+		e.Interrupted = int(b.interrupted[n].Load())
+		l.exchanges = append(l.exchanges, e)
 	}
 }
 
 // runsOf returns the number of recorded runs of the requests of a burst.
 func (f *fleet) runsOf(b *burst) int {
 	ids := map[string]bool{}
-	for _, s := range b.sent {
-		ids[s.ID] = true
+	for _, e := range b.exchanges {
+		ids[e.ID] = true
 	}
 	n := 0
 	for _, run := range f.cluster.Runs() {
--- a/internal/proof/faulty_test.go
+++ b/internal/proof/faulty_test.go
@@ -19,6 +19,7 @@
 		server.Backend().SetFaults(standin.BackendFaults{Share: share})
 	}
 	l := f.startLoad()
+	// A refused request does not run, so there are no runs with FaultRefuse.
 	for _, fault := range append(faults[:4:4], standin.FaultTooMuch) {
 		f.waitUntil(string(fault), func() bool { return f.runsWithFault(fault) > 0 })
 	}
--- a/internal/proof/fleet_test.go
+++ b/internal/proof/fleet_test.go
@@ -44,7 +44,7 @@
 // fleet is one deployment: stand-ins in the test process, and entry processes.
 type fleet struct {
 	*qt.C
-	name      string
+	name      string // of the scenario; a change of it changes the random choices
 	cluster   *standin.Cluster
 	instances []*instance
 	// storeProxies and listProxies hold the proxies to the store and to the instance
@@ -181,7 +181,7 @@
 	deadline := time.Now().Add(conditionTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			f.Fatalf("%s: %s not reached in %s", f.name, what, conditionTimeout)
+			f.Fatalf("%s: condition %q not met within %s", f.name, what, conditionTimeout)
 		}
 		time.Sleep(pollInterval)
 	}
--- a/internal/proof/jobs_test.go
+++ b/internal/proof/jobs_test.go
@@ -102,21 +102,23 @@
 	return counts
 }
 
+// checkRunOnce checks that all dossiers were completed and that no stage that was
+// recorded before the fault ran again.
 func (f *fleet) checkRunOnce(dossiers *burst, recorded map[jobStage]bool, before map[stageRun]int) {
 	f.Helper()
 	after := f.stageRuns()
 	checked := 0
-	for _, s := range dossiers.sent {
-		answer := s.Answers[0]
-		f.Check(answer.Outcome, qt.Equals, entry.OutcomeCompleted, qt.Commentf("%s: %s", s.ID, answer.Detail))
-		p, _ := f.cluster.Set.Pipeline(s.Pipeline)
+	for _, e := range dossiers.exchanges {
+		answer := e.Answers[0]
+		f.Check(answer.Outcome, qt.Equals, entry.OutcomeCompleted, qt.Commentf("%s: %s", e.ID, answer.Detail))
+		p, _ := f.cluster.Set.Pipeline(e.Pipeline)
 		id := answer.Location[strings.LastIndex(answer.Location, "/")+1:]
 		for _, stage := range p.Stages {
 			if !recorded[jobStage{id, stage.Name}] {
 				continue
 			}
-			key := stageRun{s.ID, stage.Pool}
-			f.Check(after[key], qt.Equals, before[key], qt.Commentf("runs of stage %s of %s", stage.Name, s.ID))
+			key := stageRun{e.ID, stage.Pool}
+			f.Check(after[key], qt.Equals, before[key], qt.Commentf("runs of stage %s of %s", stage.Name, e.ID))
 			checked++
 		}
 	}
--- a/internal/proof/load_test.go
+++ b/internal/proof/load_test.go
@@ -48,14 +48,14 @@
 
 	mu          sync.Mutex
 	random      *rand.Rand
-	ready       []*instance
-	targets     []*instance
-	planned     []traffic.Request
-	round       int
-	sent        []traffic.Exchange
-	started     int
-	interrupted int
-	problems    map[string]int
+	ready       []*instance       // the targets that passed their last readiness check
+	targets     []*instance       // the instances to which requests are sent
+	planned     []traffic.Request // the requests of the round that are not yet sent
+	round       int               // number of the plan, part of its request IDs
+	exchanges   []traffic.Exchange
+	started     int            // number of requests taken from the plans
+	interrupted int            // number of attempts without a final answer
+	problems    map[string]int // counts by kind, outcome and detail
 }
 
 // startLoad starts callers that send requests of all kinds to the target instances,
@@ -139,9 +139,9 @@
 		if !ok {
 			return
 		}
-		sent := l.sendAll(request)
+		exchange := l.sendAll(request)
 		l.mu.Lock()
-		l.sent = append(l.sent, sent)
+		l.exchanges = append(l.exchanges, exchange)
 		l.mu.Unlock()
 		time.Sleep(thinkTime)
 	}
@@ -180,28 +180,28 @@
 	l.f.waitUntil("end of running requests", func() bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		return len(l.sent) >= target
+		return len(l.exchanges) >= target
 	})
 }
 
 // sendAll sends a request and its repeats. For half of the requests they are
 // concurrent, for the others sequential.
 func (l *load) sendAll(r traffic.Request) traffic.Exchange {
-	sent := traffic.Exchange{Request: r, Answers: make([]traffic.Answer, r.Repeats+1)}
+	exchange := traffic.Exchange{Request: r, Answers: make([]traffic.Answer, r.Repeats+1)}
 	var interrupted atomic.Int32
 	var group errgroup.Group
 	if len(r.ID)%2 == 0 {
 		group.SetLimit(1)
 	}
-	for n := range sent.Answers {
+	for n := range exchange.Answers {
 		group.Go(func() error {
-			sent.Answers[n] = l.send(r, &interrupted)
+			exchange.Answers[n] = l.send(r, &interrupted)
 			return nil
 		})
 	}
 	_ = group.Wait() // the functions return no error
-	sent.Interrupted = int(interrupted.Load())
-	return sent
+	exchange.Interrupted = int(interrupted.Load())
+	return exchange
 }
 
 // send sends a request to random instances until there is a final answer. Sending it
@@ -246,8 +246,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
-	for _, s := range l.sent {
-		if selects(s.Request) && s.Answers[0].Outcome == entry.OutcomeCompleted {
+	for _, e := range l.exchanges {
+		if selects(e.Request) && e.Answers[0].Outcome == entry.OutcomeCompleted {
 			n++
 		}
 	}
@@ -272,11 +272,11 @@
 	l.end()
 	v := traffic.NewVerifier(l.f.cluster.Set, l.f.cluster.Runs())
 	var counts traffic.Counts
-	for _, s := range l.sent {
-		requestCounts := v.Count(s)
+	for _, e := range l.exchanges {
+		requestCounts := v.Count(e)
 		if requestCounts.Violations() > 0 {
-			l.f.Logf("%s: %s %+v", s.ID, s.Kind.Name, requestCounts)
-			for _, a := range s.Answers {
+			l.f.Logf("%s: %s %+v", e.ID, e.Kind.Name, requestCounts)
+			for _, a := range e.Answers {
 				l.f.Logf("    outcome %q, %d bytes, digest %q: %s", a.Outcome, len(a.Body), a.Digest, a.Detail)
 			}
 		}
--- a/internal/proof/proxy_test.go
+++ b/internal/proof/proxy_test.go
@@ -40,7 +40,7 @@
 // does: connections stay open, and there are no answers.
 func (p *faultProxy) blackhole() {
 	for _, stream := range []string{"upstream", "downstream"} {
-		p.addToxic("cut-"+stream, "timeout", stream, `"timeout": 0`)
+		p.addToxic("blackhole-"+stream, "timeout", stream, `"timeout": 0`)
 	}
 }
 
--- a/internal/proof/stop_test.go
+++ b/internal/proof/stop_test.go
@@ -17,5 +17,5 @@
 		f.waitReady(i)
 	}
 	l.verify("SIGTERM and restart of each instance")
-	f.Check(l.interrupted, qt.Equals, 0, qt.Commentf("requests cut off"))
+	f.Check(l.interrupted, qt.Equals, 0, qt.Commentf("interrupted requests"))
 }
--- a/internal/proof/store_test.go
+++ b/internal/proof/store_test.go
@@ -85,7 +85,7 @@
 	f.partition.setIsolated(false, isolatedDomain)
 	l.retarget(f.inDomain(isolatedDomain)...)
 	l.waitMore(20, atMostOnce)
-	l.verify("store cut", "then list and peers cut")
+	l.verify("store unreachable", "then instance list and peers unreachable")
 }
 
 // Guards against an instance that does not become ready when it is restarted during a
@@ -104,5 +104,5 @@
 	f.storeProxies[isolatedDomain].heal()
 	f.partition.setIsolated(false, isolatedDomain)
 	l.waitMore(30, atMostOnce)
-	l.verify("failure domain cut off from store and peers", "SIGKILL and restart")
+	l.verify("failure domain isolated from store and peers", "SIGKILL and restart")
 }
--- a/internal/virtualtime/virtualtime_test.go
+++ b/internal/virtualtime/virtualtime_test.go
@@ -12,14 +12,14 @@
 func TestEventsRunInOrder(t *testing.T) {
 	c := qt.New(t)
 	start := time.Unix(1000, 0)
-	var a EventQueue
+	var q EventQueue
 	var ran []time.Duration
 	record := func(now time.Time) { ran = append(ran, now.Sub(start)) }
-	a.At(start.Add(3), record)
-	a.At(start.Add(1), func(now time.Time) {
+	q.At(start.Add(3), record)
+	q.At(start.Add(1), func(now time.Time) {
 		record(now)
-		a.At(now.Add(1), record)
+		q.At(now.Add(1), record)
 	})
-	a.Run()
+	q.Run()
 	c.Assert(ran, qt.DeepEquals, []time.Duration{1, 2, 3})
 }
