--- a/internal/proof/backend_test.go
+++ b/internal/proof/backend_test.go
@@ -15,8 +15,8 @@
 const drainPropagationLimit = 3 * time.Second
 
 // Guards against new requests to a draining server from an instance that cannot reach
-// the instance list and was not refused by the server itself. It has to learn from
-// its peers that the server drains.
+// the instance list and was not refused by the server itself. Its only source is the
+// report of a peer that was refused.
 func TestServerDrainsWithoutInstanceList(t *testing.T) {
 	f := startLongScenario(t, "server-leaves")
 	const serverDomain = "norte-adega" // has a second server of the pool
