--- a/internal/claims/attempt.go
+++ b/internal/claims/attempt.go
@@ -150,7 +150,7 @@
 		if attempts == nil {
 			return
 		}
-		events.ClaimsUnsettled.Log(context.Background(), c.Log, slog.Int("claims", len(attempts)))
+		events.ClaimsUnrecorded.Log(context.Background(), c.Log, slog.Int("claims", len(attempts)))
 		c.retryBatch(attempts)
 	}
 }
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -86,7 +86,7 @@
 		err = claim.Release(ctx)
 	}
 	if err != nil {
-		events.ClaimNotSettled.Log(ctx, h.Executor.Logger,
+		events.ClaimNotRecorded.Log(ctx, h.Executor.Logger,
 			slog.String("organisation", request.Organisation.Name),
 			slog.String("kind", request.Kind.Name),
 			slog.String("outcome", string(result.Outcome)),
--- a/internal/entry/statussections.go
+++ b/internal/entry/statussections.go
@@ -148,9 +148,9 @@
 // stateStatus is the section "state" of the status: claims and jobs.
 type stateStatus struct {
 	ClaimsRunning int `json:"claims_running"`
-	// ClaimsUnsettled is the number of ended claims whose outcome is not recorded
+	// ClaimsUnrecorded is the number of ended claims whose outcome is not recorded
 	// yet.
-	ClaimsUnsettled int `json:"claims_unsettled"`
+	ClaimsUnrecorded int `json:"claims_unsettled"`
 	JobsRunning     int `json:"jobs_running"`
 	// JobLease is true while this instance holds the lease that allows it to run
 	// jobs.
@@ -168,8 +168,8 @@
 		return
 	}
 	status.Add("state", func() any {
-		running, unsettled := c.Counts()
+		running, unrecorded := c.Counts()
 		jobsRunning, lease := j.Counts()
-		return stateStatus{running, unsettled, jobsRunning, lease}
+		return stateStatus{running, unrecorded, jobsRunning, lease}
 	})
 }
--- a/internal/events/entry.go
+++ b/internal/events/entry.go
@@ -13,6 +13,6 @@
 	ServeFailed     = define(1006, slog.LevelError, "a listener failed")
 	RequestFinished = define(1100, slog.LevelDebug, "request finished")
 	StageRetried    = define(1101, slog.LevelInfo, "stage failed and is retried on another backend server")
-	ClaimNotSettled = define(1102, slog.LevelError, "outcome of a claimed request could not be recorded")
+	ClaimNotRecorded = define(1102, slog.LevelError, "outcome of a claimed request could not be recorded")
 	ListUnavailable = define(1200, slog.LevelWarn, "instance list could not be read")
 )
--- a/internal/events/state.go
+++ b/internal/events/state.go
@@ -4,7 +4,7 @@
 
 // Events of claims, jobs and the store, 2000 to 2999.
 var (
-	ClaimsUnsettled = define(2000, slog.LevelWarn, "outcomes of claims are not recorded yet and are retried")
+	ClaimsUnrecorded = define(2000, slog.LevelWarn, "outcomes of claims are not recorded yet and are retried")
 
 	JobLeaseAcquired = define(2100, slog.LevelInfo, "lease for durable jobs was acquired")
 	JobLeaseLost     = define(2101, slog.LevelWarn, "lease for durable jobs was lost, running jobs stop")
