--- a/internal/capacity/limits.go
+++ b/internal/capacity/limits.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, err
 	}
-	summary, _, err := costPerCall(20, func(int) { limiter.Summary(now) })
+	summary, _, err := costPerCall(20, func(int) { limiter.DemandReport(now) })
 	return []figure{
 		{"processor time of a rate decision", "ns", decision},
 		{"allocations of a rate decision", "objects", objects},
--- a/internal/capacity/routing.go
+++ b/internal/capacity/routing.go
@@ -53,7 +53,7 @@
 		return nil, err
 	}
 	counts, _, err := costPerCall(20, func(i int) {
-		pool.SetPeerCounts(fmt.Sprint("instance-", i), pool.Counts(), now)
+		pool.SetPeerCounts(fmt.Sprint("instance-", i), pool.InFlightCounts(), now)
 	})
 	return []figure{
 		{"processor time of a decision", "ns", withoutPrefix},
--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -237,17 +237,17 @@
 
 // Demand returns the requests per second that this instance receives from each
 // organisation. It is shared with the other instances.
-func (a *AdmissionControl) Demand() quota.Summary {
+func (a *AdmissionControl) Demand() quota.DemandReport {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.rates.Summary(a.now())
+	return a.rates.DemandReport(a.now())
 }
 
 // SetPeers sets the demand that other instances and failure domains reported.
-func (a *AdmissionControl) SetPeers(summaries []quota.Summary) {
+func (a *AdmissionControl) SetPeers(reports []quota.DemandReport) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.rates.SetPeers(summaries)
+	a.rates.SetPeers(reports)
 }
 
 // admissionProblem returns the problem of a request that the queue refused.
--- a/internal/entry/gossip.go
+++ b/internal/entry/gossip.go
@@ -52,7 +52,7 @@
 
 // reportedCount is an in-flight count of a peer and the time of its report.
 type reportedCount struct {
-	count routing.ServerCount
+	count routing.InFlightCount
 	at    time.Time
 }
 
@@ -121,9 +121,9 @@
 		g.counts[out.Instance] = known
 	}
 	for _, count := range out.Counts {
-		known[count.Server] = reportedCount{routing.ServerCount{ID: count.Server, InFlight: count.InFlight, Long: count.Long}, now}
+		known[count.Server] = reportedCount{routing.InFlightCount{ID: count.Server, InFlight: count.InFlight, Long: count.Long}, now}
 	}
-	var merged []routing.ServerCount
+	var merged []routing.InFlightCount
 	for server, count := range known {
 		if now.Sub(count.at) > countLifetime {
 			delete(known, server)
@@ -133,7 +133,7 @@
 	}
 	g.mu.Unlock()
 	for pool := range g.servers.snapshot() {
-		g.servers.PeerCounts(out.Instance, pool, merged)
+		g.servers.SetPeerCounts(out.Instance, pool, merged)
 	}
 }
 
@@ -155,11 +155,11 @@
 // others, by which the rates of organisations are divided among the instances.
 func (g *gossip) exchangeDemand() {
 	own := membershipDemand(g.admission.Demand())
-	var peers []quota.Summary
+	var peers []quota.DemandReport
 	g.members.Do(func(s *membership.State) []membership.Output {
 		s.SetDemand(own)
 		for _, report := range s.PeerDemand(time.Now()) {
-			peers = append(peers, quotaSummary(report))
+			peers = append(peers, quotaDemandReport(report))
 		}
 		return nil
 	})
@@ -168,8 +168,8 @@
 
 // membershipDemand converts demand for heartbeats. Demand below a thousandth of a
 // request per second is dropped.
-func membershipDemand(summary quota.Summary) (demand []membership.Demand) {
-	for _, d := range summary.Largest {
+func membershipDemand(report quota.DemandReport) (demand []membership.Demand) {
+	for _, d := range report.Largest {
 		if rate := int64(d.PerSecond * milliPerUnit); rate > 0 {
 			demand = append(demand, membership.Demand{Organisation: d.Organisation, MilliPerSecond: rate})
 		}
@@ -177,13 +177,13 @@
 	return demand
 }
 
-// quotaSummary converts a demand report of a peer for admission control.
-func quotaSummary(report membership.DemandReport) quota.Summary {
-	summary := quota.Summary{Instances: report.Instances, Incomplete: !report.Complete}
+// quotaDemandReport converts a demand report of a peer for admission control.
+func quotaDemandReport(report membership.DemandReport) quota.DemandReport {
+	converted := quota.DemandReport{Instances: report.Instances, Incomplete: !report.Complete}
 	for _, d := range report.Demand {
-		summary.Largest = append(summary.Largest, quota.Demand{Organisation: d.Organisation, PerSecond: float64(d.MilliPerSecond) / milliPerUnit})
+		converted.Largest = append(converted.Largest, quota.Demand{Organisation: d.Organisation, PerSecond: float64(d.MilliPerSecond) / milliPerUnit})
 	}
-	return summary
+	return converted
 }
 
 // milliPerUnit converts requests per second to thousandths of them.
@@ -201,14 +201,14 @@
 		reporters = s.PeerStragglers()
 		return s.SetStragglers(own)
 	})
-	g.servers.PeerStragglers(reporters)
+	g.servers.SetPeerStragglers(reporters)
 }
 
 // reportInFlight publishes the requests in flight of this instance.
 func (g *gossip) reportInFlight() {
 	var counts []membership.InFlightCount
 	load := 0
-	for _, pool := range g.servers.Counts() {
+	for _, pool := range g.servers.InFlightCounts() {
 		for _, count := range pool {
 			counts = append(counts, membership.InFlightCount{Server: count.ID, InFlight: count.InFlight, Long: count.Long})
 			load += count.InFlight
--- a/internal/entry/gossip_test.go
+++ b/internal/entry/gossip_test.go
@@ -80,11 +80,11 @@
 	}
 	f.now = f.now.Add(time.Second)
 	for i, state := range f.states {
-		state.SetDemand(membershipDemand(f.shares[i].Summary(f.now)))
+		state.SetDemand(membershipDemand(f.shares[i].DemandReport(f.now)))
 		f.deliver(state.Tick(f.now))
-		var peers []quota.Summary
+		var peers []quota.DemandReport
 		for _, report := range state.PeerDemand(f.now) {
-			peers = append(peers, quotaSummary(report))
+			peers = append(peers, quotaDemandReport(report))
 		}
 		f.shares[i].SetPeers(peers)
 	}
--- a/internal/entry/serverstate.go
+++ b/internal/entry/serverstate.go
@@ -78,9 +78,9 @@
 	return p.pool.HasRemoteCapacity(now)
 }
 
-// PeerCounts sets the calls that another instance has in flight at the servers of
+// SetPeerCounts sets the calls that another instance has in flight at the servers of
 // a pool. The caller must not change the slice afterwards.
-func (s *Servers) PeerCounts(instance, pool string, counts []routing.ServerCount) {
+func (s *Servers) SetPeerCounts(instance, pool string, counts []routing.InFlightCount) {
 	if p := s.findPool(pool); p != nil {
 		p.mu.Lock()
 		defer p.mu.Unlock()
@@ -88,12 +88,12 @@
 	}
 }
 
-// Counts returns the calls that this instance has in flight, by pool and server.
-func (s *Servers) Counts() map[string][]routing.ServerCount {
-	counts := map[string][]routing.ServerCount{}
+// InFlightCounts returns the calls that this instance has in flight, by pool and server.
+func (s *Servers) InFlightCounts() map[string][]routing.InFlightCount {
+	counts := map[string][]routing.InFlightCount{}
 	for name, p := range s.snapshot() {
 		p.mu.Lock()
-		counts[name] = p.pool.Counts()
+		counts[name] = p.pool.InFlightCounts()
 		p.mu.Unlock()
 	}
 	return counts
@@ -118,9 +118,9 @@
 	return ids
 }
 
-// PeerStragglers sets the stragglers that other instances reported: for each server
+// SetPeerStragglers sets the stragglers that other instances reported: for each server
 // ID the number of instances that did.
-func (s *Servers) PeerStragglers(reporters map[string]int) {
+func (s *Servers) SetPeerStragglers(reporters map[string]int) {
 	for _, p := range s.snapshot() {
 		p.mu.Lock()
 		p.pool.SetPeerStragglers(reporters, s.now())
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -210,10 +210,10 @@
 func exchangeCounts(ctx context.Context, peers []*entry.Servers) {
 	repeatEvery(ctx, heartbeatInterval, func() {
 		for from, sender := range peers {
-			counts := sender.Counts()[poolName]
+			counts := sender.InFlightCounts()[poolName]
 			for to, receiver := range peers {
 				if to != from {
-					receiver.PeerCounts(fmt.Sprint(from), poolName, counts)
+					receiver.SetPeerCounts(fmt.Sprint(from), poolName, counts)
 				}
 			}
 		}
@@ -238,7 +238,7 @@
 				}
 			}
 		}
-		receiver.PeerStragglers(reports)
+		receiver.SetPeerStragglers(reports)
 	}
 }
 
--- a/quota/ratelimiter.go
+++ b/quota/ratelimiter.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// MaxListedOrganisations is the maximum number of organisations that the summary of
+// MaxListedOrganisations is the maximum number of organisations that the report of
 // one instance lists.
 const MaxListedOrganisations = 16
 
@@ -17,10 +17,10 @@
 	PerSecond float64
 }
 
-// Summary is the demand that one instance, or one failure domain, reports to its
+// DemandReport is the demand that one instance, or one failure domain, reports to its
 // peers.
-type Summary struct {
-	// Instances is the number of instances that the summary covers.
+type DemandReport struct {
+	// Instances is the number of instances that the report covers.
 	Instances int
 	// Largest lists the organisations with the highest demand.
 	Largest []Demand
@@ -56,7 +56,7 @@
 	// organisation that none of them lists.
 	unlistedDemand float64
 	instances      int
-	// listed holds the organisations in this instance's last summary.
+	// listed holds the organisations in this instance's last report.
 	listed map[string]bool
 }
 
@@ -116,10 +116,10 @@
 	}
 }
 
-// Summary returns this instance's demand, to be reported to its peers. It selects
+// DemandReport returns this instance's demand, to be reported to its peers. It selects
 // the largest organisations in one pass: sorting 19,000 of them each second would
 // exceed the processor time that is allowed for all control-plane work.
-func (l *RateLimiter) Summary(now time.Time) Summary {
+func (l *RateLimiter) DemandReport(now time.Time) DemandReport {
 	largest := make([]Demand, 0, MaxListedOrganisations+1)
 	for name, o := range l.organisations {
 		o.decay(now)
@@ -128,7 +128,7 @@
 		}
 	}
 	l.setListed(largest)
-	return Summary{Instances: 1, Largest: largest}
+	return DemandReport{Instances: 1, Largest: largest}
 }
 
 // insertLargest inserts a demand into a sorted list and drops the smallest when there
@@ -147,7 +147,7 @@
 	return cmp.Or(cmp.Compare(b.PerSecond, a.PerSecond), cmp.Compare(a.Organisation, b.Organisation))
 }
 
-// setListed records the organisations that this instance's summary lists.
+// setListed records the organisations that this instance's report lists.
 func (l *RateLimiter) setListed(largest []Demand) {
 	clear(l.listed)
 	for _, d := range largest {
@@ -156,24 +156,24 @@
 }
 
 // maxUnlistedDemand returns an upper bound of the demand of an organisation that the
-// summary does not list.
-func (s Summary) maxUnlistedDemand() float64 {
-	if !s.Incomplete || len(s.Largest) == 0 {
+// report does not list.
+func (r DemandReport) maxUnlistedDemand() float64 {
+	if !r.Incomplete || len(r.Largest) == 0 {
 		return 0
 	}
 	byDemand := func(a, b Demand) int { return cmp.Compare(a.PerSecond, b.PerSecond) }
-	return slices.MinFunc(s.Largest, byDemand).PerSecond
+	return slices.MinFunc(r.Largest, byDemand).PerSecond
 }
 
-// SetPeers replaces the summaries of the other instances and failure domains.
-func (l *RateLimiter) SetPeers(summaries []Summary) {
+// SetPeers replaces the demand reports of the other instances and failure domains.
+func (l *RateLimiter) SetPeers(reports []DemandReport) {
 	clear(l.peerDemand)
 	l.instances, l.unlistedDemand = 1, 0
-	for _, summary := range summaries {
-		l.instances += summary.Instances
-		maxUnlisted := summary.maxUnlistedDemand()
+	for _, report := range reports {
+		l.instances += report.Instances
+		maxUnlisted := report.maxUnlistedDemand()
 		l.unlistedDemand += maxUnlisted
-		for _, demand := range summary.Largest {
+		for _, demand := range report.Largest {
 			l.peerDemand[demand.Organisation] += demand.PerSecond - maxUnlisted
 		}
 	}
@@ -197,7 +197,7 @@
 // If this instance or a peer lists the organisation, the share is proportional to
 // this instance's part of the demand, so that idle instances leave their part to the
 // others; otherwise all instances have equal shares. The shares of all instances add
-// up to at most 1 when their summaries are current, since each instance counts at
+// up to at most 1 when their reports are current, since each instance counts at
 // least the demand of the others.
 func (l *RateLimiter) share(name string, o *organisationState, now time.Time) float64 {
 	others, listed := l.peerDemand[name]
--- a/quota/ratelimiter_test.go
+++ b/quota/ratelimiter_test.go
@@ -55,9 +55,9 @@
 	for step := range 2000 {
 		now = now.Add(10 * time.Millisecond)
 		if step%100 == 0 {
-			busySummary, quietSummary := busy.Summary(now), quiet.Summary(now)
-			busy.SetPeers([]Summary{quietSummary})
-			quiet.SetPeers([]Summary{busySummary})
+			busyReport, quietReport := busy.DemandReport(now), quiet.DemandReport(now)
+			busy.SetPeers([]DemandReport{quietReport})
+			quiet.SetPeers([]DemandReport{busyReport})
 		}
 		for _, limiter := range []*RateLimiter{busy, quiet} {
 			if limiter == quiet && step%9 != 0 {
@@ -81,7 +81,7 @@
 		limiter.Observe(fmt.Sprint(i), 1, limiterStart)
 	}
 	qt.Assert(t, len(limiter.organisations) <= maxOrganisations, qt.IsTrue)
-	qt.Assert(t, limiter.Summary(limiterStart).Largest, qt.HasLen, MaxListedOrganisations)
+	qt.Assert(t, limiter.DemandReport(limiterStart).Largest, qt.HasLen, MaxListedOrganisations)
 }
 
 func benchmarkRateLimiter(b *testing.B, organisations int) {
@@ -104,15 +104,15 @@
 func BenchmarkRateLimiter5(b *testing.B)     { benchmarkRateLimiter(b, 5) }
 func BenchmarkRateLimiter19000(b *testing.B) { benchmarkRateLimiter(b, 19000) }
 
-// Guards against a summary that lists organisations other than the largest, or in
+// Guards against a report that lists organisations other than the largest, or in
 // the wrong order.
-func TestSummaryListsTheLargest(t *testing.T) {
+func TestDemandReportListsTheLargest(t *testing.T) {
 	c := qt.New(t)
 	limiter := NewRateLimiter()
 	for i := range 100 {
 		limiter.Observe(fmt.Sprintf("o%02d", i), float64(1+i*37%50), limiterStart)
 	}
-	got := limiter.Summary(limiterStart).Largest
+	got := limiter.DemandReport(limiterStart).Largest
 	c.Assert(got, qt.HasLen, MaxListedOrganisations)
 	for i, demand := range got {
 		// Each of the demands 50, 49, ... belongs to two organisations, 50 apart.
@@ -121,19 +121,19 @@
 	}
 }
 
-func benchmarkSummary(b *testing.B, organisations int) {
+func benchmarkDemandReport(b *testing.B, organisations int) {
 	limiter := NewRateLimiter()
 	for i := range organisations {
 		limiter.Observe(fmt.Sprint("organisation-", i), float64(1+i%7), limiterStart)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		limiter.Summary(limiterStart)
+		limiter.DemandReport(limiterStart)
 	}
 }
 
-func BenchmarkSummary5(b *testing.B)     { benchmarkSummary(b, 5) }
-func BenchmarkSummary19000(b *testing.B) { benchmarkSummary(b, 19000) }
+func BenchmarkDemandReport5(b *testing.B)     { benchmarkDemandReport(b, 5) }
+func BenchmarkDemandReport19000(b *testing.B) { benchmarkDemandReport(b, 19000) }
 
 // Guards against shares of one rate that add up to more than 1: because a peer's
 // list is full and omits the organisation, or because no instance lists it and each
@@ -148,10 +148,10 @@
 		quiet.Observe(fmt.Sprint(i), 5, limiterStart)
 	}
 	quiet.Observe("acme", 4, limiterStart)
-	full := quiet.Summary(limiterStart)
+	full := quiet.DemandReport(limiterStart)
 	full.Incomplete = true
-	busy.SetPeers([]Summary{full})
-	quiet.SetPeers([]Summary{busy.Summary(limiterStart)})
+	busy.SetPeers([]DemandReport{full})
+	quiet.SetPeers([]DemandReport{busy.DemandReport(limiterStart)})
 	sum := func(name string) float64 {
 		return busy.share(name, busy.getOrCreate(name, limiterStart), limiterStart) + quiet.share(name, quiet.getOrCreate(name, limiterStart), limiterStart)
 	}
--- a/quota/state.go
+++ b/quota/state.go
@@ -18,7 +18,7 @@
 }
 
 // Shares returns the shares of the organisations that this instance or a peer
-// lists in its summary, sorted by name.
+// lists in its demand report, sorted by name.
 func (l *RateLimiter) Shares(now time.Time) []OrganisationShare {
 	var shares []OrganisationShare
 	for name := range l.listed {
--- a/routing/pool.go
+++ b/routing/pool.go
@@ -53,7 +53,7 @@
 
 // receivedCounts are the calls in flight that another instance last reported.
 type receivedCounts struct {
-	counts     []ServerCount
+	counts     []InFlightCount
 	receivedAt int64
 }
 
@@ -289,16 +289,16 @@
 
 // SetPeerCounts replaces the calls in flight that another instance reported. The
 // pool keeps the slice.
-func (p *Pool) SetPeerCounts(instance string, counts []ServerCount, now time.Time) {
+func (p *Pool) SetPeerCounts(instance string, counts []InFlightCount, now time.Time) {
 	p.peerCounts[instance] = receivedCounts{counts: counts, receivedAt: now.UnixNano()}
 }
 
-// Counts returns this instance's calls in flight, to be reported to its peers.
-func (p *Pool) Counts() []ServerCount {
-	var counts []ServerCount
+// InFlightCounts returns this instance's calls in flight, to be reported to its peers.
+func (p *Pool) InFlightCounts() []InFlightCount {
+	var counts []InFlightCount
 	for _, index := range p.ordered {
 		if s := &p.servers[index]; s.inFlight > 0 {
-			counts = append(counts, ServerCount{ID: s.ID, InFlight: s.inFlight, Long: s.long})
+			counts = append(counts, InFlightCount{ID: s.ID, InFlight: s.inFlight, Long: s.long})
 		}
 	}
 	return counts
--- a/routing/pool_test.go
+++ b/routing/pool_test.go
@@ -104,7 +104,7 @@
 				id := rapid.SampledFrom(all).Draw(t, "drain").ID
 				draining[id] = pool.Drain(id) || draining[id]
 			case 2:
-				counts := []ServerCount{{ID: all[0].ID, InFlight: 5, Long: 2}}
+				counts := []InFlightCount{{ID: all[0].ID, InFlight: 5, Long: 2}}
 				pool.SetPeerCounts("peer", counts, now)
 			case 3, 4, 5, 6:
 				class := rapid.SampledFrom([]pipeline.Class{pipeline.ClassInteractive, pipeline.ClassLong}).Draw(t, "class")
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -84,8 +84,8 @@
 	Waiting int
 }
 
-// ServerCount is the number of calls that one instance has in flight at a server.
-type ServerCount struct {
+// InFlightCount is the number of calls that one instance has in flight at a server.
+type InFlightCount struct {
 	ID       string
 	InFlight int
 	// Long is the number of calls of the long class among InFlight.
