--- a/internal/entry/statussections.go
+++ b/internal/entry/statussections.go
@@ -151,7 +151,7 @@
 	// ClaimsUnrecorded is the number of ended claims whose outcome is not recorded
 	// yet.
 	ClaimsUnrecorded int `json:"claims_unsettled"`
-	JobsRunning     int `json:"jobs_running"`
+	JobsRunning      int `json:"jobs_running"`
 	// JobLease is true while this instance holds the lease that allows it to run
 	// jobs.
 	JobLease bool `json:"job_lease"`
