--- a/internal/gateway/clientrequest.go
+++ b/internal/gateway/clientrequest.go
@@ -71,7 +71,7 @@
 // mayRetry reports whether the number of sends, the time left and the retry budget
 // allow that the request is sent to another server.
 func (c *clientRequest) mayRetry() bool {
-	return c.sends < c.route.Attempts() && c.remaining() > minRetryTime && c.fleet.AllowRetry(c.service.Name)
+	return c.sends < c.route.Attempts() && c.remaining() > minRetryTime && c.servers.AllowRetry(c.service.Name)
 }
 
 // minRetryTime is the least time left for which a request is retried.
--- a/internal/gateway/daemon.go
+++ b/internal/gateway/daemon.go
@@ -62,7 +62,7 @@
 	PeerServer *peer.Server
 	Cluster    *Cluster
 	Views      *view.Sync
-	Fleet      *Fleet
+	Servers    *Servers
 	Upstream   *upstream.Client
 	Scheduler  *StageScheduler
 	Placer     *Placer
@@ -82,7 +82,7 @@
 			peer.NewClient,
 			peer.NewServer,
 			NewCluster,
-			NewFleet,
+			NewServers,
 			NewStageRunner,
 			NewPlacer,
 			func() Protocol { return adapter.Protocol },
@@ -96,11 +96,11 @@
 			func(upstreamClient *upstream.Client, views *view.Sync) *ResultFreer {
 				return NewResultFreer(adapter.Protocol, upstreamClient, serverByAddress(views), logger)
 			},
-			func(upstreamClient *upstream.Client, fleet *Fleet, freer *ResultFreer, m *metrics.Metrics) *StageScheduler {
-				return NewStageScheduler(adapter.Protocol, upstreamClient, fleet, freer, logger, m.Scope)
+			func(upstreamClient *upstream.Client, servers *Servers, freer *ResultFreer, m *metrics.Metrics) *StageScheduler {
+				return NewStageScheduler(adapter.Protocol, upstreamClient, servers, freer, logger, m.Scope)
 			},
-			func(views *view.Sync, fleet *Fleet, upstreamClient *upstream.Client, stages *StageRunner, placer *Placer, drain *Drain, m *metrics.Metrics) *Gateway {
-				return New(adapter.Protocol, views, fleet, upstreamClient, stages, placer, drain, logger, m.Scope)
+			func(views *view.Sync, servers *Servers, upstreamClient *upstream.Client, stages *StageRunner, placer *Placer, drain *Drain, m *metrics.Metrics) *Gateway {
+				return New(adapter.Protocol, views, servers, upstreamClient, stages, placer, drain, logger, m.Scope)
 			},
 			func() *Drain { return NewDrain(s.Grace()) },
 			func() *readiness.Readiness { return &readiness.Readiness{Logger: logger, Ready: events.GatewayReady} },
@@ -159,7 +159,7 @@
 
 // start opens the listeners and starts watching the store and the peers.
 func (d *daemon) start(ctx context.Context) error {
-	d.Views.Observe(d.Fleet.Update)
+	d.Views.Observe(d.Servers.Update)
 	d.Views.Observe(d.Scheduler.Update)
 	d.Views.Observe(d.Frontend.Update)
 	d.Node.Observe(func(output membership.Output) {
@@ -181,7 +181,7 @@
 	go d.Views.Run(ctx)
 	go d.Cluster.Register(ctx)
 	go clock.Every(ctx, restoreInterval, func() { d.Placer.Restore(ctx) })
-	go clock.Every(ctx, closeIdleInterval, func() { d.Upstream.CloseIdle(time.Now(), d.Fleet.InUse) })
+	go clock.Every(ctx, closeIdleInterval, func() { d.Upstream.CloseIdle(time.Now(), d.Servers.InUse) })
 	events.GatewayStarted.Log(ctx, d.Logger, slog.String("instance", d.Settings.Instance), slog.String("region", d.Settings.Region),
 		slog.String("failure_domain", d.Settings.FailureDomain), slog.String("address", d.Settings.ClientAddress))
 	return nil
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -21,7 +21,7 @@
 type Gateway struct {
 	protocol   Protocol
 	views      *view.Sync
-	fleet      *Fleet
+	servers    *Servers
 	upstream   *upstream.Client
 	stages     *StageRunner
 	placer     *Placer
@@ -53,8 +53,8 @@
 }
 
 // New returns a gateway that serves requests by the current view of views.
-func New(protocol Protocol, views *view.Sync, fleet *Fleet, upstreamClient *upstream.Client, stages *StageRunner, placer *Placer, drain *Drain, logger *slog.Logger, scope tally.Scope) *Gateway {
-	return &Gateway{protocol: protocol, views: views, fleet: fleet, upstream: upstreamClient, stages: stages, placer: placer, drain: drain, logger: logger, metrics: newRequestMetrics(scope), runTimes: newMovingAverages(), fetchEstimates: newFetchEstimates(), bodyMemory: newBodyMemory()}
+func New(protocol Protocol, views *view.Sync, servers *Servers, upstreamClient *upstream.Client, stages *StageRunner, placer *Placer, drain *Drain, logger *slog.Logger, scope tally.Scope) *Gateway {
+	return &Gateway{protocol: protocol, views: views, servers: servers, upstream: upstreamClient, stages: stages, placer: placer, drain: drain, logger: logger, metrics: newRequestMetrics(scope), runTimes: newMovingAverages(), fetchEstimates: newFetchEstimates(), bodyMemory: newBodyMemory()}
 }
 
 // InFlight returns the number of requests in flight.
@@ -86,7 +86,7 @@
 		c.refuse("draining", shortRetryAfter)
 		return
 	}
-	g.fleet.CountRequest(c.service.Name)
+	g.servers.CountRequest(c.service.Name)
 	if c.service.Engine != nil {
 		c.serveEngine()
 		return
@@ -127,7 +127,7 @@
 		timeout = min(timeout, c.requestInfo.Timeout)
 	}
 	c.deadline = c.arrived.Add(timeout)
-	c.service = table.Service(c.route.ChooseService(c.fleet.RandomFloat64()))
+	c.service = table.Service(c.route.ChooseService(c.servers.RandomFloat64()))
 	if c.service == nil {
 		c.refuse("no service", longRetryAfter)
 		return false
--- a/internal/gateway/inputs.go
+++ b/internal/gateway/inputs.go
@@ -23,14 +23,14 @@
 	local, all := map[string]int{}, map[string]int{}
 	for _, s := range g.view.Servers[g.route.Stages[largest].Service] {
 		all[s.FailureDomain]++
-		if g.fleet.InRegion(s.FailureDomain) {
+		if g.servers.InRegion(s.FailureDomain) {
 			local[s.FailureDomain]++
 		}
 	}
 	if len(local) == 0 {
 		local = all
 	}
-	domain := engine.ChooseDomain(g.requestInfo.Prompt, local, g.fleet.RandomFloat64())
+	domain := engine.ChooseDomain(g.requestInfo.Prompt, local, g.servers.RandomFloat64())
 	if g.inputBytes() < largeInputBytes {
 		return domain
 	}
@@ -119,7 +119,7 @@
 		g.inputDomain = g.chooseInputDomain()
 	}
 	var typical time.Duration
-	g.fleet.WithEngineScheduler(g.service.Name, func(s *engine.Scheduler) { typical = s.TypicalDelay() })
+	g.servers.WithEngineScheduler(g.service.Name, func(s *engine.Scheduler) { typical = s.TypicalDelay() })
 	ctx, cancel := g.waitingContext()
 	defer cancel()
 	inputs, err := g.stages.Run(ctx, StagePlan{
--- a/internal/gateway/placementsharing.go
+++ b/internal/gateway/placementsharing.go
@@ -64,7 +64,7 @@
 		return
 	}
 	now := time.Now()
-	p.fleet.WithEngineScheduler(request.Service, func(s *engine.Scheduler) {
+	p.servers.WithEngineScheduler(request.Service, func(s *engine.Scheduler) {
 		for _, placed := range request.Placements {
 			s.RecordCached(now, placed.Server, decodeParts(placed.Parts))
 		}
--- a/internal/gateway/placer.go
+++ b/internal/gateway/placer.go
@@ -36,7 +36,7 @@
 type Placer struct {
 	cluster    *Cluster
 	peerClient *peer.Client
-	fleet      *Fleet
+	servers    *Servers
 	// upstream and protocol read the cached prompt parts of model servers.
 	upstream *upstream.Client
 	protocol Protocol
@@ -51,16 +51,16 @@
 	pendingShares map[string][]*peerpb.SharedPlacement
 }
 
-// NewPlacer returns a placer for the model servers of fleet.
-func NewPlacer(cluster *Cluster, peerClient *peer.Client, fleet *Fleet, upstreamClient *upstream.Client, protocol Protocol, logger *slog.Logger) *Placer {
-	return &Placer{cluster: cluster, peerClient: peerClient, fleet: fleet, upstream: upstreamClient, protocol: protocol, logger: logger, restored: map[string]bool{}, pendingShares: map[string][]*peerpb.SharedPlacement{}}
+// NewPlacer returns a placer for the model servers in servers.
+func NewPlacer(cluster *Cluster, peerClient *peer.Client, servers *Servers, upstreamClient *upstream.Client, protocol Protocol, logger *slog.Logger) *Placer {
+	return &Placer{cluster: cluster, peerClient: peerClient, servers: servers, upstream: upstreamClient, protocol: protocol, logger: logger, restored: map[string]bool{}, pendingShares: map[string][]*peerpb.SharedPlacement{}}
 }
 
 // Restore reads the cached prompt parts of the model servers of each service whose
 // prompts this instance has begun to place, because the state of the instance that
 // placed them before is lost.
 func (p *Placer) Restore(ctx context.Context) {
-	for _, service := range p.fleet.EngineServices() {
+	for _, service := range p.servers.EngineServices() {
 		owned := p.cluster.Owners(placementKey(service))[0] == ""
 		if owned && !p.restored[service] {
 			p.restore(ctx, service)
@@ -71,9 +71,9 @@
 
 func (p *Placer) restore(ctx context.Context, service string) {
 	var ids []string
-	p.fleet.WithEngineScheduler(service, func(s *engine.Scheduler) { ids = s.LocalServers() })
+	p.servers.WithEngineScheduler(service, func(s *engine.Scheduler) { ids = s.LocalServers() })
 	for _, id := range ids {
-		server, known := p.fleet.Server(id)
+		server, known := p.servers.Server(id)
 		if !known {
 			continue
 		}
@@ -82,7 +82,7 @@
 			events.CacheUnknown.Log(ctx, p.logger, slog.String("server", id), slog.Any("error", err))
 			continue
 		}
-		p.fleet.WithEngineScheduler(service, func(s *engine.Scheduler) { s.ReplaceCached(id, parts) })
+		p.servers.WithEngineScheduler(service, func(s *engine.Scheduler) { s.ReplaceCached(id, parts) })
 	}
 	events.PlacerChanged.Log(ctx, p.logger, slog.String("service", service), slog.Int("servers", len(ids)))
 }
@@ -120,7 +120,7 @@
 	bounded, cancel := context.WithTimeout(ctx, placePromptTimeout)
 	defer cancel()
 	response, err := p.peerClient.PlacePrompt(bounded, address, request)
-	if err == nil && response.Server != "" && p.fleet.InUse(response.Server) {
+	if err == nil && response.Server != "" && p.servers.InUse(response.Server) {
 		return engine.Placement{Server: response.Server, Expected: time.Duration(response.ExpectedUs) * time.Microsecond, FailureDomain: response.FailureDomain, CopyFrom: response.CopyFrom}, true
 	}
 	if err != nil && ctx.Err() == nil {
@@ -131,7 +131,7 @@
 }
 
 func (p *Placer) placeLocally(service string, q engine.Query) (placed engine.Placement, ok bool) {
-	p.fleet.WithEngineScheduler(service, func(s *engine.Scheduler) { placed, ok = s.Place(time.Now(), q) })
+	p.servers.WithEngineScheduler(service, func(s *engine.Scheduler) { placed, ok = s.Place(time.Now(), q) })
 	return placed, ok
 }
 
@@ -155,7 +155,7 @@
 
 // Report records the outcome of a placement, here and at the instance that made it.
 func (p *Placer) Report(service string, r engine.Report) {
-	p.fleet.WithEngineScheduler(service, func(s *engine.Scheduler) { s.Report(time.Now(), r) })
+	p.servers.WithEngineScheduler(service, func(s *engine.Scheduler) { s.Report(time.Now(), r) })
 	address := p.cluster.Owners(placementKey(service))[0]
 	if address == "" {
 		return
@@ -177,5 +177,5 @@
 		Server: request.Server, Failed: request.Failed, Refused: request.Refused,
 		Expected: time.Duration(request.ExpectedUs) * time.Microsecond, Delay: time.Duration(request.DelayUs) * time.Microsecond,
 	}
-	p.fleet.WithEngineScheduler(request.Service, func(s *engine.Scheduler) { s.Report(time.Now(), r) })
+	p.servers.WithEngineScheduler(request.Service, func(s *engine.Scheduler) { s.Report(time.Now(), r) })
 }
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -62,7 +62,7 @@
 func (c *clientRequest) pickServer(excluded []routing.ServerIndex) (send plainSend, ok bool) {
 	now := time.Now()
 	var id string
-	c.fleet.WithPool(c.service.Name, func(pool *routing.Pool, random *rand.Rand) {
+	c.servers.WithPool(c.service.Name, func(pool *routing.Pool, random *rand.Rand) {
 		if send.index, ok = pool.Pick(now, random, newPlainQuery(c.remaining(), excluded)); ok {
 			id = pool.ID(send.index)
 			pool.Started(send.index, pipeline.ClassInteractive, now)
@@ -72,7 +72,7 @@
 		return send, false
 	}
 	send.started = now
-	server, known := c.fleet.Server(id)
+	server, known := c.servers.Server(id)
 	if !known {
 		c.finishSend(send, routing.Refused)
 		return send, false
@@ -86,7 +86,7 @@
 // finishSend records the outcome of a call and stops counting it in the server's load.
 func (c *clientRequest) finishSend(send plainSend, outcome routing.Outcome) {
 	now := time.Now()
-	c.fleet.WithPool(c.service.Name, func(pool *routing.Pool, _ *rand.Rand) {
+	c.servers.WithPool(c.service.Name, func(pool *routing.Pool, _ *rand.Rand) {
 		pool.Finished(send.index, pipeline.ClassInteractive, routing.Result{Outcome: outcome, Latency: now.Sub(send.started)}, now)
 	})
 }
@@ -123,7 +123,7 @@
 	defer answer.Close()
 	info := c.protocol.ReadAnswer(answer.Status, answer.Header)
 	if info.Load != nil {
-		c.fleet.WithPool(c.service.Name, func(pool *routing.Pool, _ *rand.Rand) { pool.RecordLoad(send.index, *info.Load, time.Now()) })
+		c.servers.WithPool(c.service.Name, func(pool *routing.Pool, _ *rand.Rand) { pool.RecordLoad(send.index, *info.Load, time.Now()) })
 	}
 	if info.NotRun {
 		c.finishSend(send, routing.Refused)
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/servers.go
@@ -25,9 +25,9 @@
 // server.
 const minServerConnections = 2
 
-// Fleet holds the backend servers of the current view, and for their services the server
+// Servers holds the backend servers of the current view, and for their services the server
 // pools, the schedulers of model servers and the retry budgets of this instance.
-type Fleet struct {
+type Servers struct {
 	settings  settings.Gateway
 	instances func() int
 
@@ -39,9 +39,9 @@
 	budgets          map[string]*routing.RetryBudget
 }
 
-// NewFleet returns a fleet without servers.
-func NewFleet(s settings.Gateway, cluster *Cluster) *Fleet {
-	return &Fleet{
+// NewServers returns Servers that are empty until the first Update.
+func NewServers(s settings.Gateway, cluster *Cluster) *Servers {
+	return &Servers{
 		settings: s, instances: cluster.InstanceCount,
 		random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		pools:  map[string]*routing.Pool{}, engineSchedulers: map[string]*engine.Scheduler{},
@@ -50,25 +50,25 @@
 }
 
 // Update replaces the servers by those of a new view.
-func (f *Fleet) Update(v *view.View) {
+func (s *Servers) Update(v *view.View) {
 	if v.Table == nil {
 		return
 	}
-	instances := f.instances()
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.servers = map[string]upstream.Server{}
+	instances := s.instances()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.servers = map[string]upstream.Server{}
 	for i := range v.Table.Services {
 		service := &v.Table.Services[i]
-		for _, s := range v.Servers[service.Name] {
-			f.servers[s.ID] = upstream.Server{ID: s.ID, Address: s.Address, MaxConnections: connectionLimit(service, instances)}
+		for _, server := range v.Servers[service.Name] {
+			s.servers[server.ID] = upstream.Server{ID: server.ID, Address: server.Address, MaxConnections: connectionLimit(service, instances)}
 		}
 		switch {
 		case service.StageProfile != nil:
 		case service.Engine != nil:
-			f.updateEngineScheduler(service, v.Servers[service.Name])
+			s.updateEngineScheduler(service, v.Servers[service.Name])
 		default:
-			f.updatePool(service.Name, v.Servers[service.Name])
+			s.updatePool(service.Name, v.Servers[service.Name])
 		}
 	}
 }
@@ -80,72 +80,72 @@
 	return max(minServerConnections, int(connectionLimitShare*float64(service.MaxConnections))/instances)
 }
 
-func (f *Fleet) updateEngineScheduler(service *route.Service, listed []view.Server) {
-	scheduler := f.engineSchedulers[service.Name]
+func (s *Servers) updateEngineScheduler(service *route.Service, listed []view.Server) {
+	scheduler := s.engineSchedulers[service.Name]
 	if scheduler == nil {
-		scheduler = engine.NewScheduler(f.settings.Region)
-		f.engineSchedulers[service.Name] = scheduler
+		scheduler = engine.NewScheduler(s.settings.Region)
+		s.engineSchedulers[service.Name] = scheduler
 	}
 	servers := make([]engine.Server, len(listed))
-	for i, s := range listed {
-		servers[i] = engine.Server{ID: s.ID, Region: f.settings.Regions[s.FailureDomain], FailureDomain: s.FailureDomain, Incarnation: s.Incarnation,
+	for i, server := range listed {
+		servers[i] = engine.Server{ID: server.ID, Region: s.settings.Regions[server.FailureDomain], FailureDomain: server.FailureDomain, Incarnation: server.Incarnation,
 			CacheTokens: service.Engine.CacheTokens, CopyRate: service.Engine.CopyRate()}
 	}
 	scheduler.SetServers(servers)
 }
 
-func (f *Fleet) updatePool(service string, listed []view.Server) {
-	pool := f.pools[service]
+func (s *Servers) updatePool(service string, listed []view.Server) {
+	pool := s.pools[service]
 	if pool == nil {
-		pool = routing.NewPool(routing.Location{Region: f.settings.Region, FailureDomain: f.settings.FailureDomain})
-		f.pools[service] = pool
+		pool = routing.NewPool(routing.Location{Region: s.settings.Region, FailureDomain: s.settings.FailureDomain})
+		s.pools[service] = pool
 	}
 	servers := make([]routing.Server, len(listed))
-	for i, s := range listed {
-		servers[i] = routing.Server{ID: s.ID, Region: f.settings.Regions[s.FailureDomain], FailureDomain: s.FailureDomain, Slots: s.Slots, Incarnation: s.Incarnation}
+	for i, server := range listed {
+		servers[i] = routing.Server{ID: server.ID, Region: s.settings.Regions[server.FailureDomain], FailureDomain: server.FailureDomain, Slots: server.Slots, Incarnation: server.Incarnation}
 	}
 	pool.SetServers(servers, time.Now())
 }
 
 // Server returns the address and connection limit of a server, and false when it is
 // not in use.
-func (f *Fleet) Server(id string) (upstream.Server, bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	s, ok := f.servers[id]
-	return s, ok
+func (s *Servers) Server(id string) (upstream.Server, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	server, ok := s.servers[id]
+	return server, ok
 }
 
 // InRegion reports whether a failure domain is in this instance's region.
-func (f *Fleet) InRegion(domain string) bool {
-	return f.settings.Regions[domain] == f.settings.Region
+func (s *Servers) InRegion(domain string) bool {
+	return s.settings.Regions[domain] == s.settings.Region
 }
 
 // InUse reports whether the current view lists a server.
-func (f *Fleet) InUse(id string) bool {
-	_, ok := f.Server(id)
+func (s *Servers) InUse(id string) bool {
+	_, ok := s.Server(id)
 	return ok
 }
 
 // WithPool calls use with the pool of a plain service while it holds the lock. It
 // returns false when there is no such pool.
-func (f *Fleet) WithPool(service string, use func(*routing.Pool, *rand.Rand)) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	pool := f.pools[service]
+func (s *Servers) WithPool(service string, use func(*routing.Pool, *rand.Rand)) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	pool := s.pools[service]
 	if pool == nil {
 		return false
 	}
-	use(pool, f.random)
+	use(pool, s.random)
 	return true
 }
 
 // WithEngineScheduler calls use with the scheduler of the model servers of a service
 // while it holds the lock. It returns false when there is no such scheduler.
-func (f *Fleet) WithEngineScheduler(service string, use func(*engine.Scheduler)) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	scheduler := f.engineSchedulers[service]
+func (s *Servers) WithEngineScheduler(service string, use func(*engine.Scheduler)) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	scheduler := s.engineSchedulers[service]
 	if scheduler == nil {
 		return false
 	}
@@ -154,10 +154,10 @@
 }
 
 // EngineServices returns the names of the services of model servers.
-func (f *Fleet) EngineServices() []string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return slices.Collect(maps.Keys(f.engineSchedulers))
+func (s *Servers) EngineServices() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.Collect(maps.Keys(s.engineSchedulers))
 }
 
 const (
@@ -169,40 +169,40 @@
 )
 
 // budget returns the retry budget of a service. It is called with the lock held.
-func (f *Fleet) budget(service string) *routing.RetryBudget {
-	b := f.budgets[service]
+func (s *Servers) budget(service string) *routing.RetryBudget {
+	b := s.budgets[service]
 	if b == nil {
-		share := retrySlackShare * f.settings.RetrySlack / float64(f.instances())
+		share := retrySlackShare * s.settings.RetrySlack / float64(s.instances())
 		b = routing.NewRetryBudget(routing.RetryBudgetConfig{
-			Ratio:     retryRatioShare * f.settings.RetryRatio,
-			PerSecond: share / f.settings.RetryWindowSeconds,
+			Ratio:     retryRatioShare * s.settings.RetryRatio,
+			PerSecond: share / s.settings.RetryWindowSeconds,
 			Burst:     max(1, share),
 		}, time.Now())
-		f.budgets[service] = b
+		s.budgets[service] = b
 	}
 	return b
 }
 
 // CountRequest counts a request for the retry budget of its service.
-func (f *Fleet) CountRequest(service string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.budget(service).Request(time.Now())
+func (s *Servers) CountRequest(service string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.budget(service).Request(time.Now())
 }
 
 // AllowRetry takes one retry from the budget of a service. It returns false when the
 // budget is used up.
-func (f *Fleet) AllowRetry(service string) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.budget(service).Allow(time.Now())
+func (s *Servers) AllowRetry(service string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.budget(service).Allow(time.Now())
 }
 
 // RandomFloat64 returns a random number in [0, 1).
-func (f *Fleet) RandomFloat64() float64 {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.random.Float64()
+func (s *Servers) RandomFloat64() float64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.random.Float64()
 }
 
 // newPlainQuery returns the query that picks a server for a plain request.
--- a/internal/gateway/stagecalls.go
+++ b/internal/gateway/stagecalls.go
@@ -52,7 +52,7 @@
 func (s *StageScheduler) sendCall(call stagework.Call, pieces []Piece) ([]stagework.Outcome, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), call.Timeout)
 	defer cancel()
-	server, ok := s.fleet.Server(call.Server)
+	server, ok := s.servers.Server(call.Server)
 	if !ok {
 		return stagework.SameOutcome(stagework.Refused, len(pieces)), nil
 	}
--- a/internal/gateway/stagescheduler.go
+++ b/internal/gateway/stagescheduler.go
@@ -35,7 +35,7 @@
 type StageScheduler struct {
 	protocol    Protocol
 	upstream    *upstream.Client
-	fleet       *Fleet
+	servers     *Servers
 	logger      *slog.Logger
 	calls       tally.Counter
 	callsFailed tally.Counter
@@ -49,9 +49,9 @@
 }
 
 // NewStageScheduler returns a scheduler without services.
-func NewStageScheduler(protocol Protocol, upstreamClient *upstream.Client, fleet *Fleet, freer *ResultFreer, logger *slog.Logger, scope tally.Scope) *StageScheduler {
+func NewStageScheduler(protocol Protocol, upstreamClient *upstream.Client, servers *Servers, freer *ResultFreer, logger *slog.Logger, scope tally.Scope) *StageScheduler {
 	return &StageScheduler{
-		protocol: protocol, upstream: upstreamClient, fleet: fleet, freer: freer, logger: logger,
+		protocol: protocol, upstream: upstreamClient, servers: servers, freer: freer, logger: logger,
 		calls: scope.Counter("stage_calls"), callsFailed: scope.Counter("stage_calls_refused"), callTime: scope.Timer("stage_call_time"),
 		queues: map[string]*serviceQueue{},
 	}
@@ -83,7 +83,7 @@
 	for _, server := range listed {
 		converted := stagework.Server{ID: server.ID, FailureDomain: server.FailureDomain}
 		all = append(all, converted)
-		if s.fleet.InRegion(server.FailureDomain) {
+		if s.servers.InRegion(server.FailureDomain) {
 			local = append(local, converted)
 		}
 	}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -61,7 +61,7 @@
 		return g.giveUp("no server", longRetryAfter, nil)
 	}
 	g.tried = append(g.tried, placed.Server)
-	server, known := g.fleet.Server(placed.Server)
+	server, known := g.servers.Server(placed.Server)
 	if !known {
 		return false // the server was removed since it was chosen
 	}
@@ -71,7 +71,7 @@
 		slog.Int64("left_ms", g.remaining().Milliseconds()), slog.Int("inputs", len(g.inputs)), slog.Int64("expected_ms", placed.Expected.Milliseconds()),
 		slog.String("copy_from", placed.CopyFrom), slog.Int64("crossing_bytes", crossDomainBytes(inputs, placed.FailureDomain)),
 		slog.Int64("view", g.viewVersion()))
-	source, _ := g.fleet.Server(placed.CopyFrom)
+	source, _ := g.servers.Server(placed.CopyFrom)
 	request := g.outgoingRequest(server, SendInfo{Urgency: &urgency, Inputs: g.inputs, LastEventID: g.lastID, CopyFrom: source.Address})
 	stop := g.freeInputsWhenFetched()
 	answer, err := g.upstream.Send(g.ctx, server, request)
