--- a/internal/backend/http_test.go
+++ b/internal/backend/http_test.go
@@ -41,11 +41,11 @@
 	defer stream.Close()
 	var answer strings.Builder
 	for {
-		piece, err := stream.Next()
+		chunk, err := stream.Next()
 		if err != nil {
 			return answer.String(), err
 		}
-		answer.Write(piece)
+		answer.Write(chunk)
 	}
 }
 
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -16,7 +16,7 @@
 // maxEventBytes limits the size of one server-sent event.
 const maxEventBytes = 4 << 20
 
-// answerStream is a whole JSON answer as a stream of one piece.
+// answerStream is a whole JSON answer as a stream of one chunk.
 type answerStream struct {
 	output json.RawMessage
 	read   bool
--- a/internal/backend/wire.go
+++ b/internal/backend/wire.go
@@ -10,7 +10,7 @@
 	HeaderPriority = "Priority"
 	PathStage      = "/v1/stages/"
 
-	// EventChunk carries a piece of a generated stream, EventEnd marks its end.
+	// EventChunk carries a chunk of a generated stream, EventEnd marks its end.
 	EventChunk = "chunk"
 	EventEnd   = "end"
 )
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -116,7 +116,7 @@
 }
 
 // MarkDraining publishes a drain marker for a backend server that refused a call
-// because it is leaving.
+// because it is draining.
 func (m *Members) MarkDraining(server string, incarnation int64, lifetime time.Duration) {
 	m.Do(func(s *membership.State) []membership.Output {
 		return s.MarkDraining(time.Now(), server, incarnation, lifetime)
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -109,11 +109,11 @@
 	return response.GetOutcome(), fromTwirp(err, "await_claim", address)
 }
 
-// HandOverJob offers a durable job to another instance.
-func (c *Client) HandOverJob(ctx context.Context, address string, job []byte) (accepted bool, err error) {
+// HandOverJob offers the durable job with an ID to another instance.
+func (c *Client) HandOverJob(ctx context.Context, address string, id []byte) (accepted bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	response, err := c.peer(address).HandOverJob(ctx, &peerpb.HandOverJobRequest{Job: job})
+	response, err := c.peer(address).HandOverJob(ctx, &peerpb.HandOverJobRequest{Job: id})
 	return response.GetAccepted(), fromTwirp(err, "hand_over_job", address)
 }
 
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -75,7 +75,7 @@
 
 func (fakeHandler) AwaitClaim(_ context.Context, claim []byte) ([]byte, error) { return claim, nil }
 
-func (fakeHandler) HandOverJob(_ context.Context, job []byte) (bool, error) { return len(job) > 0, nil }
+func (fakeHandler) HandOverJob(_ context.Context, id []byte) (bool, error) { return len(id) > 0, nil }
 
 func startServer(c *qt.C, server *Server) (address string) {
 	listener := httptest.NewServer(server.Handler())
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -30,8 +30,8 @@
 	Part(digest []byte) ([]byte, bool)
 }
 
-// ClaimHandler serves at-most-once claims. Records, results, claims and outcomes are
-// in the encoding of the claim package.
+// ClaimHandler serves at-most-once claims. Records are in the encoding of
+// claim.EncodeOp; results, claims and outcomes are JSON of package internal/claims.
 type ClaimHandler interface {
 	AppendClaims(ctx context.Context, shard int, records [][]byte) (results [][]byte, err error)
 	// AwaitClaim waits for the outcome of an attempt that this instance holds.
@@ -40,7 +40,8 @@
 
 // JobHandler takes over durable jobs.
 type JobHandler interface {
-	HandOverJob(ctx context.Context, job []byte) (accepted bool, err error)
+	// HandOverJob takes over the job with an ID, if it accepts the job.
+	HandOverJob(ctx context.Context, id []byte) (accepted bool, err error)
 }
 
 // StageHandler runs stages of requests that other instances serve.
