--- a/claim/claim.go
+++ b/claim/claim.go
@@ -1,7 +1,8 @@
 // Package claim decides on claims of idempotency keys, which make requests run at
 // most once. The claims of a shard are stored as a chain of segments, an
 // append-only log. A Shard holds the index of the claims in memory and prepares
-// the next write to the chain. The package does no I/O.
+// the next write to the chain. The package does no I/O; its adapter, package
+// internal/claims, reads and writes the store.
 package claim
 
 import (
--- a/config/head.go
+++ b/config/head.go
@@ -1,6 +1,7 @@
-// Package config implements versioned configuration: a head that refers to
-// content-addressed parts, the rules for replacing one revision by another,
-// differences, the state machine of a publish and the audit trail. It does no I/O.
+// Package config implements the versioned configuration of entry instances: a head
+// that refers to content-addressed parts, the rules for replacing one revision by
+// another, differences, the state machine of a publish and the audit trail. It does
+// no I/O; package internal/configuration reads and writes the store.
 package config
 
 import (
--- a/config/messages.go
+++ b/config/messages.go
@@ -90,7 +90,7 @@
 	// PartsWritten.
 	WriteParts struct{ Parts Parts }
 	// WriteHead replaces the head by compare-and-swap if its store version is
-	// Expect. Input: HeadWritten.
+	// ExpectedVersion. Input: HeadWritten.
 	WriteHead struct {
 		ExpectedVersion int64
 		Value           []byte
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -3,6 +3,8 @@
 // expected time depends on the prompts that were placed at a server before, and on the
 // parts of the prompt that it is expected to have in its prompt cache.
 //
+// Model servers are called engines in names and in the packages that entry instances use.
+//
 // The package does no I/O and reads no clock.
 package engine
 
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -1,6 +1,7 @@
 // Package backend calls backend servers: model engines, encoder, retriever and
 // reranker pools, and plain services. Caller is the interface that the execution of
-// pipelines uses; each wire protocol has one adapter that implements it.
+// pipelines uses; each wire protocol has one adapter that implements it. Entry
+// instances use the package; gateways use package internal/upstream.
 package backend
 
 import (
@@ -51,9 +52,9 @@
 	Timeout time.Duration
 }
 
-// StageStream is the answer of a stage, read in pieces.
+// StageStream is the answer of a stage, read in chunks.
 type StageStream interface {
-	// Next returns the next piece of the answer. It returns io.EOF only after the
+	// Next returns the next chunk of the answer. It returns io.EOF only after the
 	// server marked the end of the whole answer.
 	Next() ([]byte, error)
 	// Close ends the call, and cancels it when the answer is not complete.
--- a/internal/configuration/publisher.go
+++ b/internal/configuration/publisher.go
@@ -1,5 +1,6 @@
 // Package configuration publishes configurations to the store, and keeps the
-// configuration of an instance up to date from the store and from peers.
+// configuration of an entry instance up to date from the store and from peers. The
+// rules for both are in package config.
 package configuration
 
 import (
--- a/internal/entry/daemon.go
+++ b/internal/entry/daemon.go
@@ -1,7 +1,8 @@
-// Package entry implements the daemon of an entry instance. It serves the caller
-// API, runs requests through the stages of their pipelines on backend servers,
-// and connects the protocol packages (admission, claim, membership, quota,
-// routing and others) to the network, the clock and the store.
+// Package entry implements the daemon of an entry instance; the other daemon is in
+// package internal/gateway. It serves the caller API, runs requests through the
+// stages of their pipelines on backend servers, and connects the packages that do no
+// I/O (admission, claim, membership, quota, routing and others) to the network, the
+// clock and the store.
 package entry
 
 import (
--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -1,4 +1,5 @@
-// Package gateway serves HTTP clients: it routes each request by one snapshot of the
+// Package gateway implements the daemon of a gateway; the other daemon is in package
+// internal/entry. It serves HTTP clients: it routes each request by one snapshot of the
 // configuration, runs the stages of its route, forwards it to a backend server and
 // passes the answer back. Protocol adapts it to the platform that it runs on.
 package gateway
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,5 +1,7 @@
 // Package platform reads the platform's list of instances and backend servers. The
 // list lags behind the actual state, so callers use it as a hint only.
+// Entry instances use it; gateways find backend servers in the store, see package
+// internal/view.
 package platform
 
 import (
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,6 +1,7 @@
 // Package upstream sends HTTP/1.1 requests to backend servers over a pool of persistent
 // connections. A connection carries one request at a time, and the package never sends a
-// request again by itself. An answer to another request is dropped.
+// request again by itself. An answer to another request is dropped. Gateways
+// use the package; entry instances call backend servers with package internal/backend.
 package upstream
 
 import (
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -1,4 +1,4 @@
-// Package view maintains an instance's copy of what a gateway needs from the store: the
+// Package view maintains a gateway's copy of what it needs from the store: the
 // configuration and the backend servers. It follows the store with one watch, and pulls
 // changes from other instances where the store cannot be reached.
 package view
--- a/job/record.go
+++ b/job/record.go
@@ -1,6 +1,6 @@
 // Package job decides on durable jobs: the content of a job's record, which
 // instance may write it, and when another instance takes the job over. It does no
-// I/O.
+// I/O; its adapter, package internal/jobs, reads and writes the store.
 package job
 
 import (
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,5 +1,6 @@
 // Package lease decides by the local clock whether a store lease is still valid,
-// and keeps the fencing token of its holder. It does no I/O.
+// and keeps the fencing token of its holder. It does no I/O; its adapter, package
+// internal/leases, calls the store.
 package lease
 
 import "time"
--- a/membership/message.go
+++ b/membership/message.go
@@ -1,7 +1,7 @@
 // Package membership implements gossip membership: the live members of the own
 // failure domain, summaries of the other failure domains, drain markers of backend
-// servers, and the load that peers report. It is a state machine without I/O; the
-// adapter sends the messages that it returns.
+// servers, and the load that peers report. It is a state machine without I/O; its
+// adapter, package internal/peer, sends the messages that it returns.
 package membership
 
 import (
@@ -47,7 +47,8 @@
 	State   MemberState
 	// Load is the number of requests in flight.
 	Load int
-	// Revision is the configuration revision in force.
+	// Revision is the configuration revision in force. A gateway sets it to the store
+	// version of its view.
 	Revision int64
 }
 
--- a/order/order.go
+++ b/order/order.go
@@ -1,8 +1,8 @@
 // Package order reconciles model engines with the configuration: it compares the
 // state that each engine reports with its desired state and returns the orders
 // (control commands) that the leader of a failure domain sends to correct the
-// difference. It does no I/O and reads no clock; the caller passes the time and
-// sends the orders.
+// difference. It does no I/O and reads no clock; the caller, package
+// internal/orders, passes the time and sends the orders.
 package order
 
 import "time"
--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -1,6 +1,7 @@
 // Package pipeline defines the configuration that operators write in files:
 // deployments, pipelines, stages, request kinds and organisations. It reads these
-// files from a file system that the caller passes and checks their rules.
+// files from a file system that the caller passes and checks their rules. It is the
+// configuration of entry instances; that of gateways is in package route.
 package pipeline
 
 import "time"
--- a/route/route.go
+++ b/route/route.go
@@ -1,6 +1,6 @@
 // Package route holds the configuration of a gateway: which requests go to which
 // service, under which limits, and which organisation an API key belongs to. It does no
-// I/O and reads no clock.
+// I/O and reads no clock. The configuration of entry instances is in package pipeline.
 package route
 
 import (
@@ -77,7 +77,8 @@
 	ResultBytes int64
 }
 
-// Service is a set of equivalent backend servers.
+// Service is a set of equivalent backend servers, called a pool in packages pipeline and
+// routing.
 type Service struct {
 	Name string
 	// MaxConnections is the largest number of connections that all instances together
--- a/stagework/stagework.go
+++ b/stagework/stagework.go
@@ -4,8 +4,9 @@
 // all instances of a region.
 //
 // A request is divided into stages, and a stage into pieces. A Job is the pieces of
-// one stage of one request. Each piece produces one result, which stays in the memory
-// of its server until it is freed. "Room" in names means memory for results.
+// one stage of one request, not a durable job as in package job. Each piece produces
+// one result, which stays in the memory of its server until it is freed. "Room" in
+// names means memory for results.
 //
 // The package does no I/O and reads no clock.
 package stagework
