--- a/engine/copy.go
+++ b/engine/copy.go
@@ -5,7 +5,7 @@
 const (
 	// minCopyTokens is the smallest number of tokens that are copied.
 	minCopyTokens = 256
-	// minCopySpeedup is how many times faster than a prefill at initialPrefillRate a
+	// minCopySpeedup is how many times faster than a prefill at initialPrefillTokensPerSecond a
 	// copy must be.
 	minCopySpeedup = 2
 	// copyPenaltyPerToken is the cost of a copied token beyond the time of the copy,
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -1,6 +1,7 @@
 // Package backend calls backend servers: model engines, encoder, retriever and
 // reranker pools, and plain services. Caller is the interface that the execution of
-// pipelines uses; each wire protocol has one adapter that implements it.
+// pipelines uses; each wire protocol has one adapter that implements it. Entry
+// instances use the package; gateways use package internal/upstream.
 package backend
 
 import (
--- a/internal/entry/serverstate.go
+++ b/internal/entry/serverstate.go
@@ -80,7 +80,7 @@
 
 // SetPeerCounts sets the calls that another instance has in flight at the servers of
 // a pool. The caller must not change the slice afterwards.
-func (s *Servers) SetPeerCounts(instance, pool string, counts []routing.ServerCount) {
+func (s *Servers) SetPeerCounts(instance, pool string, counts []routing.InFlightCount) {
 	if p := s.findPool(pool); p != nil {
 		p.mu.Lock()
 		defer p.mu.Unlock()
@@ -88,12 +88,12 @@
 	}
 }
 
-// Counts returns the calls that this instance has in flight, by pool and server.
-func (s *Servers) Counts() map[string][]routing.ServerCount {
-	counts := map[string][]routing.ServerCount{}
+// InFlightCounts returns the calls that this instance has in flight, by pool and server.
+func (s *Servers) InFlightCounts() map[string][]routing.InFlightCount {
+	counts := map[string][]routing.InFlightCount{}
 	for name, p := range s.snapshot() {
 		p.mu.Lock()
-		counts[name] = p.pool.Counts()
+		counts[name] = p.pool.InFlightCounts()
 		p.mu.Unlock()
 	}
 	return counts
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -210,7 +210,7 @@
 func exchangeCounts(ctx context.Context, peers []*entry.Servers) {
 	repeatEvery(ctx, heartbeatInterval, func() {
 		for from, sender := range peers {
-			counts := sender.Counts()[poolName]
+			counts := sender.InFlightCounts()[poolName]
 			for to, receiver := range peers {
 				if to != from {
 					receiver.SetPeerCounts(fmt.Sprint(from), poolName, counts)
