--- a/internal/entry/policies.go
+++ b/internal/entry/policies.go
@@ -81,7 +81,7 @@
 	now := r.now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.budget.Request(now)
+	r.budget.CountRequest(now)
 }
 
 func (r *lockedRetryBudget) Allow() bool {
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -187,7 +187,7 @@
 func (s *Servers) CountRequest(service string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.budget(service).Request(time.Now())
+	s.budget(service).CountRequest(time.Now())
 }
 
 // AllowRetry takes one retry from the budget of a service. It returns false when the
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -30,8 +30,8 @@
 	return &RetryBudget{config: config, last: now}
 }
 
-// Request counts one first attempt.
-func (b *RetryBudget) Request(now time.Time) {
+// CountRequest counts one request. It is called at the first attempt only.
+func (b *RetryBudget) CountRequest(now time.Time) {
 	b.refill(now)
 	b.add(b.config.Ratio)
 }
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -24,7 +24,7 @@
 				latest = now
 			}
 			if rapid.Bool().Draw(t, "request") {
-				budget.Request(now)
+				budget.CountRequest(now)
 				requests++
 				continue
 			}
