--- a/routing/affinity.go
+++ b/routing/affinity.go
@@ -3,6 +3,7 @@
 // pickByPrefix returns the first server in the rendezvous order of the prompt prefix
 // whose load is within the bound, or noServer.
 func (p *Pool) pickByPrefix(t int64, q *Query, mode eligibilityMode, candidates []ServerIndex) ServerIndex {
+	// The mean load includes the call that is being placed.
 	load, slots := 1.0, 0.0
 	for _, i := range candidates {
 		s := &p.servers[i]
--- a/routing/hedge.go
+++ b/routing/hedge.go
@@ -62,5 +62,5 @@
 		s := &p.servers[index]
 		load += float64(s.inFlight) + s.peerInFlight
 	}
-	return load > hedgeMaxLoad*float64(p.slots)
+	return load > hedgeMaxLoad*float64(p.liveSlots)
 }
--- a/routing/home.go
+++ b/routing/home.go
@@ -179,7 +179,8 @@
 const overdueFactor = 1.5
 
 // overdue reports whether the mean age of a server's running calls of one class is
-// far above the latency of nearly all answers of the pool.
+// far above the latency of nearly all answers of the pool. hedgeDelay is the 95th
+// percentile.
 func (p *Pool) overdue(s *server, t int64) bool {
 	for class := range classCount {
 		series := &s.latency[seriesTotal][class]
--- a/routing/pool.go
+++ b/routing/pool.go
@@ -69,8 +69,9 @@
 	ordered    []ServerIndex
 	tierEnd    [tierCount]int
 	peerCounts map[string]receivedCounts
-	// slots is the sum of the slots of the live servers.
-	slots int
+	// liveSlots is the sum of the slots of the live servers of all regions, draining ones
+	// included.
+	liveSlots int
 	// self is the ID of this instance, and instances are all entry instances of the
 	// region, sorted by ID.
 	self      string
@@ -84,9 +85,11 @@
 	nextOverdueCheck int64
 	nextHalving      int64
 	medians          [seriesCount][classCount]float64
-	totalLatency     [classCount]histogram
-	times            [classCount]StageTimes
-	hedgeDelay       [classCount]time.Duration
+	// totalLatency holds the latencies of answers from servers at full weight. times
+	// and hedgeDelay, its quantile hedgeQuantile, are computed from it by maintain.
+	totalLatency [classCount]histogram
+	times        [classCount]StageTimes
+	hedgeDelay   [classCount]time.Duration
 	// scratch is reused by computeMedians.
 	scratch []float64
 	// lowered is the number of live servers whose weight is lowered.
@@ -162,13 +165,13 @@
 // servers that have no calls in flight.
 func (p *Pool) reorder() {
 	p.ordered = p.ordered[:0]
-	p.slots = 0
+	p.liveSlots = 0
 	for i := range p.servers {
 		s := &p.servers[i]
 		switch {
 		case s.live:
 			p.ordered = append(p.ordered, ServerIndex(i))
-			p.slots += s.Slots
+			p.liveSlots += s.Slots
 		case s.ID != "" && s.inFlight == 0:
 			delete(p.byID, s.ID)
 			*s = server{}
