--- a/internal/entry/state.go
+++ b/internal/entry/claimsandjobs.go
@@ -18,10 +18,10 @@
 	"github.com/coltsfootdrift/coltsfootdrift/internal/settings"
 )
 
-// stateOptions provides claims and jobs to an instance with a store.
-var stateOptions = fx.Options(
+// claimsAndJobsOptions provides claims and jobs to an instance with a store.
+var claimsAndJobsOptions = fx.Options(
 	fx.Provide(newDirectory, newClaims, newJobs, newClaimsAndJobs),
-	fx.Invoke(runState),
+	fx.Invoke(runClaimsAndJobs),
 )
 
 // instanceDirectory implements claims.Directory with the platform's instance list.
@@ -152,8 +152,8 @@
 	}
 }
 
-// stateParams are the dependencies of runState.
-type stateParams struct {
+// claimsAndJobsParams are the dependencies of runClaimsAndJobs.
+type claimsAndJobsParams struct {
 	fx.In
 	Claims *claims.Claims
 	Jobs   *jobs.Jobs
@@ -161,8 +161,8 @@
 	Steps  *StopSteps
 }
 
-// runState serves claims and jobs to the other instances and runs jobs.
-func runState(lc fx.Lifecycle, p stateParams) {
+// runClaimsAndJobs serves claims and jobs to the other instances and runs jobs.
+func runClaimsAndJobs(lc fx.Lifecycle, p claimsAndJobsParams) {
 	if p.Claims == nil || p.Jobs == nil {
 		return
 	}
--- a/internal/entry/daemon.go
+++ b/internal/entry/daemon.go
@@ -60,7 +60,7 @@
 		),
 		fx.Invoke(serveAdmin, runInstanceListPoller),
 		controlOptions,
-		stateOptions,
+		claimsAndJobsOptions,
 		fx.Options(options...),
 		fx.Invoke(updateServersFromList, runAdmissionAndLoadPolling, runOrders, addStatusSections, serveCallers),
 	)
