--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -40,7 +40,9 @@
 	queue   *admission.Queue
 	waiters map[uint64]chan admission.Decision
 	// durationRatio is the moving average of a request's total duration divided
-	// by the duration of its stage in this pool.
+	// by the duration of its stage in this pool. The share of the slots is multiplied
+	// by it to get the share of the queue: an admitted request counts as running
+	// throughout all its stages, but uses a slot of this pool only in one of them.
 	durationRatio float64
 }
 
@@ -96,6 +98,8 @@
 	}
 	if decision.Verdict == admission.Refused {
 		if a.tryOtherRegion(request, pool) {
+			// The queue of this region did not admit the request, so that there is
+			// nothing to release.
 			return func(Outcome) {}, nil
 		}
 		return nil, admissionProblem(decision)
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -40,7 +40,8 @@
 	}
 }
 
-// mayResume reports whether a broken stream may be resumed at the same server.
+// mayResume reports whether a broken stream may be resumed at the same server. If it
+// may, the resume is taken from the retry budget.
 func (a *answer) mayResume(ctx context.Context, err error) bool {
 	c := a.call
 	return errors.Is(err, backend.ErrBrokenStream) && a.bytes > 0 &&
--- a/internal/entry/gossip.go
+++ b/internal/entry/gossip.go
@@ -196,12 +196,12 @@
 	for _, id := range g.servers.Stragglers() {
 		own = append(own, membership.Straggler{Server: id, Remaining: stragglerMarkerLifetime})
 	}
-	var reporters map[string]int
+	var reports map[string]int
 	g.members.Do(func(s *membership.State) []membership.Output {
-		reporters = s.PeerStragglers()
+		reports = s.PeerStragglers()
 		return s.SetStragglers(own)
 	})
-	g.servers.SetPeerStragglers(reporters)
+	g.servers.SetPeerStragglers(reports)
 }
 
 // reportInFlight publishes the requests in flight of this instance.
--- a/internal/entry/link.go
+++ b/internal/entry/link.go
@@ -41,7 +41,7 @@
 }
 
 // hasCapacity reports whether a call of at most bytes may use the link now. It is
-// false for 0 bytes, which keep a call in the region.
+// false for 0, which the kinds have whose requests stay in their region.
 func (l *linkBudget) hasCapacity(bytes int64, now time.Time) bool {
 	if bytes == 0 {
 		return false
--- a/internal/entry/loadcontrol.go
+++ b/internal/entry/loadcontrol.go
@@ -56,6 +56,7 @@
 type queueGauges struct{ running, waiting, limit tally.Gauge }
 
 func (m *AdmissionMetrics) updateQueue(pool string, running, waiting, limit int) {
+	// The type keeps pools apart from the problem types, which are keys of the same map.
 	type key struct{ pool string }
 	metric, ok := m.taggedMetrics.Load(key{pool})
 	if !ok {
--- a/internal/entry/servers.go
+++ b/internal/entry/servers.go
@@ -72,7 +72,7 @@
 		}
 	}
 	for name, p := range s.pools {
-		p.divide(s.instance, instances)
+		p.setInstances(s.instance, instances)
 		p.update(byPool[name], slotsOf(set, name), s.now())
 	}
 	s.mu.Unlock()
@@ -108,8 +108,9 @@
 	}
 }
 
-// divide sets the instances of the region, among which the servers are divided.
-func (p *serverPool) divide(instance string, instances []routing.Instance) {
+// setInstances sets the instances of the region, among which the next update divides
+// the slots of the servers.
+func (p *serverPool) setInstances(instance string, instances []routing.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.pool.SetInstances(instance, instances)
--- a/internal/entry/serverstate.go
+++ b/internal/entry/serverstate.go
@@ -118,12 +118,12 @@
 	return ids
 }
 
-// SetPeerStragglers sets the stragglers that other instances reported: for each server
-// ID the number of instances that did.
-func (s *Servers) SetPeerStragglers(reporters map[string]int) {
+// SetPeerStragglers sets the stragglers that other instances reported. reports holds,
+// by server ID, the number of instances that report the server.
+func (s *Servers) SetPeerStragglers(reports map[string]int) {
 	for _, p := range s.snapshot() {
 		p.mu.Lock()
-		p.pool.SetPeerStragglers(reporters, s.now())
+		p.pool.SetPeerStragglers(reports, s.now())
 		p.mu.Unlock()
 	}
 }
--- a/internal/entry/stagecall.go
+++ b/internal/entry/stagecall.go
@@ -13,10 +13,11 @@
 	"github.com/coltsfootdrift/coltsfootdrift/pipeline"
 )
 
-// maxAttempts limits the servers that are tried for one stage. Draining servers do
-// not count, since a whole failure domain may drain at once; each of them is tried
-// only once.
-const maxAttempts = 4
+// maxTries limits the tries of one stage. A try calls one server, or two when the
+// call is hedged, and each call is one attempt, or several when its stream is resumed.
+// Tries that a draining server refused do not count, since a whole failure domain may
+// drain at once. They end because no server is called in two tries.
+const maxTries = 4
 
 // Errors of a call that was not sent.
 var (
@@ -40,12 +41,12 @@
 	excluded []string
 }
 
-// run tries servers until one answers or no further attempt is allowed.
+// run tries servers until one answers or no further try is allowed.
 func (c *stageCall) run(ctx context.Context) (json.RawMessage, error) {
 	c.Retries.CountRequest()
 	var lastErr error
-	for attempts := 0; ; {
-		output, err := c.attempt(ctx)
+	for tries := 0; ; {
+		output, err := c.try(ctx)
 		if err == nil {
 			return output, nil
 		}
@@ -53,9 +54,9 @@
 			return nil, lastErr
 		}
 		if !errors.Is(err, backend.ErrDraining) {
-			attempts++
+			tries++
 		}
-		if attempts == maxAttempts || !c.mayRetry(ctx, err) {
+		if tries == maxTries || !c.mayRetry(ctx, err) {
 			return nil, err
 		}
 		lastErr = err
@@ -65,9 +66,9 @@
 	}
 }
 
-// mayRetry reports whether another server may be tried after err. A retry after
-// the refusal of a draining server takes nothing from the retry budget, because
-// such a refusal costs the server no load.
+// mayRetry reports whether another server may be tried after err. If it may, the
+// retry is taken from the retry budget, except after the refusal of a draining server,
+// because such a refusal costs the server no load.
 func (c *stageCall) mayRetry(ctx context.Context, err error) bool {
 	switch {
 	case ctx.Err() != nil, c.emitted:
@@ -84,8 +85,8 @@
 	}
 }
 
-// attempt calls one server, or two when the call is hedged.
-func (c *stageCall) attempt(ctx context.Context) (json.RawMessage, error) {
+// try calls one server, or two when the call is hedged.
+func (c *stageCall) try(ctx context.Context) (json.RawMessage, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, fmt.Errorf("%w: %w", backend.ErrNotSent, err)
 	}
@@ -102,7 +103,7 @@
 	return c.send(ctx, picked)
 }
 
-// pick chooses a server and excludes it from later attempts.
+// pick chooses a server and excludes it from later tries.
 func (c *stageCall) pick(query Query) (PickedServer, bool) {
 	picked, ok := c.Picker.Pick(query)
 	if ok {
