--- a/internal/claims/appender.go
+++ b/internal/claims/appender.go
@@ -176,7 +176,7 @@
 // processBatch appends a batch, in several writes if it is too large for one.
 func (a *Appender) processBatch(batch []*pending) {
 	direct := !slices.ContainsFunc(batch, func(p *pending) bool { return !p.direct })
-	ctx, cancel := context.WithTimeout(appendContext(context.Background(), direct), batchTimeout)
+	ctx, cancel := context.WithTimeout(storeContext(context.Background(), direct), batchTimeout)
 	defer cancel()
 	for len(batch) > 0 {
 		decisions, err := a.appendBatch(ctx, batch)
--- a/internal/claims/chain.go
+++ b/internal/claims/chain.go
@@ -204,9 +204,9 @@
 	return nil
 }
 
-// appendContext sets the class of store calls: that of the shard's appender, or that
-// of other calls for claims if direct is true.
-func appendContext(ctx context.Context, direct bool) context.Context {
+// storeContext sets the class of store calls: that of the shard's appender, or, if
+// direct is true, that of all other calls for claims, reads of answers included.
+func storeContext(ctx context.Context, direct bool) context.Context {
 	if direct {
 		return store.WithClass(ctx, quota.StoreClaims)
 	}
--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -208,7 +208,7 @@
 	var err error
 	for range answerReadAttempts {
 		var entry store.Entry
-		if entry, err = c.Store.Get(appendContext(ctx, true), key); err == nil {
+		if entry, err = c.Store.Get(storeContext(ctx, true), key); err == nil {
 			return findAnswer(claim.Segment{Number: decision.Segment, Data: entry.Value}, decision.Token)
 		}
 		select {
--- a/internal/claims/ports.go
+++ b/internal/claims/ports.go
@@ -19,7 +19,8 @@
 	// ErrUnresolved reports an operation that may be in the store or may still get
 	// there. A claim with this error is released before its token is dropped.
 	ErrUnresolved = errors.New("claim operation is unresolved")
-	// ErrNotReached reports an instance that could not be called.
+	// ErrNotReached reports a call that an instance did not carry out: its address is
+	// unknown, or it refused the call because it is busy or does not serve it.
 	ErrNotReached = errors.New("instance was not reached")
 	// ErrClaimLost reports that the claim expired before its outcome was recorded.
 	ErrClaimLost = errors.New("claim is not held any more")
