--- a/internal/jobs/run.go
+++ b/internal/jobs/run.go
@@ -121,7 +121,7 @@
 	mayBeWritten := false
 	for {
 		if holder, ok := j.currentHolder(); !ok || out.Record.FencingToken != 0 && holder.FencingToken != out.Record.FencingToken {
-			return j.leaseLost(out, mayBeWritten)
+			return j.unconfirmedWrite(out, mayBeWritten)
 		}
 		version, err := j.Store.CompareAndSwap(ctx, key, store.Version(out.ExpectedVersion), value, 0)
 		mayBeWritten = mayBeWritten || errors.Is(err, store.ErrUnknownOutcome)
@@ -144,12 +144,15 @@
 		select {
 		case <-time.After(recordRetryDelay):
 		case <-ctx.Done():
-			return j.leaseLost(out, mayBeWritten)
+			return j.unconfirmedWrite(out, mayBeWritten)
 		}
 	}
 }
 
-func (j *Jobs) leaseLost(out job.WriteRecord, mayBeWritten bool) (job.Input, error) {
+// unconfirmedWrite returns what writeRecord returns for a write that was given up
+// because the lease or ctx ended: the input LeaseLost in both cases, and an error that
+// states, for the first record of a job, whether it may be in the store.
+func (j *Jobs) unconfirmedWrite(out job.WriteRecord, mayBeWritten bool) (job.Input, error) {
 	switch {
 	case out.ExpectedVersion != 0:
 		return job.LeaseLost{}, errStopped
@@ -180,13 +183,13 @@
 		_ = j.step(r.ctx, r, job.LeaseLost{})
 		return
 	}
-	body, progress, err := j.loadRun(r, record)
+	durableJob, progress, err := j.loadRun(r, record)
 	result := Result{Outcome: job.OutcomeNotRun}
 	if err != nil {
 		events.JobRecordError.Log(r.ctx, j.Log, slog.String("job", record.ID), slog.Any("error", err))
 		result.Detail = err.Error()
 	} else {
-		result = j.Runner.Run(r.ctx, body, progress)
+		result = j.Runner.Run(r.ctx, durableJob, progress)
 	}
 	if r.ctx.Err() != nil {
 		// The context ends only if the lease is lost or another instance has written the
--- a/internal/jobs/status.go
+++ b/internal/jobs/status.go
@@ -75,7 +75,7 @@
 // Wait waits until a job is finished and returns its status, or the last known status
 // if ctx ends first.
 func (j *Jobs) Wait(ctx context.Context, id string) (Status, error) {
-	read := context.WithoutCancel(ctx)
+	readCtx := context.WithoutCancel(ctx)
 	for {
 		j.mu.Lock()
 		r := j.running[id]
@@ -86,7 +86,7 @@
 			case <-ctx.Done():
 			}
 		}
-		status, err := j.Status(read, id)
+		status, err := j.Status(readCtx, id)
 		if err != nil || status.Record.State == job.StateFinished || !clock.Sleep(ctx, statusPollInterval) {
 			return status, err
 		}
--- a/job/machine.go
+++ b/job/machine.go
@@ -149,8 +149,11 @@
 		m.stopped = true
 		return []Output{StopRun{}}
 	case m.record.Runs == previous.Runs:
+		// The record of a running job: a stage is done, or a non-idempotent call starts.
 		return nil
 	case m.record.FencingToken == previous.FencingToken:
+		// The same holder runs the job again: after a run without effect, or after a
+		// run whose record it could not confirm.
 		return []Output{RunStages{Delay: retryDelay(m.record.Runs)}}
 	}
 	return []Output{RunStages{}}
