--- a/internal/gateway/inputs.go
+++ b/internal/gateway/inputs.go
@@ -16,28 +16,28 @@
 // on. Otherwise it is chosen by the shared part of the prompt and the distribution of
 // the servers that produce the largest inputs.
 func (g *generateRequest) chooseInputDomain() string {
-	largest := g.largestInput()
+	largest := g.largestInputStage()
 	if largest < 0 {
 		return ""
 	}
-	local, all := map[string]int{}, map[string]int{}
+	producers, allProducers := map[string]int{}, map[string]int{}
 	for _, s := range g.view.Servers[g.route.Stages[largest].Service] {
-		all[s.FailureDomain]++
+		allProducers[s.FailureDomain]++
 		if g.servers.InRegion(s.FailureDomain) {
-			local[s.FailureDomain]++
+			producers[s.FailureDomain]++
 		}
 	}
-	if len(local) == 0 {
-		local = all
+	if len(producers) == 0 {
+		producers = allProducers
 	}
-	domain := engine.ChooseDomain(g.requestInfo.Prompt, local, g.servers.RandomFloat64())
+	domain := engine.ChooseDomain(g.requestInfo.Prompt, producers, g.servers.RandomFloat64())
 	if g.inputBytes() < largeInputBytes {
 		return domain
 	}
 	placed, ok := g.placer.Place(g.ctx, g.requestInfo.ID, g.service.Name, engine.Query{
 		Prompt: g.requestInfo.Prompt, InputBytes: map[string]int64{domain: g.inputBytes()}, Excluded: g.tried, AskOnly: true,
 	})
-	if _, produces := local[placed.FailureDomain]; ok && produces {
+	if _, produces := producers[placed.FailureDomain]; ok && produces {
 		return placed.FailureDomain
 	}
 	return domain
@@ -47,9 +47,9 @@
 // domain of the model server that caches the prompt.
 const largeInputBytes = 100 << 10
 
-// largestInput returns the index of the final stage with the largest results, -1 when
-// there is none.
-func (g *generateRequest) largestInput() int {
+// largestInputStage returns the index of the final stage with the largest results, -1
+// when there is none.
+func (g *generateRequest) largestInputStage() int {
 	largest := -1
 	for _, i := range g.graph.Final {
 		if largest < 0 || g.route.Stages[i].ResultBytes > g.route.Stages[largest].ResultBytes {
@@ -118,14 +118,14 @@
 	if g.inputDomain == "" {
 		g.inputDomain = g.chooseInputDomain()
 	}
-	var typical time.Duration
-	g.servers.WithEngineScheduler(g.service.Name, func(s *engine.Scheduler) { typical = s.TypicalDelay() })
+	var typicalDelay time.Duration
+	g.servers.WithEngineScheduler(g.service.Name, func(s *engine.Scheduler) { typicalDelay = s.TypicalDelay() })
 	ctx, cancel := g.waitingContext()
 	defer cancel()
 	inputs, err := g.stages.Run(ctx, StagePlan{
-		RequestID: g.requestInfo.ID, Key: g.requestInfo.PieceKey, Table: g.view.Table, Route: g.route, Graph: g.graph, Priority: g.priority,
-		Due:           g.arrived.Add(g.route.Target - typical),
-		Deadline:      g.stagesDeadline(typical),
+		RequestID: g.requestInfo.ID, PieceKey: g.requestInfo.PieceKey, Table: g.view.Table, Route: g.route, Graph: g.graph, Priority: g.priority,
+		Due:           g.arrived.Add(g.route.Target - typicalDelay),
+		Deadline:      g.stagesDeadline(typicalDelay),
 		FailureDomain: g.inputDomain, DomainOf: g.domainOf,
 	})
 	if err == nil {
@@ -162,9 +162,9 @@
 // stagesDeadline returns when the stages must end, so that a run of typical length at
 // the model server ends by the deadline and its first event arrives before the client
 // cancels a stream without events.
-func (g *generateRequest) stagesDeadline(firstEventDelay time.Duration) time.Time {
-	end := g.deadline.Add(-max(firstEventDelay, g.runTimes.mean(g.route.Name)))
-	if cancelled := g.arrived.Add(g.route.MaxFirstEventWait - firstEventDelay); g.route.MaxFirstEventWait > 0 && cancelled.Before(end) {
+func (g *generateRequest) stagesDeadline(typicalDelay time.Duration) time.Time {
+	end := g.deadline.Add(-max(typicalDelay, g.runTimes.mean(g.route.Name)))
+	if cancelled := g.arrived.Add(g.route.MaxFirstEventWait - typicalDelay); g.route.MaxFirstEventWait > 0 && cancelled.Before(end) {
 		return cancelled
 	}
 	return end
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -28,8 +28,8 @@
 // Servers holds the backend servers of the current view, and for their services the server
 // pools, the schedulers of model servers and the retry budgets of this instance.
 type Servers struct {
-	settings  settings.Gateway
-	instances func() int
+	settings      settings.Gateway
+	instanceCount func() int
 
 	mu               sync.Mutex
 	random           *rand.Rand
@@ -42,7 +42,7 @@
 // NewServers returns Servers that are empty until the first Update.
 func NewServers(s settings.Gateway, cluster *Cluster) *Servers {
 	return &Servers{
-		settings: s, instances: cluster.InstanceCount,
+		settings: s, instanceCount: cluster.InstanceCount,
 		random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		pools:  map[string]*routing.Pool{}, engineSchedulers: map[string]*engine.Scheduler{},
 		servers: map[string]upstream.Server{}, budgets: map[string]*routing.RetryBudget{},
@@ -54,7 +54,7 @@
 	if v.Table == nil {
 		return
 	}
-	instances := s.instances()
+	instances := s.instanceCount()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.servers = map[string]upstream.Server{}
@@ -172,7 +172,7 @@
 func (s *Servers) budget(service string) *routing.RetryBudget {
 	b := s.budgets[service]
 	if b == nil {
-		share := retrySlackShare * s.settings.RetrySlack / float64(s.instances())
+		share := retrySlackShare * s.settings.RetrySlack / float64(s.instanceCount())
 		b = routing.NewRetryBudget(routing.RetryBudgetConfig{
 			Ratio:     retryRatioShare * s.settings.RetryRatio,
 			PerSecond: share / s.settings.RetryWindowSeconds,
--- a/internal/gateway/stagerequest.go
+++ b/internal/gateway/stagerequest.go
@@ -71,7 +71,7 @@
 	tail, started := r.schedule.Tail(i), r.schedule.AnyEnded()
 	r.mu.Unlock()
 	request := &peerpb.RunStageRequest{
-		Service: stage.Service, RequestId: r.RequestID, Stage: int32(i), Key: r.Key, Inputs: inputs,
+		Service: stage.Service, RequestId: r.RequestID, Stage: int32(i), Key: r.PieceKey, Inputs: inputs,
 		ResultBytes: stage.ResultBytes, Priority: int32(r.Priority),
 		DueMs:      time.Until(r.Due.Add(-tail)).Milliseconds(),
 		DeadlineMs: min(time.Until(r.Deadline.Add(-tail)), r.inputLifetime(i)).Milliseconds(),
--- a/internal/gateway/stagerun.go
+++ b/internal/gateway/stagerun.go
@@ -14,7 +14,7 @@
 // StagePlan describes the stages to run for one request.
 type StagePlan struct {
 	RequestID string
-	Key       string
+	PieceKey  string
 	Table     *route.Table
 	Route     *route.Route
 	Graph     route.Graph
