--- a/engine/engine.go
+++ b/engine/engine.go
@@ -56,7 +56,8 @@
 	ID            string
 	Region        string
 	FailureDomain string
-	// Incarnation increases with each restart, which empties the cache.
+	// Incarnation differs between the starts of a server under the same ID. A restart
+	// empties the cache.
 	Incarnation int64
 	// CacheTokens is the capacity of the prompt cache in tokens; 0 when unknown.
 	CacheTokens int
--- a/internal/gateway/clientrequest.go
+++ b/internal/gateway/clientrequest.go
@@ -37,7 +37,8 @@
 	// bodyReader holds the memory reservation of the body; nil without a body.
 	bodyReader *bodyReader
 	deadline   time.Time
-	// sends is the number of times that the request was sent to a backend server.
+	// sends is the number of times that the request was sent to a backend server. Sends
+	// whose inputs were lost don't count.
 	sends int
 	// mayHaveRun is set once a send ended without an answer that rules out that the
 	// request ran. From then on the request is not refused, because a refusal states that
@@ -77,7 +78,8 @@
 // minRetryTime is the least time left for which a request is retried.
 const minRetryTime = 20 * time.Millisecond
 
-// outgoingRequest returns the request in the form that is sent to a server.
+// outgoingRequest returns the request in the form that is sent to a server. It fills in
+// the server, the remaining time and the organisation of s.
 func (c *clientRequest) outgoingRequest(server upstream.Server, s SendInfo) *upstream.Request {
 	header := forwardedHeader(c.request.Header)
 	s.Server, s.Remaining, s.Organisation = server.ID, c.remaining(), c.organisation
@@ -174,7 +176,8 @@
 }
 
 // endUnanswered ends a request whose client has disconnected or whose deadline has
-// passed. In the first case it panics with http.ErrAbortHandler.
+// passed. In the first case it panics with http.ErrAbortHandler, in the second it answers
+// with status 504.
 func (c *clientRequest) endUnanswered() {
 	if c.clientGone() {
 		c.metrics.abandoned.Inc(1)
--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -166,7 +166,8 @@
 // Owners returns the addresses of the region's live instances in the order of
 // rendezvous hashing of a key. The first one owns the key: it batches the calls of the
 // stage service of that name, or places the prompts of a service of model servers.
-// Instances that did not answer lately come last. An empty address is this instance.
+// Instances that did not answer lately come last. An empty address is this instance,
+// which is always in the list.
 func (c *Cluster) Owners(key string) []string {
 	ids, byID := c.liveInstances()
 	var owners, avoided []string
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -36,7 +36,7 @@
 	mu              sync.Mutex
 	startedAt       time.Time
 	openConnections atomic.Int64
-	// waitingCtx is cancelled when the requests that are not sent yet must be refused.
+	// waitingCtx is cancelled when requests that wait for their stages must be refused.
 	waitingCtx    context.Context
 	cancelWaiting context.CancelFunc
 }
--- a/internal/gateway/inputs.go
+++ b/internal/gateway/inputs.go
@@ -149,7 +149,7 @@
 }
 
 // waitingContext returns a context of the request that also ends when a shutdown
-// refuses the requests that are not sent yet.
+// refuses the requests that wait for their stages.
 func (g *generateRequest) waitingContext() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(g.ctx)
 	stop := context.AfterFunc(g.drain.waitingCtx, cancel)
@@ -161,7 +161,8 @@
 
 // stagesDeadline returns when the stages must end, so that a run of typical length at
 // the model server ends by the deadline and its first event arrives before the client
-// cancels a stream without events.
+// cancels a stream without events. typicalDelay is the typical time from the send of a
+// request to its first event.
 func (g *generateRequest) stagesDeadline(typicalDelay time.Duration) time.Time {
 	end := g.deadline.Add(-max(typicalDelay, g.runTimes.mean(g.route.Name)))
 	if cancelled := g.arrived.Add(g.route.MaxFirstEventWait - typicalDelay); g.route.MaxFirstEventWait > 0 && cancelled.Before(end) {
@@ -184,7 +185,7 @@
 }
 
 // rerunStages frees the inputs so that the next try runs the stages again. It ends the
-// request when no rerun is left or too little time.
+// request, and returns true, when no rerun is left or too little time.
 func (g *generateRequest) rerunStages(reason string) bool {
 	g.freeInputs()
 	if g.stageReruns++; g.stageReruns > maxStageReruns || g.remaining() < minRetryTime {
--- a/internal/gateway/placer.go
+++ b/internal/gateway/placer.go
@@ -136,7 +136,7 @@
 }
 
 // placeForRegion places a prompt for an instance of the region, and queues the prompt
-// parts that the server will cache for the other regions.
+// parts that the server newly caches for the next message to the other regions.
 func (p *Placer) placeForRegion(service string, q engine.Query) (engine.Placement, bool) {
 	placed, ok := p.placeLocally(service, q)
 	if len(placed.NewParts) > 0 {
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -99,8 +99,8 @@
 	c.log(events.AttemptFailed, attrs...)
 }
 
-// handlePlainSendError handles a send without a complete answer. It returns true when
-// the request is answered.
+// handlePlainSendError handles a send without an answer. It returns true when the request
+// is answered, and false when it is to be retried.
 func (c *clientRequest) handlePlainSendError(send plainSend, err error) bool {
 	if c.clientGone() || c.expired() {
 		c.finishSend(send, routing.Abandoned)
--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -65,11 +65,16 @@
 // Piece is one piece of a stage call.
 type Piece struct {
 	RequestID string
-	Stage     int
-	Number    int
+	// Stage is the index of the stage in its route, and Number that of the piece in its
+	// stage.
+	Stage  int
+	Number int
+	// Remaining is the time left until the deadline of the stage.
 	Remaining time.Duration
-	Key       string
-	Inputs    []string
+	// Key is RequestInfo.PieceKey of the request.
+	Key string
+	// Inputs are the handles of the results that the piece needs.
+	Inputs []string
 }
 
 // Protocol translates requests, answers and store entries from and to the platform's
--- a/internal/gateway/resultfreer.go
+++ b/internal/gateway/resultfreer.go
@@ -25,7 +25,8 @@
 	serverAt func(address string) (upstream.Server, bool)
 	logger   *slog.Logger
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// pending holds what the next calls free, by the address of the producer.
 	pending map[string]*pendingFree
 }
 
--- a/internal/gateway/servicequeue.go
+++ b/internal/gateway/servicequeue.go
@@ -15,8 +15,8 @@
 	mu    sync.Mutex
 	queue *stagework.Queue
 	jobs  map[stagework.JobID]*stageJob
-	// pending holds the jobs that no call waits for at present. Their requesters are
-	// expected to call AwaitStage again.
+	// pending holds the jobs that no call of RunStage or AwaitStage waits for at present.
+	// Their requesters are expected to call AwaitStage again.
 	pending map[stagework.JobID]*stageJob
 	lastID  stagework.JobID
 	// expiryScheduled is true while the timer of scheduleExpiry runs.
@@ -32,7 +32,7 @@
 	// not set TellFetched.
 	fetched chan struct{}
 	// fetchReported is true once a response has said that the inputs may be freed. Only
-	// the call that awaits the job uses it.
+	// the call of RunStage or AwaitStage that waits for the job uses it.
 	fetchReported bool
 	// abandonTimer cancels the job unless AwaitStage is called in time.
 	abandonTimer *time.Timer
--- a/internal/gateway/stagerequest.go
+++ b/internal/gateway/stagerequest.go
@@ -32,6 +32,7 @@
 	for try, address := range owners {
 		started := time.Now()
 		request := r.newRunStageRequest(i, inputs)
+		// The last owner must accept the stage even if it is stopping.
 		request.Forced = try == len(owners)-1
 		response, err := r.requestFrom(ctx, address, i, request)
 		if ctx.Err() != nil {
@@ -80,6 +81,8 @@
 	for _, j := range r.Graph.After[i] {
 		producer := r.Route.Stages[j]
 		request.InputBytes += int64(r.Graph.Counts[j]) * producer.ResultBytes
+		// The inputs are freed before the stage ends only when memory for them is short:
+		// without them its pieces can't be retried.
 		request.TellFetched = request.TellFetched || r.resultMemoryShort(producer.Service)
 	}
 	request.FailureDomain = r.preferredDomain(request)
--- a/internal/gateway/stagerunner.go
+++ b/internal/gateway/stagerunner.go
@@ -19,7 +19,8 @@
 	assumedPieces = 6
 	// queueStateMaxAge is how long the reported state of a queue is used.
 	queueStateMaxAge = time.Second
-	// peerFreeDelay is how long the results to free are collected for one call.
+	// peerFreeDelay is how long the results to free are collected for one call to the
+	// owner of their service, which then collects them again for freeCallDelay.
 	peerFreeDelay = 3 * time.Millisecond
 )
 
@@ -45,7 +46,8 @@
 
 	stageTimes *movingAverages
 
-	mu           sync.Mutex
+	mu sync.Mutex
+	// pendingFrees holds the results that the next call to the owner frees, by service.
 	pendingFrees map[string][]string
 	// queueStates holds the last reported state of the queue of each service.
 	queueStates map[string]queueState
--- a/internal/gateway/stagescheduler.go
+++ b/internal/gateway/stagescheduler.go
@@ -20,11 +20,11 @@
 const (
 	// jobExpiryInterval is how often waiting jobs are checked for expiry.
 	jobExpiryInterval = 25 * time.Millisecond
-	// awaitPollTimeout is how long a call of a peer waits for its job. It is answered
-	// then even while the job is pending, so that the peer can tell that this instance is
-	// alive.
+	// awaitPollTimeout is how long a call of RunStage or AwaitStage waits for its job. It
+	// is answered then even while the job is pending, so that a peer can tell that this
+	// instance is alive.
 	awaitPollTimeout = 200 * time.Millisecond
-	// abandonJobAfter is how long a pending job is kept while no call waits for it.
+	// abandonJobAfter is how long a pending job is kept without a call of AwaitStage.
 	abandonJobAfter = time.Second
 	// maxStageAnswerBytes bounds the answer of a stage server.
 	maxStageAnswerBytes = 1 << 20
@@ -201,7 +201,7 @@
 	return q.addQueueState(response)
 }
 
-// abandonJob cancels a job that no call waits for and frees its results.
+// abandonJob cancels a job whose requester no longer waits for it, and frees its results.
 func (s *StageScheduler) abandonJob(q *serviceQueue, id stagework.JobID, job *stageJob) {
 	q.mu.Lock()
 	delete(q.pending, id)
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -22,7 +22,7 @@
 	// inputs are the handles of the final results of the stages, nil before the stages
 	// have run and after the results were freed.
 	inputs []string
-	// tried holds the IDs of the model servers that the request was sent to.
+	// tried holds the IDs of the model servers that must not be chosen again.
 	tried       []string
 	unsentTries int
 	stageReruns int
@@ -95,7 +95,8 @@
 	maxUrgency  = 9
 )
 
-// giveUp ends the request after a try that did not run it.
+// giveUp ends the request after a try that did not run it. It returns true, as try does
+// when the request has ended.
 func (g *generateRequest) giveUp(reason string, retry time.Duration, err error) bool {
 	switch {
 	case g.streaming:
@@ -108,7 +109,8 @@
 	return true
 }
 
-// handleSendError handles a send without an answer.
+// handleSendError handles a send without an answer. It returns true when the request has
+// ended.
 func (g *generateRequest) handleSendError(placed engine.Placement, err error) bool {
 	if g.clientGone() || g.expired() {
 		return g.endIncomplete()
@@ -126,7 +128,8 @@
 }
 
 // endIncomplete ends a request whose client has disconnected or whose deadline has
-// passed.
+// passed, also in the middle of a stream. It returns true, as try does when the request
+// has ended.
 func (g *generateRequest) endIncomplete() bool {
 	if g.streaming && !g.clientGone() {
 		g.abort(errDeadlinePassed)
@@ -160,6 +163,7 @@
 	switch {
 	case info.InputsLost:
 		g.logSendFailed(upstream.Server{ID: placed.Server}, answer.Status, nil)
+		// The server can run the request when the stages have produced its inputs again.
 		g.sends--
 		g.tried = g.tried[:len(g.tried)-1]
 		return g.rerunStages("inputs were lost")
@@ -193,7 +197,8 @@
 	return true
 }
 
-// relay passes on the events of an answer as they arrive.
+// relay passes on the events of an answer as they arrive. It returns true when the
+// request has ended.
 func (g *generateRequest) relay(placed engine.Placement, answer *upstream.Answer, sent time.Time) bool {
 	reader := newEventReader(answer.Body)
 	controller := http.NewResponseController(g.writer)
@@ -245,7 +250,7 @@
 }
 
 // handleBrokenStream handles a stream that broke off. An incomplete last event is
-// dropped.
+// dropped. It returns true when the request has ended.
 func (g *generateRequest) handleBrokenStream(placed engine.Placement, err error) bool {
 	if g.clientGone() || g.expired() {
 		return g.endIncomplete()
--- a/stagework/queue.go
+++ b/stagework/queue.go
@@ -19,9 +19,9 @@
 	// failed. It doubles with each consecutive failure, up to maxFailurePause.
 	failurePause    = 200 * time.Millisecond
 	maxFailurePause = 2 * time.Second
-	// missedDueWaitFactor multiplies the estimated wait of a new piece. A job that will
-	// miss its due time is expected to wait that much longer, because jobs that can
-	// still meet theirs overtake it.
+	// missedDueWaitFactor multiplies the estimated wait of a new piece. The expected end
+	// of a job that will miss its due time is later by the product, because jobs that
+	// can still meet theirs overtake it.
 	missedDueWaitFactor = 1
 	// startedBonus moves jobs of requests with finished stages forward in the order,
 	// because the work of those stages is lost if the job misses its deadline.
@@ -63,8 +63,8 @@
 
 type job struct {
 	Job
-	// workDelay is the addend of the job's rank, in nanoseconds, for the share of a
-	// full call that the job needs.
+	// workDelay is the addend of the job's rank, in nanoseconds, for the server time
+	// that the job needs.
 	workDelay int64
 	// waiting holds the indexes in Pieces that wait for a call.
 	waiting []int
