--- a/stagework/load_test.go
+++ b/stagework/load_test.go
@@ -14,8 +14,8 @@
 // simulation runs requests of one stage against three servers in virtual time. Each
 // request arrives at one of several instances, which share one queue or have one each.
 type simulation struct {
-	agenda virtualtime.EventQueue
-	queues []*Queue
+	eventQueue virtualtime.EventQueue
+	queues     []*Queue
 	// perRequest is true when each call carries the pieces of one request only.
 	perRequest bool
 	busy       map[string]bool
@@ -40,7 +40,7 @@
 }
 
 func (s *simulation) schedule(now time.Time, d time.Duration, run func(time.Time)) {
-	s.agenda.At(now.Add(d), run)
+	s.eventQueue.At(now.Add(d), run)
 }
 
 // playBurst runs the simulation with requests that arrive at a mean rate, which is three
@@ -76,7 +76,7 @@
 			s.makeCalls(now)
 		})
 	}
-	s.agenda.Run()
+	s.eventQueue.Run()
 }
 
 // makeCalls makes the calls that the queues return. A busy server refuses them.
