--- a/internal/proof/main_test.go
+++ b/internal/proof/main_test.go
@@ -32,6 +32,13 @@
 
 var scenarioSlots = make(chan struct{}, maxConcurrentScenarios)
 
+// Range of ports of this package's processes. No other test package draws from it,
+// because another one could bind the port of a process between its kill and its restart.
+const (
+	firstPort = 2000
+	lastPort  = 6000
+)
+
 // nextPort returns a port that no other scenario uses. If each scenario searched for
 // free ports by itself, two could choose the same port before either binds it.
 func nextPort() (int, error) {
@@ -42,7 +49,7 @@
 
 var (
 	portsMu   sync.Mutex
-	freePorts = standin.FreePorts()
+	freePorts = standin.FreePortsBetween(firstPort, lastPort)
 )
 
 // binary is the path of the coltsfootdrift binary that TestMain builds.
--- a/internal/standin/settings.go
+++ b/internal/standin/settings.go
@@ -76,21 +76,26 @@
 	}
 }
 
-// FreePorts returns a function that returns a different port with each call. Each
-// port was free for TCP and UDP when it was checked. Ports are chosen at random, so
-// that processes that search at the same time rarely choose the same one.
-func FreePorts() func() (int, error) {
+// FreePorts returns a function that returns a different port with each call, below the
+// ephemeral port range.
+func FreePorts() func() (int, error) { return FreePortsBetween(firstPort, lastPort) }
+
+// FreePortsBetween returns a function that returns a different port from first to
+// last-1 with each call. Each port was free for TCP and UDP when it was checked. Ports
+// are chosen at random, so that processes that search at the same time rarely choose
+// the same one.
+func FreePortsBetween(first, last int) func() (int, error) {
 	const attempts = 1000
 	taken := map[int]bool{}
 	return func() (int, error) {
 		for range attempts {
-			port := firstPort + rand.IntN(lastPort-firstPort)
+			port := first + rand.IntN(last-first)
 			if !taken[port] && portIsFree(net.JoinHostPort(Host, strconv.Itoa(port))) {
 				taken[port] = true
 				return port, nil
 			}
 		}
-		return 0, fmt.Errorf("no free port between %d and %d in %d attempts", firstPort, lastPort, attempts)
+		return 0, fmt.Errorf("no free port between %d and %d in %d attempts", first, last, attempts)
 	}
 }
 
